--- a/internal/load/admit/admit.go
+++ b/internal/load/admit/admit.go
@@ -71,34 +71,34 @@
 
 // Decision answers an arrival.
 type Decision struct {
-	Verdict Verdict
-	Reason  result.Reason // of a refusal
-	After   time.Duration // of a refusal: when to come back
+	Verdict    Verdict
+	Reason     result.Reason // of a refusal
+	RetryAfter time.Duration // of a refusal: when to come back
 }
 
-// Refused is a request that waited and is given up on. It did not run.
-type Refused struct {
-	ID     uint64
-	Reason result.Reason
-	After  time.Duration // when to come back
+// Refusal is a request that waited and is given up on. It did not run.
+type Refusal struct {
+	ID         uint64
+	Reason     result.Reason
+	RetryAfter time.Duration // when to come back
 }
 
 // Change is what an event leads to: the process starts the ones and answers the others.
 type Change struct {
 	Started []uint64
-	Refused []Refused
+	Refused []Refusal
 }
 
 // Gate holds the slots and the queue of one backend server.
 type Gate struct {
-	rules    Rules
-	limits   Limits
-	random   *rand.Rand
-	lanes    map[docs.Kind]*lane
-	clock    queue.Clock
-	running  map[uint64]run
-	measured map[string]*estimate // by class
-	shortage shortage
+	rules     Rules
+	limits    Limits
+	random    *rand.Rand
+	lanes     map[docs.Kind]*lane
+	clock     queue.Clock
+	running   map[uint64]run
+	estimates map[string]*estimate // by class
+	shortage  shortage
 }
 
 // lane is one kind of work: its queue, and its place among the kinds.
@@ -122,12 +122,12 @@
 // New returns a gate with nothing running.
 func New(l Limits, random *rand.Rand) *Gate {
 	g := &Gate{
-		rules:    Default,
-		limits:   l,
-		random:   random,
-		lanes:    make(map[docs.Kind]*lane, len(kinds)),
-		running:  make(map[uint64]run),
-		measured: make(map[string]*estimate),
+		rules:     Default,
+		limits:    l,
+		random:    random,
+		lanes:     make(map[docs.Kind]*lane, len(kinds)),
+		running:   make(map[uint64]run),
+		estimates: make(map[string]*estimate),
 	}
 	for _, k := range kinds {
 		g.lanes[k] = &lane{kind: k, share: queue.Share{Weight: laneWeight(k)}, waiting: queue.New(l.Callers)}
@@ -146,10 +146,10 @@
 		return Decision{Reason: result.NoClass}
 	}
 	if !now.Before(r.Deadline) {
-		return g.refusal(now, result.Expired)
+		return g.refuse(now, result.Expired)
 	}
 	l := g.lanes[class.Kind]
-	if l.waiting.Len() == 0 && g.free(l) {
+	if l.waiting.Len() == 0 && g.hasSlot(l) {
 		// Even a request that seems to be late starts in a free slot: the slot would
 		// stay idle otherwise, and an estimate from a slow spell would never be
 		// corrected, since only runs correct it.
@@ -157,15 +157,15 @@
 		g.start(now, l, r.ID, r.Class)
 		return Decision{Verdict: Run}
 	}
-	if g.late(now, l, r) {
-		return g.refusal(now, result.TooLate)
+	if g.tooLate(now, l, r) {
+		return g.refuse(now, result.TooLate)
 	}
-	if !l.waiting.Room(class.Name, r.Caller, class.Queue) {
+	if !l.waiting.HasRoom(class.Name, r.Caller, class.Queue) {
 		reason := result.ShedCaller
 		if l.waiting.Waiting(class.Name) >= class.Queue {
 			reason = result.QueueFull
 		}
-		return g.refusal(now, reason)
+		return g.refuse(now, reason)
 	}
 	l.waiting.Push(queue.Item{ID: r.ID, Caller: r.Caller, Class: r.Class, Cost: g.cost(r.Class), Arrived: now, Deadline: r.Deadline})
 	return Decision{Verdict: Wait}
@@ -202,9 +202,9 @@
 	for _, k := range kinds {
 		l := g.lanes[k]
 		for _, i := range slices.Collect(l.waiting.All) {
-			if !now.Before(g.latest(i)) {
+			if !now.Before(g.latestStart(i)) {
 				l.waiting.Remove(i.ID)
-				c.Refused = append(c.Refused, g.refused(now, i.ID, result.Expired))
+				c.Refused = append(c.Refused, g.newRefusal(now, i.ID, result.Expired))
 			}
 		}
 	}
@@ -215,7 +215,7 @@
 func (g *Gate) NextExpiry() (next time.Time) {
 	for _, k := range kinds {
 		for i := range g.lanes[k].waiting.All {
-			if t := g.latest(i); next.IsZero() || t.Before(next) {
+			if t := g.latestStart(i); next.IsZero() || t.Before(next) {
 				next = t
 			}
 		}
@@ -241,9 +241,9 @@
 	for _, k := range kinds {
 		g.lanes[k].waiting.SetWeights(l.Callers)
 	}
-	for name := range g.measured {
+	for name := range g.estimates {
 		if _, ok := l.class(name); !ok {
-			delete(g.measured, name)
+			delete(g.estimates, name)
 		}
 	}
 	return g.fill(now)
@@ -257,8 +257,8 @@
 			return c
 		}
 		i, _ := l.waiting.Pop()
-		if !now.Before(g.latest(i)) {
-			c.Refused = append(c.Refused, g.refused(now, i.ID, result.Expired))
+		if !now.Before(g.latestStart(i)) {
+			c.Refused = append(c.Refused, g.newRefusal(now, i.ID, result.Expired))
 			continue
 		}
 		g.start(now, l, i.ID, i.Class)
@@ -270,7 +270,7 @@
 func (g *Gate) next() (best *lane) {
 	for _, k := range kinds {
 		l := g.lanes[k]
-		if l.waiting.Len() == 0 || !g.free(l) {
+		if l.waiting.Len() == 0 || !g.hasSlot(l) {
 			continue
 		}
 		if best == nil || g.clock.Start(&l.share) < g.clock.Start(&best.share) {
@@ -286,16 +286,16 @@
 	g.running[id] = run{class: class, kind: l.kind, since: now}
 }
 
-// free reports whether a lane may take one more slot.
-func (g *Gate) free(l *lane) bool {
+// hasSlot reports whether a lane may take one more slot.
+func (g *Gate) hasSlot(l *lane) bool {
 	if len(g.running) >= g.limits.Slots {
 		return false
 	}
-	return l.kind == docs.Lookup || l.inflight < g.most(l) && g.long() < max(1, g.limits.Slots-1)
+	return l.kind == docs.Lookup || l.inflight < g.slotLimit(l) && g.longInFlight() < max(1, g.limits.Slots-1)
 }
 
-// long returns how many slots feeds and uploads hold.
-func (g *Gate) long() int {
+// longInFlight returns how many slots feeds and uploads hold.
+func (g *Gate) longInFlight() int {
 	return g.lanes[docs.Feed].inflight + g.lanes[docs.Upload].inflight
 }
 
--- a/internal/load/admit/admit_test.go
+++ b/internal/load/admit/admit_test.go
@@ -30,24 +30,24 @@
 	Callers: []docs.Caller{{Name: "fund-a", Weight: 1}, {Name: "fund-b", Weight: 1}},
 }
 
-// bench is a gate with the clock and the request numbers of one test.
-type bench struct {
+// testGate is a gate with the clock and the request numbers of one test.
+type testGate struct {
 	*Gate
 	now time.Time
 	id  uint64
 }
 
-func newBench(l Limits) *bench {
-	return &bench{Gate: New(l, rand.New(rand.NewPCG(1, 2))), now: start}
+func newTestGate(l Limits) *testGate {
+	return &testGate{Gate: New(l, rand.New(rand.NewPCG(1, 2))), now: start}
 }
 
-func (b *bench) arrive(class string, c queue.Caller, left time.Duration) Decision {
+func (b *testGate) arrive(class string, c queue.Caller, left time.Duration) Decision {
 	b.id++
 	return b.Arrive(b.now, Request{ID: b.id, Class: class, Caller: c, Deadline: b.now.Add(left)})
 }
 
 // learn runs lookups to their end, each after the given time.
-func (b *bench) learn(took time.Duration) {
+func (b *testGate) learn(took time.Duration) {
 	for range 8 {
 		b.arrive("claim", fundA, time.Minute)
 		b.now = b.now.Add(took)
@@ -59,7 +59,7 @@
 // their deadlines, and every answer would come too late for somebody. What can't be
 // answered in time is refused when it comes; what is let in waits less than its time.
 func TestRefusesAtOnceWhatWouldBeLate(t *testing.T) {
-	b := newBench(limits)
+	b := newTestGate(limits)
 	b.learn(100 * time.Millisecond)
 	for range 4 {
 		assert.Equal(t, b.arrive("claim", fundA, 250*time.Millisecond).Verdict, Run)
@@ -68,13 +68,13 @@
 	d := b.arrive("claim", fundA, 150*time.Millisecond)
 	assert.Equal(t, d.Verdict, Refuse)
 	assert.Equal(t, d.Reason, result.TooLate)
-	assert.Assert(t, d.After >= leastAfter && d.After <= 5*leastAfter, d.After)
+	assert.Assert(t, d.RetryAfter >= minRetryAfter && d.RetryAfter <= 5*minRetryAfter, d.RetryAfter)
 }
 
 // Heirs upload scans for seconds each. Were every slot theirs, a caseworker's
 // lookup of some milliseconds would wait for seconds.
 func TestUploadsLeaveSlotsToLookups(t *testing.T) {
-	b := newBench(limits)
+	b := newTestGate(limits)
 	for range 2 {
 		assert.Equal(t, b.arrive("scan", fundA, time.Minute).Verdict, Run)
 	}
@@ -87,12 +87,12 @@
 func TestSingleSlotTakesAllKinds(t *testing.T) {
 	l := limits
 	l.Slots = 1
-	assert.Equal(t, newBench(l).arrive("scan", fundA, time.Minute).Verdict, Run)
+	assert.Equal(t, newTestGate(l).arrive("scan", fundA, time.Minute).Verdict, Run)
 }
 
 // Lookups never stop coming. An upload that waits gets a slot all the same.
 func TestLookupsDoNotKeepUploadsOut(t *testing.T) {
-	b := newBench(limits)
+	b := newTestGate(limits)
 	b.learn(100 * time.Millisecond)
 	var running []uint64
 	for range 4 {
@@ -113,7 +113,7 @@
 // A feed is open for hours. The fifth caseworker still gets one, since a feed gives its
 // slot back with the first byte.
 func TestOpenFeedsHoldNoSlot(t *testing.T) {
-	b := newBench(limits)
+	b := newTestGate(limits)
 	for range 100 {
 		assert.Equal(t, b.arrive("trace", fundA, time.Second).Verdict, Run)
 		b.Done(b.now, b.id, 10*time.Millisecond)
@@ -124,7 +124,7 @@
 // One fund sends without end. It is refused at once when it holds its part of the
 // queue, and the other fund still finds room.
 func TestHeavyCallerLeavesRoom(t *testing.T) {
-	b := newBench(limits)
+	b := newTestGate(limits)
 	waiting := 0
 	for range 100 {
 		if d := b.arrive("claim", fundA, time.Minute); d.Verdict == Wait {
@@ -140,14 +140,14 @@
 // A backend server was slow for a while and is quick again. If nothing were let in
 // by the old estimate, it would never be measured again and stay refused for ever.
 func TestSlowSpellDoesNotCloseTheGate(t *testing.T) {
-	b := newBench(limits)
+	b := newTestGate(limits)
 	b.learn(2 * time.Second)
 	assert.Equal(t, b.arrive("claim", fundA, 500*time.Millisecond).Verdict, Run)
 }
 
 // A backend server answers 500 within a millisecond. Its failures must not count as quick service.
 func TestFailuresDoNotLowerTheEstimate(t *testing.T) {
-	b := newBench(limits)
+	b := newTestGate(limits)
 	b.learn(100 * time.Millisecond)
 	before := b.Stats().Classes[0].Mean
 	for range 20 {
@@ -158,7 +158,7 @@
 }
 
 func TestExpireAnswersAtTheLatestStart(t *testing.T) {
-	b := newBench(limits)
+	b := newTestGate(limits)
 	b.learn(100 * time.Millisecond)
 	for range 5 {
 		b.arrive("claim", fundA, time.Second)
@@ -172,7 +172,7 @@
 
 // The backend server leaves. What runs ends on its own; what waits is handed out once to be passed on.
 func TestDrainHandsOutWhatWaits(t *testing.T) {
-	b := newBench(limits)
+	b := newTestGate(limits)
 	for range 6 {
 		b.arrive("claim", fundA, time.Minute)
 	}
@@ -184,7 +184,7 @@
 // The document gives the server fewer slots, then more: nothing that runs is
 // stopped, and what waits starts with the new slots.
 func TestSetLimitsStartsWhatWaits(t *testing.T) {
-	b := newBench(limits)
+	b := newTestGate(limits)
 	for range 6 {
 		b.arrive("claim", fundA, time.Minute)
 	}
@@ -199,22 +199,22 @@
 // A server refuses a stray request now and then for an hour, then the service is short for
 // ten seconds. The first callers are told to come back soon, not in an hour; the last ones later.
 func TestRetryAfterFollowsTheShortage(t *testing.T) {
-	b := newBench(limits)
+	b := newTestGate(limits)
 	for range 3600 {
 		for range 40 {
 			b.arrive("claim", fundA, time.Second)
 			b.Done(b.now, b.id, 10*time.Millisecond)
 		}
-		b.After(b.now)
+		b.RetryAfter(b.now)
 		b.now = b.now.Add(time.Second)
 	}
-	first := b.After(b.now)
-	assert.Assert(t, first <= 5*leastAfter, first)
+	first := b.RetryAfter(b.now)
+	assert.Assert(t, first <= 5*minRetryAfter, first)
 	for range 100 {
 		b.now = b.now.Add(100 * time.Millisecond)
-		b.After(b.now)
+		b.RetryAfter(b.now)
 	}
-	last := b.After(b.now)
+	last := b.RetryAfter(b.now)
 	assert.Assert(t, last >= 10*time.Second && last <= 50*time.Second, last)
 }
 
@@ -222,7 +222,7 @@
 // started or refused in the end, never both, and slots and queues keep their bounds.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newBench(limits)
+		b := newTestGate(limits)
 		settled, running := map[uint64]int{}, map[uint64]bool{}
 		apply := func(c Change) {
 			for _, id := range c.Started {
@@ -256,7 +256,7 @@
 				apply(b.Cancel(b.now, id))
 				running[id] = false
 			}
-			assert.Assert(t, len(b.Running()) <= limits.Slots && b.long() < limits.Slots)
+			assert.Assert(t, len(b.Running()) <= limits.Slots && b.longInFlight() < limits.Slots)
 			assert.Assert(t, b.Stats().Waiting <= 8+4+4)
 		}
 		for _, id := range b.Drain() {
--- a/internal/load/bulk/bulk.go
+++ b/internal/load/bulk/bulk.go
@@ -34,19 +34,19 @@
 )
 
 const (
-	// window is what a caller has in flight at most, with the headers around it.
-	window = 16 * 1300
-	// queueFor is the queue that the windows of flows under way make at most, unless one alone makes more.
-	queueFor = 50 * time.Millisecond
-	// longFlow is the link's time that a flow has to take to be held up.
-	longFlow = queueFor / 2
-	// restFor is how long a flow under way may send nothing: a lost packet is repeated after 200 ms.
-	restFor = 300 * time.Millisecond
-	// learnOver is how many flows what they send is learned over.
-	learnOver = 8
-	// mostFlows bounds the memory for flows under way, mostKinds that for addresses.
-	mostFlows = 1024
-	mostKinds = 256
+	// callerWindow is what a caller has in flight at most, with the headers around it.
+	callerWindow = 16 * 1300
+	// maxQueueTime is the queue that the windows of flows under way make at most, unless one alone makes more.
+	maxQueueTime = 50 * time.Millisecond
+	// longFlowTime is the link's time that a flow has to take to be held up.
+	longFlowTime = maxQueueTime / 2
+	// idleTimeout is how long a flow under way may send nothing: a lost packet is repeated after 200 ms.
+	idleTimeout = 300 * time.Millisecond
+	// learnWindow is how many flows what they send is learned over.
+	learnWindow = 8
+	// maxFlows bounds the memory for flows under way, mostKinds that for addresses.
+	maxFlows     = 1024
+	maxAddresses = 256
 )
 
 // Verdict is what becomes of a flow that is to begin.
@@ -62,81 +62,81 @@
 // Gate is that of one entry. Its zero value lets everything pass.
 type Gate struct {
 	rate     float64 // bytes a second; 0: not stated
-	patience time.Duration
-	kinds    map[netip.AddrPort]float64 // bytes that a flow to an address sends
+	maxWait  time.Duration
+	avgBytes map[netip.AddrPort]float64 // bytes that a flow to an address sends
 	active   map[segs.Flow]*flow
-	waiting  []Waiting
+	waiting  []QueuedFlow
 }
 
 // flow is one that is under way.
 type flow struct {
-	bytes int
-	used  time.Time
+	bytes    int
+	lastSent time.Time
 }
 
-// Waiting is a flow that waits for its turn.
-type Waiting struct {
-	Flow   segs.Flow
-	Packet []byte    // its opening packet
-	until  time.Time // it has waited for too long
+// QueuedFlow is a flow that waits for its turn.
+type QueuedFlow struct {
+	Flow     segs.Flow
+	Packet   []byte    // its opening packet
+	deadline time.Time // it has waited for too long
 }
 
 // New returns the gate of a link of a rate in bytes a second, at which a flow waits no longer than patience.
-func New(rate float64, patience time.Duration) *Gate {
-	return &Gate{rate: rate, patience: patience, kinds: map[netip.AddrPort]float64{}, active: map[segs.Flow]*flow{}}
+func New(rate float64, maxWait time.Duration) *Gate {
+	return &Gate{rate: rate, maxWait: maxWait, avgBytes: map[netip.AddrPort]float64{}, active: map[segs.Flow]*flow{}}
 }
 
-// Open says what becomes of a flow whose caller began to ask for it some time ago. It copies the packet of one that waits.
-func (g *Gate) Open(now time.Time, f segs.Flow, age time.Duration, packet []byte) Verdict {
+// Admit says what becomes of a flow whose caller began to ask for it some time ago. It copies the packet of one that waits.
+func (g *Gate) Admit(now time.Time, f segs.Flow, age time.Duration, packet []byte) Verdict {
 	switch {
-	case !g.long(f):
+	case !g.isLong(f):
 		return Pass
-	case len(g.waiting) == 0 && g.room():
+	case len(g.waiting) == 0 && g.hasRoom():
 		g.begin(now, f)
 		return Pass
-	case age+g.expected(f) > g.patience: // known now, so not told later
+	case age+g.expectedWait(f) > g.maxWait: // known now, so not told later
 		return Refuse
 	default:
-		g.waiting = append(g.waiting, Waiting{Flow: f, Packet: slices.Clone(packet), until: now.Add(g.patience - age)})
+		g.waiting = append(g.waiting, QueuedFlow{Flow: f, Packet: slices.Clone(packet), deadline: now.Add(g.maxWait - age)})
 		return Hold
 	}
 }
 
-// long says whether a flow is one that may be held up.
-func (g *Gate) long(f segs.Flow) bool {
-	return g.rate > 0 && g.kinds[f.Called()]/g.rate > longFlow.Seconds()
+// isLong says whether a flow is one that may be held up.
+func (g *Gate) isLong(f segs.Flow) bool {
+	return g.rate > 0 && g.avgBytes[f.Called()]/g.rate > longFlowTime.Seconds()
 }
 
-// room says whether one more flow may be under way.
-func (g *Gate) room() bool {
-	most := int(queueFor.Seconds() * g.rate / window)
-	return g.underWay() < max(1, most)
+// hasRoom says whether one more flow may be under way.
+func (g *Gate) hasRoom() bool {
+	limit := int(maxQueueTime.Seconds() * g.rate / callerWindow)
+	return g.activeLong() < max(1, limit)
 }
 
-// underWay counts the long flows that are.
-func (g *Gate) underWay() (count int) {
+// activeLong counts the long flows that are.
+func (g *Gate) activeLong() (n int) {
 	for f := range g.active {
-		if g.long(f) {
-			count++
+		if g.isLong(f) {
+			n++
 		}
 	}
-	return count
+	return n
 }
 
 func (g *Gate) begin(now time.Time, f segs.Flow) {
-	if len(g.active) < mostFlows {
-		g.active[f] = &flow{used: now}
+	if len(g.active) < maxFlows {
+		g.active[f] = &flow{lastSent: now}
 	}
 }
 
-// expected is how long a flow waits for its turn: until those before it have sent what they will, and half of those under way.
-func (g *Gate) expected(f segs.Flow) time.Duration {
-	before := float64(len(g.waiting)) + float64(g.underWay())/2
-	return time.Duration(before * g.kinds[f.Called()] / g.rate * float64(time.Second))
+// expectedWait is how long a flow waits for its turn: until those before it have sent what they will, and half of those under way.
+func (g *Gate) expectedWait(f segs.Flow) time.Duration {
+	before := float64(len(g.waiting)) + float64(g.activeLong())/2
+	return time.Duration(before * g.avgBytes[f.Called()] / g.rate * float64(time.Second))
 }
 
-// Waits says whether a flow waits for its turn.
-func (g *Gate) Waits(f segs.Flow) bool {
+// Contains says whether a flow waits for its turn.
+func (g *Gate) Contains(f segs.Flow) bool {
 	for _, w := range g.waiting {
 		if w.Flow == f {
 			return true
@@ -145,76 +145,76 @@
 	return false
 }
 
-// Waiting is how many flows wait.
-func (g *Gate) Waiting() int { return len(g.waiting) }
+// Len is how many flows wait.
+func (g *Gate) Len() int { return len(g.waiting) }
 
-// Sent notes bytes that a flow's caller has sent.
-func (g *Gate) Sent(now time.Time, f segs.Flow, bytes int) {
+// RecordSent notes bytes that a flow's caller has sent.
+func (g *Gate) RecordSent(now time.Time, f segs.Flow, bytes int) {
 	if g.rate == 0 {
 		return
 	}
 	a := g.active[f]
 	if a == nil {
-		if len(g.active) >= mostFlows || bytes == 0 {
+		if len(g.active) >= maxFlows || bytes == 0 {
 			return
 		}
 		a = &flow{}
 		g.active[f] = a
 	}
 	a.bytes += bytes
-	a.used = now
+	a.lastSent = now
 }
 
-// Closed notes that a flow's caller has sent all that it will.
-func (g *Gate) Closed(f segs.Flow) {
+// Close notes that a flow's caller has sent all that it will.
+func (g *Gate) Close(f segs.Flow) {
 	if a := g.active[f]; a != nil {
-		g.end(f, a)
+		g.finish(f, a)
 	}
 }
 
-// end forgets a flow and learns what it has sent.
-func (g *Gate) end(f segs.Flow, a *flow) {
+// finish forgets a flow and learns what it has sent.
+func (g *Gate) finish(f segs.Flow, a *flow) {
 	delete(g.active, f)
 	called := f.Called()
-	size, seen := g.kinds[called]
+	size, known := g.avgBytes[called]
 	switch {
-	case seen:
-		g.kinds[called] += (float64(a.bytes) - size) / learnOver
-	case len(g.kinds) < mostKinds:
-		g.kinds[called] = float64(a.bytes)
+	case known:
+		g.avgBytes[called] += (float64(a.bytes) - size) / learnWindow
+	case len(g.avgBytes) < maxAddresses:
+		g.avgBytes[called] = float64(a.bytes)
 	}
 }
 
 // Next returns the flow whose turn it is.
-func (g *Gate) Next(now time.Time) (w Waiting, ok bool) {
-	if len(g.waiting) == 0 || !g.room() {
-		return Waiting{}, false
+func (g *Gate) Next(now time.Time) (w QueuedFlow, ok bool) {
+	if len(g.waiting) == 0 || !g.hasRoom() {
+		return QueuedFlow{}, false
 	}
-	w = g.take()
+	w = g.pop()
 	g.begin(now, w.Flow)
 	return w, true
 }
 
-// take takes the first of the waiting flows.
-func (g *Gate) take() Waiting {
+// pop takes the first of the waiting flows.
+func (g *Gate) pop() QueuedFlow {
 	w := g.waiting[0]
 	g.waiting = slices.Delete(g.waiting, 0, 1)
 	return w
 }
 
-// Late returns a flow that has waited for too long.
-func (g *Gate) Late(now time.Time) (w Waiting, ok bool) {
-	if len(g.waiting) == 0 || now.Before(g.waiting[0].until) {
-		return Waiting{}, false
+// NextExpired returns a flow that has waited for too long.
+func (g *Gate) NextExpired(now time.Time) (w QueuedFlow, ok bool) {
+	if len(g.waiting) == 0 || now.Before(g.waiting[0].deadline) {
+		return QueuedFlow{}, false
 	}
-	return g.take(), true
+	return g.pop(), true
 }
 
 // Expire ends flows that have sent nothing for a while.
 func (g *Gate) Expire(now time.Time) {
 	for f, a := range g.active {
-		if now.Sub(a.used) > restFor {
-			g.end(f, a)
+		if now.Sub(a.lastSent) > idleTimeout {
+			g.finish(f, a)
 		}
 	}
 }
--- a/internal/load/detect/detect.go
+++ b/internal/load/detect/detect.go
@@ -18,24 +18,24 @@
 //
 // # Usage
 //
-//	d := detect.New(detect.Bounds{Doubt: 150 * time.Millisecond, Wait: 150 * time.Millisecond, Checks: 3})
+//	d := detect.New(detect.Config{Doubt: 150 * time.Millisecond, Wait: 150 * time.Millisecond, Checks: 3})
 //	d.Asked(now) // something was sent that is answered at once
 //	d.Heard(now) // anything has come
 //	switch d.Tick(now, detect.Open) {
-//	case detect.Check:
+//	case detect.Probe:
 //		askDirectly()
-//	case detect.Lost:
+//	case detect.Failed:
 //		giveUp()
 //	}
 package detect
 
 import "time"
 
-// Bounds are the times of one detector.
-type Bounds struct {
-	Doubt  time.Duration // without an answer, until the party is asked directly
-	Wait   time.Duration // for the answer to a direct question
-	Checks int           // direct questions without an answer until the party is lost
+// Config are the times of one detector.
+type Config struct {
+	SuspectAfter time.Duration // without an answer, until the party is asked directly
+	ProbeTimeout time.Duration // for the answer to a direct question
+	Probes       int           // direct questions without an answer until the party is lost
 }
 
 // Verdict is what a tick asks for.
@@ -43,100 +43,100 @@
 
 // The verdicts.
 const (
-	Fine  Verdict = iota // nothing is to be done
-	Check                // the party is to be asked directly
-	Lost                 // it is lost as of now; said once
+	None   Verdict = iota // nothing is to be done
+	Probe                 // the party is to be asked directly
+	Failed                // it is lost as of now; said once
 )
 
-// Way is how the way between the observer and the others was while it waited for an answer, by their answers.
-type Way uint8
+// Path is how the way between the observer and the others was while it waited for an answer, by their answers.
+type Path uint8
 
 // The ways.
 const (
-	Open    Way = iota // all others have answered: silence counts
-	Patchy             // some have: it doesn't count, and waiting longer is of no use
-	Blocked            // none has: it doesn't count, and answers may take longer
+	Open    Path = iota // all others have answered: silence counts
+	Partial             // some have: it doesn't count, and waiting longer is of no use
+	Blocked             // none has: it doesn't count, and answers may take longer
 )
 
-// mostStep bounds what one step between two ticks counts for: twice the 50 ms of the ticks of
+// maxStep bounds what one step between two ticks counts for: twice the 50 ms of the ticks of
 // both roles, so that a late tick counts and a pause doesn't.
-const mostStep = 100 * time.Millisecond
+const maxStep = 100 * time.Millisecond
 
-// mostWaits bounds how long a question that doesn't count is waited for, in Bounds.Wait.
-const mostWaits = 8
+// maxBackoff bounds how long a question that doesn't count is waited for, in Bounds.Wait.
+const maxBackoff = 8
 
 // Detector watches one party. Its zero value is of no use.
 type Detector struct {
-	bounds Bounds
-	last   time.Time     // of the last tick
-	awake  time.Duration // until then
-	since  time.Duration // awake time of the first unanswered message
-	doubts bool          // there is one
-	checks int           // questions asked since
-	asked  time.Duration // awake time of the last question
-	wait   time.Duration // for its answer
-	lost   bool
+	config        Config
+	lastTick      time.Time     // of the last tick
+	runTime       time.Duration // until then
+	awaitingSince time.Duration // awake time of the first unanswered message
+	awaiting      bool          // there is one
+	probes        int           // questions asked since
+	probedAt      time.Duration // awake time of the last question
+	timeout       time.Duration // for its answer
+	failed        bool
 }
 
 // New returns a detector of a party that nothing speaks against.
-func New(b Bounds) *Detector { return &Detector{bounds: b, wait: b.Wait} }
+func New(b Config) *Detector { return &Detector{config: b, timeout: b.ProbeTimeout} }
 
-// Lost says whether the party is lost.
-func (d *Detector) Lost() bool { return d.lost }
+// Failed says whether the party is lost.
+func (d *Detector) Failed() bool { return d.failed }
 
-// InDoubt says whether something is unanswered.
-func (d *Detector) InDoubt() bool { return d.doubts }
+// AwaitingReply says whether something is unanswered.
+func (d *Detector) AwaitingReply() bool { return d.awaiting }
 
-// clock is the observer's awake time.
-func (d *Detector) clock(now time.Time) time.Duration {
-	if d.last.IsZero() {
-		return d.awake
+// runTimeAt is the observer's awake time.
+func (d *Detector) runTimeAt(now time.Time) time.Duration {
+	if d.lastTick.IsZero() {
+		return d.runTime
 	}
-	return d.awake + min(max(now.Sub(d.last), 0), mostStep)
+	return d.runTime + min(max(now.Sub(d.lastTick), 0), maxStep)
 }
 
-// Asked notes that something was sent that the party answers at once.
-func (d *Detector) Asked(now time.Time) {
-	if !d.doubts {
-		d.doubts, d.since = true, d.clock(now)
+// Sent notes that something was sent that the party answers at once.
+func (d *Detector) Sent(now time.Time) {
+	if !d.awaiting {
+		d.awaiting, d.awaitingSince = true, d.runTimeAt(now)
 	}
 }
 
-// Heard notes that something has come from the party. It says whether it was lost.
-func (d *Detector) Heard() (back bool) {
-	back = d.lost
-	d.doubts, d.checks, d.lost, d.wait = false, 0, false, d.bounds.Wait
-	return back
+// Received notes that something has come from the party. It says whether it was lost.
+func (d *Detector) Received() (recovered bool) {
+	recovered = d.failed
+	d.awaiting, d.probes, d.failed, d.timeout = false, 0, false, d.config.ProbeTimeout
+	return recovered
 }
 
 // Tick says what is to be done now. It is to be called each 50 ms. Way is how the way was since the last question. A lost party
 // is still to be asked directly every now and then, so that its return shows.
-func (d *Detector) Tick(now time.Time, way Way) Verdict {
-	d.awake, d.last = d.clock(now), now
+func (d *Detector) Tick(now time.Time, path Path) Verdict {
+	d.runTime, d.lastTick = d.runTimeAt(now), now
 	switch {
-	case !d.doubts:
-		return Fine
-	case d.checks == 0 && d.awake-d.since < d.bounds.Doubt:
-		return Fine
-	case d.checks > 0 && d.awake-d.asked < d.wait:
-		return Fine
-	case d.checks > 0 && way != Open:
-		return d.repeat(way)
-	case d.checks >= d.bounds.Checks && !d.lost:
-		d.lost = true
-		return Lost
+	case !d.awaiting:
+		return None
+	case d.probes == 0 && d.runTime-d.awaitingSince < d.config.SuspectAfter:
+		return None
+	case d.probes > 0 && d.runTime-d.probedAt < d.timeout:
+		return None
+	case d.probes > 0 && path != Open:
+		return d.repeatProbe(path)
+	case d.probes >= d.config.Probes && !d.failed:
+		d.failed = true
+		return Failed
 	default:
-		d.checks++
-		d.asked = d.awake
-		return Check
+		d.probes++
+		d.probedAt = d.runTime
+		return Probe
 	}
 }
 
-// repeat asks once more, as the last question doesn't count.
-func (d *Detector) repeat(way Way) Verdict {
-	if way == Blocked {
-		d.wait = min(2*d.wait, mostWaits*d.bounds.Wait)
+// repeatProbe asks once more, as the last question doesn't count.
+func (d *Detector) repeatProbe(path Path) Verdict {
+	if path == Blocked {
+		d.timeout = min(2*d.timeout, maxBackoff*d.config.ProbeTimeout)
 	}
-	d.asked = d.awake
-	return Check
+	d.probedAt = d.runTime
+	return Probe
 }
--- a/internal/load/parts/parts.go
+++ b/internal/load/parts/parts.go
@@ -32,13 +32,13 @@
 	Bulk     bool // flows that fill the entry's link for long wait for their turn (package bulk)
 }
 
-// part is one mechanism: its name in settings and its field.
-type part struct {
+// mechanism is one mechanism: its name in settings and its field.
+type mechanism struct {
 	name  string
 	field func(*Off) *bool
 }
 
-var all = []part{
+var mechanisms = []mechanism{
 	{"reports", func(o *Off) *bool { return &o.Reports }},
 	{"avoid", func(o *Off) *bool { return &o.Avoid }},
 	{"cold", func(o *Off) *bool { return &o.Cold }},
@@ -57,7 +57,7 @@
 
 // Names returns the names of all mechanisms.
 func Names() (names []string) {
-	for _, p := range all {
+	for _, p := range mechanisms {
 		names = append(names, p.name)
 	}
 	return names
@@ -66,12 +66,12 @@
 // Parse returns what the names switch off, and the names that mean nothing.
 func Parse(names []string) (off Off, unknown []string) {
 	for _, n := range names {
-		i := slices.IndexFunc(all, func(p part) bool { return p.name == n })
+		i := slices.IndexFunc(mechanisms, func(p mechanism) bool { return p.name == n })
 		if i < 0 {
 			unknown = append(unknown, n)
 			continue
 		}
-		*all[i].field(&off) = true
+		*mechanisms[i].field(&off) = true
 	}
 	return off, unknown
 }
--- a/internal/load/place/usage.go
+++ b/internal/load/place/usage.go
@@ -11,21 +11,21 @@
 
 	share   float64
 	running float64 // share of the slots that run since at
-	at      time.Time
+	since   time.Time
 }
 
 // Set notes how many requests run from now on.
 func (u *Usage) Set(now time.Time, running, slots int) {
 	u.share = u.Share(now)
 	u.running = min(1, float64(running)/float64(max(slots, 1)))
-	u.at = now
+	u.since = now
 }
 
 // Share returns the share used lately, 0 to 1.
 func (u *Usage) Share(now time.Time) float64 {
-	if u.at.IsZero() {
+	if u.since.IsZero() {
 		return 0
 	}
-	past := math.Exp(-float64(now.Sub(u.at)) / float64(u.Window))
-	return u.running + (u.share-u.running)*past
+	decay := math.Exp(-float64(now.Sub(u.since)) / float64(u.Window))
+	return u.running + (u.share-u.running)*decay
 }
--- a/internal/load/queue/ahead.go
+++ b/internal/load/queue/ahead.go
@@ -20,7 +20,7 @@
 	return list
 }
 
-func (w *flow) cost() float64 {
+func (w *callerQueue) cost() float64 {
 	sum := 0.0
 	for _, i := range w.items {
 		sum += i.Cost
@@ -35,45 +35,45 @@
 // request of the caller: all that the caller has waiting, and of every other
 // caller no more than its weight lets it start in the meantime.
 func (f *Fair) Ahead(c Caller) float64 {
-	key, inside := c, 0.0
+	key, within := c, 0.0
 	if c.Name == "" {
 		key = unnamed
-		if group := lookup(f.flows, unnamed); group != nil {
-			inside = overtaking(group.members, c, 1)
+		if group := lookup(f.queues, unnamed); group != nil {
+			within = workWithinGroup(group.members, c, 1)
 		}
 	}
-	own := lookup(f.flows, key)
+	own := lookup(f.queues, key)
 	if c.Name != "" && own != nil {
-		inside = own.cost()
+		within = own.cost()
 	}
-	return inside + others(f.flows, key, f.Weight(key), inside)
+	return within + rivalWork(f.queues, key, f.Weight(key), within)
 }
 
-// overtaking is the caller's own backlog and what its rivals start meanwhile.
-func overtaking(level []*flow, c Caller, weight float64) float64 {
+// workWithinGroup is the caller's own backlog and what its rivals start meanwhile.
+func workWithinGroup(level []*callerQueue, c Caller, weight float64) float64 {
 	cost := 0.0
 	if own := lookup(level, c); own != nil {
 		cost = own.cost()
 	}
-	return cost + others(level, c, weight, cost)
+	return cost + rivalWork(level, c, weight, cost)
 }
 
-// others is the work that the rivals of a caller start while it is served the
+// rivalWork is the work that the rivals of a caller start while it is served the
 // given cost. Each may start one request more than its exact share, since
 // requests are not cut into pieces.
-func others(level []*flow, c Caller, weight, cost float64) float64 {
+func rivalWork(level []*callerQueue, c Caller, weight, cost float64) float64 {
 	sum := 0.0
 	for _, w := range level {
 		if w.caller == c || w.waiting() == 0 {
 			continue
 		}
-		one := w.cost() / float64(w.waiting())
-		sum += min(w.cost(), cost*w.share.Weight/weight+one)
+		perRequest := w.cost() / float64(w.waiting())
+		sum += min(w.cost(), cost*w.share.Weight/weight+perRequest)
 	}
 	return sum
 }
 
-func lookup(level []*flow, c Caller) *flow {
+func lookup(level []*callerQueue, c Caller) *callerQueue {
 	for _, w := range level {
 		if w.caller == c {
 			return w
@@ -82,24 +82,24 @@
 	return nil
 }
 
-// Room reports whether a caller may have one more request of a class waiting,
+// HasRoom reports whether a caller may have one more request of a class waiting,
 // of at most limit in all. Each caller may have as many as places are still free,
 // times its weight over the mean weight: one heavy caller fills half of the queue
 // at most, two a third each. So there is always room for a caller that has
 // nothing waiting, nobody has to be turned out again to make it, and a refusal is
 // said at once. Unnamed callers are bounded as the group they are, and in the
 // same way among each other.
-func (f *Fair) Room(class string, c Caller, limit int) bool {
+func (f *Fair) HasRoom(class string, c Caller, limit int) bool {
 	key := c
 	if c.Name == "" {
 		key = unnamed
 	}
 	free := float64(limit - f.Waiting(class))
-	top, n := lookup(f.flows, key), 0
+	top, n := lookup(f.queues, key), 0
 	if top != nil {
 		n = top.count(class)
 	}
-	bound := free * f.Weight(key) / f.mean
+	bound := free * f.Weight(key) / f.meanWeight
 	if free < 1 || float64(n) >= bound {
 		return false
 	}
@@ -110,7 +110,7 @@
 	return member == nil || float64(member.count(class)) < bound-float64(n)
 }
 
-func (w *flow) count(class string) int {
+func (w *callerQueue) count(class string) int {
 	n := 0
 	for _, i := range w.items {
 		if i.Class == class {
@@ -126,7 +126,7 @@
 // Waiting returns how many requests of a class wait.
 func (f *Fair) Waiting(class string) int {
 	n := 0
-	for _, w := range f.flows {
+	for _, w := range f.queues {
 		n += w.count(class)
 	}
 	return n
@@ -136,6 +136,6 @@
 func (f *Fair) Clear() []Item {
 	items := slices.Collect(f.All)
 	slices.SortStableFunc(items, func(a, b Item) int { return a.Arrived.Compare(b.Arrived) })
-	f.flows, f.size = nil, 0
+	f.queues, f.size = nil, 0
 	return items
 }
--- a/internal/load/queue/queue.go
+++ b/internal/load/queue/queue.go
@@ -45,26 +45,26 @@
 
 // Fair is a set of waiting requests. It is not safe for concurrent use.
 type Fair struct {
-	clock   Clock
-	weights map[string]float64
-	mean    float64 // weight of a caller
-	flows   []*flow // named callers that wait or owe, and the group of unnamed ones
-	size    int
+	clock      Clock
+	weights    map[string]float64
+	meanWeight float64        // weight of a caller
+	queues     []*callerQueue // named callers that wait or owe, and the group of unnamed ones
+	size       int
 }
 
-// flow is the backlog of one caller. The group of unnamed callers is a flow
+// callerQueue is the backlog of one caller. The group of unnamed callers is a flow
 // whose requests wait in flows of its own.
-type flow struct {
+type callerQueue struct {
 	share   Share
 	caller  Caller
 	items   []Item
 	clock   Clock
-	members []*flow
+	members []*callerQueue
 }
 
-// maxOwing bounds the unnamed callers that are remembered only for what they owe:
+// maxIdleMembers bounds the unnamed callers that are remembered only for what they owe:
 // some 30 KB, and more sites than have requests within one service time.
-const maxOwing = 256
+const maxIdleMembers = 256
 
 // unnamed is the caller whose flow groups all callers without a name.
 var unnamed Caller
@@ -84,8 +84,8 @@
 		f.weights[c.Name] = float64(max(c.Weight, 1))
 		sum += f.weights[c.Name]
 	}
-	f.mean = sum / float64(len(callers)+1)
-	for _, w := range f.flows {
+	f.meanWeight = sum / float64(len(callers)+1)
+	for _, w := range f.queues {
 		w.share.Weight = f.Weight(w.caller)
 	}
 }
@@ -103,24 +103,24 @@
 
 // Push adds a request behind those of its caller.
 func (f *Fair) Push(i Item) {
-	w := f.flow(i.Caller)
+	w := f.queue(i.Caller)
 	w.items = append(w.items, i)
 	f.size++
 }
 
 // Charge accounts for a request that starts without waiting.
 func (f *Fair) Charge(c Caller, cost float64) {
-	top := f.top(c)
+	top := f.topLevel(c)
 	f.clock.Charge(&top.share, cost)
 	if c.Name == "" {
 		top.clock.Charge(&top.member(c).share, cost)
 	}
-	f.forget()
+	f.prune()
 }
 
 // Pop takes out the next request and accounts for it.
 func (f *Fair) Pop() (next Item, ok bool) {
-	top := first(&f.clock, f.flows)
+	top := first(&f.clock, f.queues)
 	if top == nil {
 		return Item{}, false
 	}
@@ -145,7 +145,7 @@
 		removed = w.items[n]
 		w.items = slices.Delete(w.items, n, n+1)
 		f.size--
-		f.forget()
+		f.prune()
 		return removed, true
 	}
 	return Item{}, false
@@ -163,42 +163,42 @@
 	}
 }
 
-// flow returns the backlog of a caller, created if need be.
-func (f *Fair) flow(c Caller) *flow {
-	top := f.top(c)
+// queue returns the backlog of a caller, created if need be.
+func (f *Fair) queue(c Caller) *callerQueue {
+	top := f.topLevel(c)
 	if c.Name != "" {
 		return top
 	}
 	return top.member(c)
 }
 
-// top returns the flow that competes for a caller at the upper level. A name
+// topLevel returns the flow that competes for a caller at the upper level. A name
 // that the document does not have any more counts with the unnamed callers' weight.
-func (f *Fair) top(c Caller) *flow {
+func (f *Fair) topLevel(c Caller) *callerQueue {
 	key := unnamed
 	if c.Name != "" {
 		key = c
 	}
-	return find(&f.flows, key, f.Weight(key))
+	return findOrAdd(&f.queues, key, f.Weight(key))
 }
 
-func (w *flow) member(c Caller) *flow {
-	return find(&w.members, c, 1)
+func (w *callerQueue) member(c Caller) *callerQueue {
+	return findOrAdd(&w.members, c, 1)
 }
 
-func find(flows *[]*flow, c Caller, weight float64) *flow {
-	w := lookup(*flows, c)
+func findOrAdd(queues *[]*callerQueue, c Caller, weight float64) *callerQueue {
+	w := lookup(*queues, c)
 	if w != nil {
 		return w
 	}
-	w = &flow{caller: c, share: Share{Weight: weight}}
-	*flows = append(*flows, w)
+	w = &callerQueue{caller: c, share: Share{Weight: weight}}
+	*queues = append(*queues, w)
 	return w
 }
 
 // all yields every flow that may hold requests.
-func (f *Fair) all(yield func(*flow) bool) {
-	for _, top := range f.flows {
+func (f *Fair) all(yield func(*callerQueue) bool) {
+	for _, top := range f.queues {
 		if !yield(top) {
 			return
 		}
@@ -210,7 +210,7 @@
 	}
 }
 
-func (w *flow) waiting() int {
+func (w *callerQueue) waiting() int {
 	n := len(w.items)
 	for _, m := range w.members {
 		n += len(m.items)
@@ -219,9 +219,9 @@
 }
 
 // first returns the flow with the smallest start; of equals the one listed first.
-func first(c *Clock, flows []*flow) *flow {
-	var best *flow
-	for _, w := range flows {
+func first(c *Clock, queues []*callerQueue) *callerQueue {
+	var best *callerQueue
+	for _, w := range queues {
 		if w.waiting() > 0 && (best == nil || c.Start(&w.share) < c.Start(&best.share)) {
 			best = w
 		}
@@ -229,20 +229,20 @@
 	return best
 }
 
-// forget drops flows that neither wait nor owe: without it memory would grow
+// prune drops flows that neither wait nor owe: without it memory would grow
 // with every network ever seen. Nothing is lost, since such a flow starts at the
 // clock's present anyway. New networks may each owe without the clock moving, so
 // the unnamed that owe are bounded too; past the bound they are forgotten.
-func (f *Fair) forget() {
-	for _, top := range f.flows {
-		top.members = slices.DeleteFunc(top.members, func(m *flow) bool { return m.idle(&top.clock) })
-		if len(top.members) > maxOwing {
-			top.members = slices.DeleteFunc(top.members, func(m *flow) bool { return len(m.items) == 0 })
+func (f *Fair) prune() {
+	for _, top := range f.queues {
+		top.members = slices.DeleteFunc(top.members, func(m *callerQueue) bool { return m.idle(&top.clock) })
+		if len(top.members) > maxIdleMembers {
+			top.members = slices.DeleteFunc(top.members, func(m *callerQueue) bool { return len(m.items) == 0 })
 		}
 	}
-	f.flows = slices.DeleteFunc(f.flows, func(w *flow) bool { return w.idle(&f.clock) && len(w.members) == 0 })
+	f.queues = slices.DeleteFunc(f.queues, func(w *callerQueue) bool { return w.idle(&f.clock) && len(w.members) == 0 })
 }
 
-func (w *flow) idle(c *Clock) bool {
+func (w *callerQueue) idle(c *Clock) bool {
 	return w.waiting() == 0 && w.share.Finish <= c.now
 }
--- a/internal/load/queue/queue_test.go
+++ b/internal/load/queue/queue_test.go
@@ -81,7 +81,7 @@
 	q := New(funds)
 	const limit = 32
 	push := func(c Caller) (n int) {
-		for ; q.Room("claim", c, limit) && n < 2*limit; n++ {
+		for ; q.HasRoom("claim", c, limit) && n < 2*limit; n++ {
 			fill(q, c, 1, 1)
 		}
 		return n
@@ -133,7 +133,7 @@
 				delete(waiting, i.ID)
 			}
 			assert.Equal(t, q.Len(), len(waiting))
-			assert.Assert(t, len(q.flows) <= 4)
+			assert.Assert(t, len(q.queues) <= 4)
 		}
 		assert.Equal(t, len(q.Clear()), len(waiting))
 	})
@@ -149,5 +149,5 @@
 		fill(q, c, 1, 1)
 		q.Pop()
 	}
-	assert.Assert(t, len(q.flows[0].members) <= maxOwing+2)
+	assert.Assert(t, len(q.queues[0].members) <= maxIdleMembers+2)
 }
--- a/internal/load/quick/quick.go
+++ b/internal/load/quick/quick.go
@@ -27,53 +27,53 @@
 )
 
 const (
-	// learnFrom is how many answers of a kind are needed before one is judged.
-	learnFrom = 16
-	// fastest is the part of all answers that take less than the time that is learned.
-	fastest = 0.1
-	// step is how much of what is learned one answer changes.
-	step = 0.05
-	// suspectStep is that for answers that are far too fast: what a failing server does isn't learned within seconds, and a
+	// minSamples is how many answers of a kind are needed before one is judged.
+	minSamples = 16
+	// learnedQuantile is the part of all answers that take less than the time that is learned.
+	learnedQuantile = 0.1
+	// learnRate is how much of what is learned one answer changes.
+	learnRate = 0.05
+	// tooFastLearnRate is that for answers that are far too fast: what a failing server does isn't learned within seconds, and a
 	// service whose requests turn short is after some hundreds of answers.
-	suspectStep = step / 10
-	// part of what is learned under which an answer is far too fast.
-	part = 1.0 / 3
-	// keep is the weight of the answers before the last one, and keepOpen that of those before a good one of a server that fails: it
+	tooFastLearnRate = learnRate / 10
+	// tooFastRatio of what is learned under which an answer is far too fast.
+	tooFastRatio = 1.0 / 3
+	// decay is the weight of the answers before the last one, and keepOpen that of those before a good one of a server that fails: it
 	// gets few flows, and each one tells more.
-	keep     = 0.9
-	keepOpen = 0.8
-	// tripAt and closeAt are the weights of far too fast answers that open and close the breaker: three in a row open it, and so do two of
+	decay     = 0.9
+	decayOpen = 0.8
+	// openWeight and closeAt are the weights of far too fast answers that open and close the breaker: three in a row open it, and so do two of
 	// five before long. They weigh no more than that, so that five good answers in a row close it.
-	tripAt  = 2.5
-	closeAt = 1.0
-	// tryEvery is how often a server that fails gets a flow.
-	tryEvery = 400 * time.Millisecond
-	// mostKinds bounds the memory.
-	mostKinds = 256
+	openWeight  = 2.5
+	closeWeight = 1.0
+	// probeInterval is how often a server that fails gets a flow.
+	probeInterval = 400 * time.Millisecond
+	// maxKinds bounds the memory.
+	maxKinds = 256
 )
 
-// Watch is one server's. The zero value is of no use.
-type Watch struct {
-	kinds  map[netip.AddrPort]*kind
-	weight float64 // of answers that were far too fast
-	open   bool
-	tried  time.Time
+// Breaker is one server's. The zero value is of no use.
+type Breaker struct {
+	kinds     map[netip.AddrPort]*kind
+	weight    float64 // of answers that were far too fast
+	open      bool
+	lastProbe time.Time
 }
 
 // kind is what is learned of one kind of request.
 type kind struct {
-	answers int
-	low     time.Duration // a tenth of the answers take less
+	answers  int
+	quantile time.Duration // a tenth of the answers take less
 }
 
 // New returns a watch that has seen no answer.
-func New() *Watch { return &Watch{kinds: map[netip.AddrPort]*kind{}} }
+func New() *Breaker { return &Breaker{kinds: map[netip.AddrPort]*kind{}} }
 
-// Answered notes how long an answer took on a flow to an address. It says whether that has opened or closed the breaker.
-func (w *Watch) Answered(now time.Time, called netip.AddrPort, took time.Duration) (turned bool) {
+// RecordAnswer notes how long an answer took on a flow to an address. It says whether that has opened or closed the breaker.
+func (w *Breaker) RecordAnswer(now time.Time, called netip.AddrPort, took time.Duration) (changed bool) {
 	k := w.kinds[called]
 	if k == nil {
-		if len(w.kinds) >= mostKinds {
+		if len(w.kinds) >= maxKinds {
 			return false
 		}
 		k = &kind{}
@@ -81,18 +81,18 @@
 	}
 	switch {
 	case k.tooFast(took):
-		w.weight = min(w.weight*keep+1, tripAt)
+		w.weight = min(w.weight*decay+1, openWeight)
 	case w.open:
-		w.weight *= keepOpen
+		w.weight *= decayOpen
 	default:
-		w.weight *= keep
+		w.weight *= decay
 	}
 	k.learn(took)
 	switch {
-	case !w.open && w.weight >= tripAt:
-		w.open, w.tried = true, now
+	case !w.open && w.weight >= openWeight:
+		w.open, w.lastProbe = true, now
 		return true
-	case w.open && w.weight <= closeAt:
+	case w.open && w.weight <= closeWeight:
 		w.open = false
 		return true
 	default:
@@ -101,40 +101,40 @@
 }
 
 // Open says whether the server fails.
-func (w *Watch) Open() bool { return w.open }
+func (w *Breaker) Open() bool { return w.open }
 
 // Allows says whether the server may get a new flow.
-func (w *Watch) Allows(now time.Time) bool {
+func (w *Breaker) Allows(now time.Time) bool {
 	if !w.open {
 		return true
 	}
-	if now.Sub(w.tried) < tryEvery {
+	if now.Sub(w.lastProbe) < probeInterval {
 		return false
 	}
-	w.tried = now
+	w.lastProbe = now
 	return true
 }
 
 func (k *kind) tooFast(took time.Duration) bool {
-	return k.answers >= learnFrom && float64(took) < part*float64(k.low)
+	return k.answers >= minSamples && float64(took) < tooFastRatio*float64(k.quantile)
 }
 
 // learn moves what is known towards the quantile.
 func (k *kind) learn(took time.Duration) {
 	k.answers++
-	if k.answers <= learnFrom {
-		if k.answers == 1 || took < k.low {
-			k.low = took
+	if k.answers <= minSamples {
+		if k.answers == 1 || took < k.quantile {
+			k.quantile = took
 		}
 		return
 	}
-	by := step
+	rate := learnRate
 	if k.tooFast(took) {
-		by = suspectStep
+		rate = tooFastLearnRate
 	}
-	change := by * fastest
-	if took < k.low {
-		change = -by * (1 - fastest)
+	change := rate * learnedQuantile
+	if took < k.quantile {
+		change = -rate * (1 - learnedQuantile)
 	}
-	k.low += time.Duration(change * float64(k.low))
+	k.quantile += time.Duration(change * float64(k.quantile))
 }
--- a/internal/load/share/share.go
+++ b/internal/load/share/share.go
@@ -25,22 +25,22 @@
 	"mangowinch/internal/flow/msgs"
 )
 
-// mostVisits is how many servers an opening packet is at. With a quarter of the servers idle,
+// maxVisits is how many servers an opening packet is at. With a quarter of the servers idle,
 // four visits find one in two of three cases; each costs half a millisecond.
-const mostVisits = 4
+const maxVisits = 4
 
-// nearVisits is how many of them are in the own failure domain at most: when it is overloaded as a whole,
+// maxLocalVisits is how many of them are in the own failure domain at most: when it is overloaded as a whole,
 // because its callers are more than others', the rest finds a server elsewhere.
-const nearVisits = 2
+const maxLocalVisits = 2
 
-// full is the work, in hundredths of slots, from which a server has no free slot.
-const full = 100
+// fullWork is the work, in hundredths of slots, from which a server has no free slot.
+const fullWork = 100
 
 // Server is a server as an agent knows it.
 type Server struct {
-	Agent netip.Addr
-	Work  uint16 // hundredths of its slots; only of the own server
-	Near  bool   // in the same failure domain
+	Agent      netip.Addr
+	Work       uint16 // hundredths of its slots; only of the own server
+	SameDomain bool   // in the same failure domain
 }
 
 // Choice is who is to have the opening packet. If it is not the agent itself, it goes
@@ -53,12 +53,12 @@
 
 // Next decides about an opening packet that has been at the visited agents.
 func Next(own Server, visited []msgs.Visit, final bool, others []Server, random func(int) int) Choice {
-	if final || own.Work < full {
+	if final || own.Work < fullWork {
 		return Choice{Agent: own.Agent}
 	}
 	visited = append(visited, msgs.Visit{Agent: own.Agent, Work: own.Work})
-	if len(visited) < mostVisits {
-		if agent, ok := another(visited, others, len(visited) < nearVisits, random); ok {
+	if len(visited) < maxVisits {
+		if agent, ok := pickUnvisited(visited, others, len(visited) < maxLocalVisits, random); ok {
 			return Choice{Agent: agent, Visited: visited}
 		}
 	}
@@ -71,12 +71,12 @@
 	return Choice{Agent: best.Agent, Visited: visited, Final: true}
 }
 
-// another picks an agent that was not visited at random, if there is one a near one, or else a far one.
-func another(visited []msgs.Visit, others []Server, near bool, random func(int) int) (agent netip.Addr, ok bool) {
+// pickUnvisited picks an agent that was not visited at random, if there is one a near one, or else a far one.
+func pickUnvisited(visited []msgs.Visit, others []Server, sameDomain bool, random func(int) int) (agent netip.Addr, ok bool) {
 	found, count := false, 0
 	for _, s := range others {
-		wanted := s.Near == near
-		if been(visited, s.Agent) || found && !wanted {
+		wanted := s.SameDomain == sameDomain
+		if wasVisited(visited, s.Agent) || found && !wanted {
 			continue
 		}
 		if wanted && !found {
@@ -90,7 +90,7 @@
 	return agent, ok
 }
 
-func been(visited []msgs.Visit, agent netip.Addr) bool {
+func wasVisited(visited []msgs.Visit, agent netip.Addr) bool {
 	for _, v := range visited {
 		if v.Agent == agent {
 			return true
--- a/internal/load/shift/shift.go
+++ b/internal/load/shift/shift.go
@@ -39,31 +39,31 @@
 
 // Rules are the parameters of the controller.
 type Rules struct {
-	Every  time.Duration // between steps
-	Part   float64       // part of the way to the target in one step; 1 is undamped
-	Dead   float64       // relative difference from the mean load that is let be
-	Floor  float64       // least weight, as a share of the document's
-	Most   float64       // greatest weight, in document weights
-	Expire time.Duration // age at which a report no longer counts
+	Interval       time.Duration // between steps
+	Gain           float64       // part of the way to the target in one step; 1 is undamped
+	DeadZone       float64       // relative difference from the mean load that is let be
+	Floor          float64       // least weight, as a share of the document's
+	Ceiling        float64       // greatest weight, in document weights
+	ReportLifetime time.Duration // age at which a report no longer counts
 }
 
 // Default are the parameters in use.
 var Default = Rules{
-	Every:  time.Second,
-	Part:   0.05,
-	Dead:   0.1,
-	Floor:  0.1,
-	Most:   2,
-	Expire: 10 * time.Second,
+	Interval:       time.Second,
+	Gain:           0.05,
+	DeadZone:       0.1,
+	Floor:          0.1,
+	Ceiling:        2,
+	ReportLifetime: 10 * time.Second,
 }
 
-// Plain follows each report at once; it is the rule that Default is measured against.
-var Plain = Rules{
-	Every:  time.Second,
-	Part:   1,
-	Floor:  0.1,
-	Most:   2,
-	Expire: 10 * time.Second,
+// Undamped follows each report at once; it is the rule that Default is measured against.
+var Undamped = Rules{
+	Interval:       time.Second,
+	Gain:           1,
+	Floor:          0.1,
+	Ceiling:        2,
+	ReportLifetime: 10 * time.Second,
 }
 
 // Server is what the document says of one server.
@@ -94,9 +94,9 @@
 
 type state struct {
 	Server
-	factor float64 // of the document's weight
-	load   Load
-	heard  time.Time
+	factor     float64 // of the document's weight
+	load       Load
+	reportedAt time.Time
 }
 
 // New returns weights without servers.
@@ -137,14 +137,14 @@
 	if s.load.Leaving && !l.Leaving {
 		s.factor = w.rules.Floor
 	}
-	s.load, s.heard = l, now
+	s.load, s.reportedAt = l, now
 }
 
 // Step moves the weights; call it every Rules.Every.
 func (w *Weights) Step(now time.Time) {
 	mean, n := 0.0, 0
 	for _, s := range w.states {
-		if s.counts(now, w.rules) {
+		if s.hasLoad(now, w.rules) {
 			mean += s.load.Demand
 			n++
 		}
@@ -152,23 +152,23 @@
 	mean /= float64(max(n, 1))
 	for _, s := range w.states {
 		target := 1.0
-		if s.counts(now, w.rules) && mean > 0 {
+		if s.hasLoad(now, w.rules) && mean > 0 {
 			target = w.target(s, mean)
 		}
-		s.factor += w.rules.Part * (target - s.factor)
+		s.factor += w.rules.Gain * (target - s.factor)
 	}
 }
 
 // target is the factor at which a server would have the mean load.
 func (w *Weights) target(s *state, mean float64) float64 {
-	if off := s.load.Demand/mean - 1; off >= -w.rules.Dead && off <= w.rules.Dead {
+	if deviation := s.load.Demand/mean - 1; deviation >= -w.rules.DeadZone && deviation <= w.rules.DeadZone {
 		return s.factor
 	}
-	even := s.factor * w.rules.Most
+	balanced := s.factor * w.rules.Ceiling
 	if s.load.Demand > 0 {
-		even = s.factor * mean / s.load.Demand
+		balanced = s.factor * mean / s.load.Demand
 	}
-	return min(max(even, w.rules.Floor), w.rules.Most)
+	return min(max(balanced, w.rules.Floor), w.rules.Ceiling)
 }
 
 // Weights returns the weights in force, ordered by server.
@@ -186,9 +186,9 @@
 
 func (s *state) leaving() bool { return s.Leaving || s.load.Leaving }
 
-// counts reports whether the server's load is known and belongs to the mean.
-func (s *state) counts(now time.Time, r Rules) bool {
-	return !s.leaving() && !s.heard.IsZero() && now.Sub(s.heard) < r.Expire
+// hasLoad reports whether the server's load is known and belongs to the mean.
+func (s *state) hasLoad(now time.Time, r Rules) bool {
+	return !s.leaving() && !s.reportedAt.IsZero() && now.Sub(s.reportedAt) < r.ReportLifetime
 }
 
 func (w *Weights) state(id uint32) *state {
--- a/internal/load/shift/shift_test.go
+++ b/internal/load/shift/shift_test.go
@@ -9,7 +9,7 @@
 
 var now = time.Unix(1_000_000, 0)
 
-func three(r Rules) *Weights {
+func newTestWeights(r Rules) *Weights {
 	w := New(r)
 	w.SetServers([]Server{{ID: 1, Weight: 1}, {ID: 2, Weight: 1}, {ID: 3, Weight: 2}})
 	return w
@@ -29,13 +29,13 @@
 }
 
 func TestDocumentWeightsWithoutReports(t *testing.T) {
-	w := three(Default)
+	w := newTestWeights(Default)
 	w.Step(now)
 	assert.DeepEqual(t, shares(w), []float64{1, 1, 2})
 }
 
 func TestNoiseWithinDeadZoneMovesNothing(t *testing.T) {
-	w := three(Default)
+	w := newTestWeights(Default)
 	report(w, now, 0.66, 0.7, 0.74)
 	w.Step(now)
 	assert.DeepEqual(t, shares(w), []float64{1, 1, 2})
@@ -44,15 +44,15 @@
 // A server's flows ask for twice as much as others'. It gets fewer new ones, in steps, down to
 // the floor at worst, however long the reports say so.
 func TestHeavyServerGetsLessWithinBounds(t *testing.T) {
-	w := three(Default)
+	w := newTestWeights(Default)
 	last := 1.0
 	for n := range 200 {
 		at := now.Add(time.Duration(n) * time.Second)
 		report(w, at, 2, 0.5, 0.5)
 		w.Step(at)
 		got := shares(w)
-		assert.Assert(t, got[0] <= last && last-got[0] <= Default.Part, got)
-		assert.Assert(t, got[1] <= Default.Most)
+		assert.Assert(t, got[0] <= last && last-got[0] <= Default.Gain, got)
+		assert.Assert(t, got[1] <= Default.Ceiling)
 		last = got[0]
 	}
 	assert.Assert(t, last < 0.11 && last >= Default.Floor, last)
@@ -61,7 +61,7 @@
 // A server leaves while weights move slowly. It gets no new flow from the very next
 // one on, and starts anew from the floor when it comes back.
 func TestLeavingCountsAtOnce(t *testing.T) {
-	w := three(Default)
+	w := newTestWeights(Default)
 	w.Report(now, 2, Load{Demand: 0.7, Leaving: true})
 	assert.DeepEqual(t, shares(w), []float64{1, 0, 2})
 	w.Report(now, 2, Load{Demand: 0.7})
@@ -72,7 +72,7 @@
 
 // An agent falls silent. Its last report, that it is overloaded, does not keep its share down for ever.
 func TestOldReportIsForgotten(t *testing.T) {
-	w := three(Default)
+	w := newTestWeights(Default)
 	report(w, now, 2, 0.5, 0.5)
 	for n := range 300 {
 		w.Step(now.Add(time.Duration(n) * time.Second))
@@ -81,7 +81,7 @@
 }
 
 func TestServerThatJoinsStartsLow(t *testing.T) {
-	w := three(Default)
+	w := newTestWeights(Default)
 	w.SetServers([]Server{{ID: 1, Weight: 1}, {ID: 4, Weight: 1}})
 	assert.DeepEqual(t, shares(w), []float64{1, Default.Floor})
 }
--- a/internal/load/steer/steer.go
+++ b/internal/load/steer/steer.go
@@ -40,57 +40,57 @@
 	Slots    int
 	Draining bool
 	Cold     bool // started a moment ago and slow
-	Lost     bool // its agent is taken for lost
+	Failed   bool // its agent is taken for lost
 }
 
 const (
-	// flowWorkFirst is the work in slots that an open flow stands for until reports tell: that of a flow which
+	// initialFlowWork is the work in slots that an open flow stands for until reports tell: that of a flow which
 	// rests nearly all the time.
-	flowWorkFirst = 0.013
-	// flowWorkMost bounds it: a flow with three requests of 30 ms a second.
-	flowWorkMost = 0.09
-	// flowWorkOver is how many reports it is learned over, some seconds' worth.
-	flowWorkOver = 256
-	// distance is the work in slots that another failure domain costs. Bytes between domains are dear, and an agent
+	initialFlowWork = 0.013
+	// maxFlowWork bounds it: a flow with three requests of 30 ms a second.
+	maxFlowWork = 0.09
+	// flowWorkWindow is how many reports it is learned over, some seconds' worth.
+	flowWorkWindow = 256
+	// crossDomainWork is the work in slots that another failure domain costs. Bytes between domains are dear, and an agent
 	// whose server is busy passes a flow on by itself.
-	distance = 8
-	// coldWork multiplies the work of a server that has just started: it takes 1.6 times as long.
-	coldWork = 1.6
-	// noise tells equal servers apart so that entries with the same report differ.
-	noise = 0.1
-	// reportLife is how fast a report's requests under way lose their weight: they last some 40 ms,
+	crossDomainWork = 8
+	// coldFactor multiplies the work of a server that has just started: it takes 1.6 times as long.
+	coldFactor = 1.6
+	// jitter tells equal servers apart so that entries with the same report differ.
+	jitter = 0.1
+	// reportDecay is how fast a report's requests under way lose their weight: they last some 40 ms,
 	// and what is under way later is expected to be the average.
-	reportLife = 250 * time.Millisecond
-	// silentFor is how long a server that didn't answer an opening packet comes last. A copy comes
+	reportDecay = 250 * time.Millisecond
+	// unansweredPenalty is how long a server that didn't answer an opening packet comes last. A copy comes
 	// after 200 ms, so a hung server costs one flow in this time at each entry.
-	silentFor = 3 * time.Second
-	// refusedFor is how long a server that refused an opening packet comes last.
-	refusedFor = time.Second
+	unansweredPenalty = 3 * time.Second
+	// refusalPenalty is how long a server that refused an opening packet comes last.
+	refusalPenalty = time.Second
 )
 
 // state is what is known of an agent's server.
 type state struct {
-	load    msgs.Load
-	average float64 // of requests under way
-	at      time.Time
-	placed  float64 // flows placed since the report
-	silent  time.Time
-	refused time.Time
+	load            msgs.Load
+	avgBusy         float64 // of requests under way
+	reportedAt      time.Time
+	placed          float64 // flows placed since the report
+	unansweredUntil time.Time
+	refusedUntil    time.Time
 }
 
 // Chooser remembers what agents reported.
 type Chooser struct {
-	domain string
-	off    parts.Off
-	random *rand.Rand
-	states map[netip.Addr]*state
-	busy   float64 // average of reported requests under way
-	flows  float64 // average of reported flows
+	domain   string
+	off      parts.Off
+	random   *rand.Rand
+	states   map[netip.Addr]*state
+	avgBusy  float64 // average of reported requests under way
+	avgFlows float64 // average of reported flows
 }
 
 // New returns a chooser for an entry in a failure domain.
 func New(domain string, random *rand.Rand, off parts.Off) *Chooser {
-	return &Chooser{domain: domain, random: random, off: off, states: map[netip.Addr]*state{}, busy: flowWorkFirst, flows: 1}
+	return &Chooser{domain: domain, random: random, off: off, states: map[netip.Addr]*state{}, avgBusy: initialFlowWork, avgFlows: 1}
 }
 
 // Choose returns the agent for a new flow, none of those tried. ok is false if there
@@ -101,7 +101,7 @@
 		if slices.Contains(tried, k.Agent) {
 			continue
 		}
-		if w := c.work(now, k); !ok || w < least {
+		if w := c.score(now, k); !ok || w < least {
 			agent, least, ok = k.Agent, w, true
 		}
 	}
@@ -110,40 +110,40 @@
 
 // Ranks that put servers last. They are far over any work in slots.
 const (
-	rankRefused  = 1e3
-	rankSilent   = 1e4
-	rankDraining = 1e5
+	penaltyRefused    = 1e3
+	penaltyUnanswered = 1e4
+	penaltyDraining   = 1e5
 )
 
-// work is what a candidate is expected to have under way for each slot, plus its rank.
-func (c *Chooser) work(now time.Time, k Candidate) float64 {
+// score is what a candidate is expected to have under way for each slot, plus its rank.
+func (c *Chooser) score(now time.Time, k Candidate) float64 {
 	slots := float64(max(k.Slots, 1))
-	w := c.random.Float64() * noise
+	w := c.random.Float64() * jitter
 	if s := c.states[k.Agent]; s != nil {
-		fresh := 1 - min(1, float64(now.Sub(s.at))/float64(reportLife))
-		busy := fresh*float64(s.load.Busy) + (1-fresh)*s.average
+		fresh := 1 - min(1, float64(now.Sub(s.reportedAt))/float64(reportDecay))
+		busy := fresh*float64(s.load.Busy) + (1-fresh)*s.avgBusy
 		w += s.placed
 		if !c.off.Reports {
 			w += busy + c.flowWork()*float64(s.load.Flows)
 		}
-		if !c.off.Avoid && now.Before(s.refused) {
-			w += rankRefused * slots
+		if !c.off.Avoid && now.Before(s.refusedUntil) {
+			w += penaltyRefused * slots
 		}
-		if !c.off.Avoid && now.Before(s.silent) {
-			w += rankSilent * slots
+		if !c.off.Avoid && now.Before(s.unansweredUntil) {
+			w += penaltyUnanswered * slots
 		}
 	}
 	if k.Cold && !c.off.Cold {
-		w = (w + 1) * coldWork
+		w = (w + 1) * coldFactor
 	}
 	if k.Domain != c.domain && !c.off.Distance {
-		w += distance
+		w += crossDomainWork
 	}
-	if k.Lost {
-		w += rankSilent * slots
+	if k.Failed {
+		w += penaltyUnanswered * slots
 	}
 	if k.Draining {
-		w += rankDraining * slots
+		w += penaltyDraining * slots
 	}
 	return w / slots
 }
@@ -160,39 +160,41 @@
 // Placed counts a flow that was sent to an agent.
 func (c *Chooser) Placed(agent netip.Addr) { c.state(agent).placed++ }
 
-// averageOver is how many reports the average of requests under way goes over.
-const averageOver = 8
+// busyWindow is how many reports the average of requests under way goes over.
+const busyWindow = 8
 
 // Report takes in how busy an agent's server is.
 func (c *Chooser) Report(now time.Time, agent netip.Addr, l msgs.Load) {
 	s := c.state(agent)
-	s.load, s.at, s.placed = l, now, 0
-	s.average += (float64(l.Busy) - s.average) / averageOver
-	c.busy += (float64(l.Busy) - c.busy) / flowWorkOver
-	c.flows += (float64(l.Flows) - c.flows) / flowWorkOver
+	s.load, s.reportedAt, s.placed = l, now, 0
+	s.avgBusy += (float64(l.Busy) - s.avgBusy) / busyWindow
+	c.avgBusy += (float64(l.Busy) - c.avgBusy) / flowWorkWindow
+	c.avgFlows += (float64(l.Flows) - c.avgFlows) / flowWorkWindow
 }
 
 // flowWork is the work in slots that an open flow stands for besides the requests under way, as
 // all reports show it. Too high a figure makes flows that rest look like work: new flows then went to far servers
 // that had just been started, for as long as those had fewer flows than the near ones.
-func (c *Chooser) flowWork() float64 { return min(flowWorkMost, c.busy/c.flows) }
+func (c *Chooser) flowWork() float64 { return min(maxFlowWork, c.avgBusy/c.avgFlows) }
 
 // Accepted says that an agent's server took a flow.
 func (c *Chooser) Accepted(agent netip.Addr) {
 	s := c.state(agent)
-	s.silent, s.refused = time.Time{}, time.Time{}
+	s.unansweredUntil, s.refusedUntil = time.Time{}, time.Time{}
 }
 
-// Silent says that an agent's server didn't answer an opening packet in time.
-func (c *Chooser) Silent(now time.Time, agent netip.Addr) { c.state(agent).silent = now.Add(silentFor) }
+// Unanswered says that an agent's server didn't answer an opening packet in time.
+func (c *Chooser) Unanswered(now time.Time, agent netip.Addr) {
+	c.state(agent).unansweredUntil = now.Add(unansweredPenalty)
+}
 
 // Refused says that an agent handed an opening packet back.
 func (c *Chooser) Refused(now time.Time, agent netip.Addr) {
-	c.state(agent).refused = now.Add(refusedFor)
+	c.state(agent).refusedUntil = now.Add(refusalPenalty)
 }
 
-// Keep forgets all agents but those listed.
-func (c *Chooser) Keep(agents []netip.Addr) {
+// Retain forgets all agents but those listed.
+func (c *Chooser) Retain(agents []netip.Addr) {
 	for a := range c.states {
 		if !slices.Contains(agents, a) {
 			delete(c.states, a)
--- a/internal/load/steer/steer_test.go
+++ b/internal/load/steer/steer_test.go
@@ -51,10 +51,10 @@
 	c := New("zg-a", rand.New(rand.NewPCG(1, 2)), parts.Off{})
 	list := candidates(2)
 	c.Report(now, agent(1), msgs.Load{Busy: 4, Flows: 20})
-	c.Silent(now, agent(0))
+	c.Unanswered(now, agent(0))
 	assert.Equal(t, choose(t, c, now, list), agent(1))
-	assert.Equal(t, choose(t, c, now.Add(silentFor), list), agent(0))
-	c.Silent(now, agent(0))
+	assert.Equal(t, choose(t, c, now.Add(unansweredPenalty), list), agent(0))
+	c.Unanswered(now, agent(0))
 	c.Accepted(agent(0))
 	assert.Equal(t, choose(t, c, now, list), agent(0))
 }
@@ -64,7 +64,7 @@
 	c := New("zg-a", rand.New(rand.NewPCG(1, 2)), parts.Off{})
 	list := candidates(3)
 	c.Refused(now, agent(0))
-	c.Silent(now, agent(1))
+	c.Unanswered(now, agent(1))
 	list[2].Draining = true
 	assert.Equal(t, choose(t, c, now, list), agent(0))
 	assert.Equal(t, choose(t, c, now, list[1:]), agent(1))
@@ -79,9 +79,9 @@
 	list := candidates(2)
 	list[1].Domain = "zg-b"
 	assert.Equal(t, choose(t, c, now, list), agent(1))
-	c.Report(now, agent(1), msgs.Load{Busy: distance - 1})
+	c.Report(now, agent(1), msgs.Load{Busy: crossDomainWork - 1})
 	assert.Equal(t, choose(t, c, now, list), agent(1))
-	c.Report(now, agent(1), msgs.Load{Busy: distance + 1})
+	c.Report(now, agent(1), msgs.Load{Busy: crossDomainWork + 1})
 	assert.Equal(t, choose(t, c, now, list), agent(0))
 }
 
@@ -92,7 +92,7 @@
 	c := New("zg-b", rand.New(rand.NewPCG(1, 2)), parts.Off{})
 	list := candidates(2)
 	list[1].Domain = "zg-b"
-	for range 2 * flowWorkOver {
+	for range 2 * flowWorkWindow {
 		c.Report(now, agent(0), msgs.Load{Busy: 0, Flows: 0})
 		c.Report(now, agent(1), msgs.Load{Busy: 2, Flows: 130})
 	}
@@ -104,7 +104,7 @@
 func TestFlowsThatAskOftenCount(t *testing.T) {
 	c := New("zg-a", rand.New(rand.NewPCG(1, 2)), parts.Off{})
 	list := candidates(3)
-	for range 2 * flowWorkOver {
+	for range 2 * flowWorkWindow {
 		c.Report(now, agent(2), msgs.Load{Busy: 4, Flows: 50})
 	}
 	c.Report(now, agent(0), msgs.Load{Flows: 60})
@@ -128,7 +128,7 @@
 	c.Placed(agent(0))
 	assert.Equal(t, choose(t, c, now, list), agent(1))
 	c = without(parts.Off{Avoid: true})
-	c.Silent(now, agent(1))
+	c.Unanswered(now, agent(1))
 	c.Placed(agent(0))
 	assert.Equal(t, choose(t, c, now, list), agent(1))
 	c = without(parts.Off{Cold: true})
--- a/internal/load/trip/trip.go
+++ b/internal/load/trip/trip.go
@@ -26,41 +26,41 @@
 	// failuresToTrip in a row are no accident: a server that breaks off one in ten requests hardly ever has as many, one
 	// that breaks off half of them soon has.
 	failuresToTrip = 5
-	// tryEvery is how often a tripped server gets a flow, to see whether it is back: a caller that is unlucky comes again
+	// probeInterval is how often a tripped server gets a flow, to see whether it is back: a caller that is unlucky comes again
 	// and is placed elsewhere.
-	tryEvery = 400 * time.Millisecond
+	probeInterval = 400 * time.Millisecond
 )
 
 // Breaker is one server's. Its zero value is closed: nothing has failed.
 type Breaker struct {
-	failed int
-	tried  time.Time
+	failures  int
+	lastProbe time.Time
 }
 
 // Open says whether the server has tripped the breaker.
-func (b *Breaker) Open() bool { return b.failed >= failuresToTrip }
+func (b *Breaker) Open() bool { return b.failures >= failuresToTrip }
 
-// Failed notes a request that the server broke off. It says whether that one has opened the breaker.
-func (b *Breaker) Failed(now time.Time) (opened bool) {
-	b.failed++
-	if b.failed != failuresToTrip {
+// RecordFailure notes a request that the server broke off. It says whether that one has opened the breaker.
+func (b *Breaker) RecordFailure(now time.Time) (opened bool) {
+	b.failures++
+	if b.failures != failuresToTrip {
 		return false
 	}
-	b.tried = now
+	b.lastProbe = now
 	return true
 }
 
-// Answered notes an answer.
-func (b *Breaker) Answered() { b.failed = 0 }
+// RecordAnswer notes an answer.
+func (b *Breaker) RecordAnswer() { b.failures = 0 }
 
 // Allows says whether the server may get a new flow.
 func (b *Breaker) Allows(now time.Time) bool {
 	if !b.Open() {
 		return true
 	}
-	if now.Sub(b.tried) < tryEvery {
+	if now.Sub(b.lastProbe) < probeInterval {
 		return false
 	}
-	b.tried = now
+	b.lastProbe = now
 	return true
 }
--- a/internal/load/warm/warm.go
+++ b/internal/load/warm/warm.go
@@ -26,42 +26,42 @@
 
 // Limiter counts the new flows of one server. Its zero value is that of a server that is warm.
 type Limiter struct {
-	until time.Time
-	taken []time.Time // within the window, oldest first; kept while the server is cold
+	coldUntil time.Time
+	recent    []time.Time // within the window, oldest first; kept while the server is cold
 }
 
-// ColdFor says how much longer the server is cold; it replaces what was said before.
-func (l *Limiter) ColdFor(now time.Time, left time.Duration) { l.until = now.Add(left) }
+// SetCold says how much longer the server is cold; it replaces what was said before.
+func (l *Limiter) SetCold(now time.Time, left time.Duration) { l.coldUntil = now.Add(left) }
 
-// AtLeast says that the server is cold for that long or longer.
-func (l *Limiter) AtLeast(now time.Time, left time.Duration) {
-	if until := now.Add(left); until.After(l.until) {
-		l.until = until
+// ExtendCold says that the server is cold for that long or longer.
+func (l *Limiter) ExtendCold(now time.Time, left time.Duration) {
+	if until := now.Add(left); until.After(l.coldUntil) {
+		l.coldUntil = until
 	}
 }
 
 // Cold says whether the server is cold.
-func (l *Limiter) Cold(now time.Time) bool { return now.Before(l.until) }
+func (l *Limiter) Cold(now time.Time) bool { return now.Before(l.coldUntil) }
 
 // Allows says whether the server may get a new flow. A rate of 0 is none: nothing is limited.
 func (l *Limiter) Allows(now time.Time, perSecond float64) bool {
 	if perSecond <= 0 || !l.Cold(now) {
 		return true
 	}
-	l.forget(now)
-	return len(l.taken) < max(1, int(perSecond))
+	l.prune(now)
+	return len(l.recent) < max(1, int(perSecond))
 }
 
-// Took notes a new flow.
-func (l *Limiter) Took(now time.Time) {
-	l.forget(now)
-	l.taken = append(l.taken, now)
+// Record notes a new flow.
+func (l *Limiter) Record(now time.Time) {
+	l.prune(now)
+	l.recent = append(l.recent, now)
 }
 
-func (l *Limiter) forget(now time.Time) {
-	old := 0
-	for old < len(l.taken) && now.Sub(l.taken[old]) >= window {
-		old++
+func (l *Limiter) prune(now time.Time) {
+	expired := 0
+	for expired < len(l.recent) && now.Sub(l.recent[expired]) >= window {
+		expired++
 	}
-	l.taken = l.taken[old:]
+	l.recent = l.recent[expired:]
 }
