--- a/internal/load/bulk/play_test.go
+++ b/internal/load/bulk/play_test.go
@@ -19,71 +19,71 @@
 	linkRate    = 10e6 / 8 // bytes a second
 	packetBytes = 1232
 	windowSize  = 16
-	baseTrip    = 5 * time.Millisecond
-	firstRepeat = 200 * time.Millisecond
-	lastRepeat  = 1600 * time.Millisecond
-	patience    = 1350 * time.Millisecond
+	baseRTT     = 5 * time.Millisecond
+	initialRTO  = 200 * time.Millisecond
+	maxRTO      = 1600 * time.Millisecond
+	maxWait     = 1350 * time.Millisecond
 	target      = 800 * time.Millisecond
 	deadline    = 4 * time.Second
 	meanBytes   = 80e3
-	mostQueued  = 1500 * time.Millisecond // more is dropped
+	maxQueued   = 1500 * time.Millisecond // more is dropped
 )
 
-var uploads = netip.MustParseAddrPort("198.18.0.1:443")
+var uploadAddr = netip.MustParseAddrPort("198.18.0.1:443")
 
-// play is an entry's link and callers who upload, beside some that send a packet now and then.
-type play struct {
-	gate   *Gate // nil: everything passes
-	rand   *rand.Rand
-	start  time.Time
-	now    time.Time
-	coming events
-	count  int
-	free   time.Time // the link has sent all that waits
-	flows  int
+// simulation is an entry's link and callers who upload, beside some that send a packet now and then.
+type simulation struct {
+	gate    *Gate // nil: everything passes
+	rand    *rand.Rand
+	start   time.Time
+	now     time.Time
+	pending events
+	count   int
+	idleAt  time.Time // the link has sent all that waits
+	uploads int
 
-	done    []time.Duration // how long finished uploads took, from their first packet
-	refused int
-	failed  int
-	short   []time.Duration // how long short packets waited at the link
+	done       []time.Duration // how long finished uploads took, from their first packet
+	refused    int
+	failed     int
+	shortWaits []time.Duration // how long short packets waited at the link
 }
 
 // upload is one caller's.
 type upload struct {
-	flow   segs.Flow
-	began  time.Time
-	acked  []bool
-	next   int // first packet that hasn't been sent
-	left   int // packets not acknowledged
-	flight int
-	over   bool
+	flow     segs.Flow
+	began    time.Time
+	acked    []bool
+	next     int // first packet that hasn't been sent
+	left     int // packets not acknowledged
+	flight   int
+	finished bool
 }
 
-func newPlay(gate *Gate, seed uint64) *play {
+func newSimulation(gate *Gate, seed uint64) *simulation {
 	start := time.Unix(1_700_000_000, 0)
-	return &play{gate: gate, rand: rand.New(rand.NewPCG(seed, 3)), start: start, now: start, free: start}
+	return &simulation{gate: gate, rand: rand.New(rand.NewPCG(seed, 3)), start: start, now: start, idleAt: start}
 }
 
-// link sends a packet; what is to be done when it is through may be nothing.
-func (p *play) link(bytes int, through func()) {
-	if p.free.Before(p.now) {
-		p.free = p.now
+// transmit sends a packet; what is to be done when it is through may be nothing.
+func (p *simulation) transmit(bytes int, delivered func()) {
+	if p.idleAt.Before(p.now) {
+		p.idleAt = p.now
 	}
-	if p.free.Sub(p.now) > mostQueued {
+	if p.idleAt.Sub(p.now) > maxQueued {
 		return
 	}
-	p.free = p.free.Add(time.Duration(float64(bytes) / linkRate * float64(time.Second)))
-	p.at(p.free, through)
+	p.idleAt = p.idleAt.Add(time.Duration(float64(bytes) / linkRate * float64(time.Second)))
+	p.schedule(p.idleAt, delivered)
 }
 
 // arrive begins an upload.
-func (p *play) arrive() {
-	p.flows++
-	f := segs.Flow{Caller: [4]byte{100, 64, byte(p.flows >> 8), byte(p.flows)}, Service: uploads.Addr().As4(), CallerPort: 40000, Port: uploads.Port()}
+func (p *simulation) arrive() {
+	p.uploads++
+	f := segs.Flow{Caller: [4]byte{100, 64, byte(p.uploads >> 8), byte(p.uploads)}, Service: uploadAddr.Addr().As4(), CallerPort: 40000, Port: uploadAddr.Port()}
 	size := meanBytes * math.Exp(0.6*p.rand.NormFloat64()-0.18)
 	packets := int(size/1200) + 1
 	u := &upload{flow: f, began: p.now, acked: make([]bool, packets), left: packets}
-	p.at(u.began.Add(deadline), func() { p.giveUp(u) })
+	p.schedule(u.began.Add(deadline), func() { p.giveUp(u) })
 	if p.gate == nil {
 		p.send(u)
 		return
@@ -92,49 +92,49 @@
 	case Pass:
 		p.send(u)
 	case Refuse:
-		u.over = true
+		u.finished = true
 		p.refused++
 	case Hold:
-		held[f] = u
+		queued[f] = u
 	}
 }
 
-// held are the uploads that wait for their turn.
-var held = map[segs.Flow]*upload{}
+// queued are the uploads that wait for their turn.
+var queued = map[segs.Flow]*upload{}
 
-func (p *play) giveUp(u *upload) {
-	if !u.over {
-		u.over = true
+func (p *simulation) giveUp(u *upload) {
+	if !u.finished {
+		u.finished = true
 		p.failed++
 	}
 }
 
 // send fills the window.
-func (p *play) send(u *upload) {
-	for !u.over && u.next < len(u.acked) && u.flight < windowSize {
+func (p *simulation) send(u *upload) {
+	for !u.finished && u.next < len(u.acked) && u.flight < windowSize {
 		i := u.next
 		u.next++
 		u.flight++
-		p.packet(u, i, firstRepeat)
+		p.sendPacket(u, i, initialRTO)
 	}
 }
 
-// packet sends one packet, and again until it is acknowledged.
-func (p *play) packet(u *upload, i int, repeat time.Duration) {
-	if u.over || u.acked[i] {
+// sendPacket sends one packet, and again until it is acknowledged.
+func (p *simulation) sendPacket(u *upload, i int, rto time.Duration) {
+	if u.finished || u.acked[i] {
 		return
 	}
-	p.link(packetBytes, func() {
+	p.transmit(packetBytes, func() {
 		if p.gate != nil {
 			p.gate.RecordSent(p.now, u.flow, packetBytes)
 		}
-		p.at(p.now.Add(baseTrip), func() { p.ack(u, i) })
+		p.schedule(p.now.Add(baseRTT), func() { p.ack(u, i) })
 	})
-	p.at(p.now.Add(repeat), func() { p.packet(u, i, min(2*repeat, lastRepeat)) })
+	p.schedule(p.now.Add(rto), func() { p.sendPacket(u, i, min(2*rto, maxRTO)) })
 }
 
-func (p *play) ack(u *upload, i int) {
-	if u.over || u.acked[i] {
+func (p *simulation) ack(u *upload, i int) {
+	if u.finished || u.acked[i] {
 		return
 	}
 	u.acked[i] = true
@@ -144,77 +144,77 @@
 		p.send(u)
 		return
 	}
-	u.over = true
+	u.finished = true
 	p.done = append(p.done, p.now.Sub(u.began))
 	if p.gate != nil {
 		p.gate.Close(u.flow)
-		p.turns()
+		p.startQueued()
 	}
 }
 
-// turns begins the uploads whose turn it is.
-func (p *play) turns() {
+// startQueued begins the uploads whose turn it is.
+func (p *simulation) startQueued() {
 	for w, ok := p.gate.NextExpired(p.now); ok; w, ok = p.gate.NextExpired(p.now) {
-		held[w.Flow].over = true
+		queued[w.Flow].finished = true
 		p.refused++
 	}
 	for w, ok := p.gate.Next(p.now); ok; w, ok = p.gate.Next(p.now) {
-		p.send(held[w.Flow])
+		p.send(queued[w.Flow])
 	}
 }
 
 // run plays a load, a part of the link's rate, for some time.
-func (p *play) run(load float64, d time.Duration) {
+func (p *simulation) run(load float64, d time.Duration) {
 	end := p.now.Add(d)
 	for at := p.now; at.Before(end); {
 		at = at.Add(time.Duration(p.rand.ExpFloat64() * meanBytes / (load * linkRate) * float64(time.Second)))
-		p.at(at, p.arrive)
+		p.schedule(at, p.arrive)
 	}
 	for at := p.now; at.Before(end); at = at.Add(20 * time.Millisecond) {
-		p.at(at, func() {
+		p.schedule(at, func() {
 			sent := p.now
-			p.link(200, func() { p.short = append(p.short, p.now.Sub(sent)) })
+			p.transmit(200, func() { p.shortWaits = append(p.shortWaits, p.now.Sub(sent)) })
 		})
 		if p.gate != nil {
-			p.at(at, func() {
+			p.schedule(at, func() {
 				p.gate.Expire(p.now)
-				p.turns()
+				p.startQueued()
 			})
 		}
 	}
-	for len(p.coming) > 0 && !p.coming[0].at.After(end.Add(deadline)) {
-		e := heap.Pop(&p.coming).(event)
+	for len(p.pending) > 0 && !p.pending[0].at.After(end.Add(deadline)) {
+		e := heap.Pop(&p.pending).(event)
 		p.now = e.at
 		e.do()
 	}
 }
 
 // inTime is the part of all uploads that finished within their target.
-func (p *play) inTime() float64 {
+func (p *simulation) inTime() float64 {
 	n := 0
 	for _, d := range p.done {
 		if d <= target {
 			n++
 		}
 	}
-	return float64(n) / float64(p.flows)
+	return float64(n) / float64(p.uploads)
 }
 
-func (p *play) shortP99() time.Duration {
-	slices.Sort(p.short)
-	return p.short[len(p.short)*99/100]
+func (p *simulation) shortP99() time.Duration {
+	slices.Sort(p.shortWaits)
+	return p.shortWaits[len(p.shortWaits)*99/100]
 }
 
 // Guards against a narrow link that a burst of uploads fills, so that they and all others wait for seconds.
 func TestBurstOfUploadsLeavesTheLinkUsable(t *testing.T) {
 	for _, load := range []float64{0.5, 0.9, 1.3} {
 		for seed := range uint64(3) {
-			without := newPlay(nil, seed)
+			without := newSimulation(nil, seed)
 			without.run(load, 20*time.Second)
-			with := newPlay(New(linkRate, patience), seed)
+			with := newSimulation(New(linkRate, maxWait), seed)
 			with.run(load, 20*time.Second)
 			t.Logf("load %.1f: in time %.2f, %.2f; failed %d, %d and %d refused of %d; short packets p99 %v, %v", load, without.inTime(), with.inTime(),
-				without.failed, with.failed, with.refused, with.flows, without.shortP99(), with.shortP99())
+				without.failed, with.failed, with.refused, with.uploads, without.shortP99(), with.shortP99())
 			assert.Assert(t, with.inTime() >= without.inTime())
 			assert.Assert(t, with.failed <= without.failed)
 			assert.Assert(t, with.shortP99() <= 3*maxQueueTime, with.shortP99())
@@ -225,10 +225,10 @@
 	}
 }
 
-// at does something later.
-func (p *play) at(at time.Time, do func()) {
+// schedule does something later.
+func (p *simulation) schedule(at time.Time, do func()) {
 	p.count++
-	heap.Push(&p.coming, event{at: at, number: p.count, do: do})
+	heap.Push(&p.pending, event{at: at, number: p.count, do: do})
 }
 
 type event struct {
--- a/internal/load/detect/detect.go
+++ b/internal/load/detect/detect.go
@@ -79,7 +79,7 @@
 }
 
 // New returns a detector of a party that nothing speaks against.
-func New(b Config) *Detector { return &Detector{config: b, timeout: b.ProbeTimeout} }
+func New(c Config) *Detector { return &Detector{config: c, timeout: c.ProbeTimeout} }
 
 // Failed says whether the party is lost.
 func (d *Detector) Failed() bool { return d.failed }
--- a/internal/load/hold/hold.go
+++ b/internal/load/hold/hold.go
@@ -124,9 +124,9 @@
 	return next
 }
 
-// spareSlots is how many flows the server is given over its slots, so that none is idle while
+// extraFlows is how many flows the server is given over its slots, so that none is idle while
 // the next caller learns that its flow is open, which takes a tenth of a request's time.
-const spareSlots = 1
+const extraFlows = 1
 
 // admissionLimit is how many requests the server may have for a flow to be let in. Requests on flows that are
 // open already never wait here, so in a long overload they would keep every new flow out; a flow of a
@@ -136,7 +136,7 @@
 	if w.Priority < lowest {
 		return urgentPerSlot * slots
 	}
-	return slots + spareSlots
+	return slots + extraFlows
 }
 
 // urgentPerSlot is how many requests for each slot a server may have when a flow of higher priority is
--- a/internal/load/hold/hold_test.go
+++ b/internal/load/hold/hold_test.go
@@ -13,9 +13,9 @@
 var now = time.Unix(1_700_000_000, 0)
 
 const (
-	target     = 150 * time.Millisecond
-	patience   = 1350 * time.Millisecond
-	secondCopy = 600 * time.Millisecond // the age of a flow whose second copy comes
+	target        = 150 * time.Millisecond
+	maxWait       = 1350 * time.Millisecond
+	secondCopyAge = 600 * time.Millisecond // the age of a flow whose second copy comes
 )
 
 func flow(n int) segs.Flow { return segs.Flow{CallerPort: uint16(n)} }
@@ -34,7 +34,7 @@
 // After an outage of a second the callers' first requests are late whatever happens, and new ones come that
 // can be in time. Oldest first, all are late; the new ones first, only those that are late anyway.
 func TestFlowsThatCanBeInTimeGoFirst(t *testing.T) {
-	q := New(patience)
+	q := New(maxWait)
 	for _, w := range []*QueuedFlow{
 		waiting(1, 2, 800*time.Millisecond), waiting(2, 2, 500*time.Millisecond), waiting(3, 2, 50*time.Millisecond),
 		waiting(4, 1, 60*time.Millisecond), waiting(5, 2, 10*time.Millisecond), waiting(6, 1, 700*time.Millisecond),
@@ -46,7 +46,7 @@
 
 // A server has all its slots busy; a flow is let in as soon as one is free.
 func TestServerGetsNoMoreThanItHasSlotsFor(t *testing.T) {
-	q := New(patience)
+	q := New(maxWait)
 	q.Add(now, waiting(1, 2, 0), 10)
 	assert.Assert(t, q.Next(now, 3, 2, 2) == nil)
 	assert.Assert(t, q.Next(now, 2, 2, 2) != nil)
@@ -55,7 +55,7 @@
 // In a long burst requests on open flows, which never wait, keep every slot busy. Feeds, of a higher priority
 // and each on a flow of its own, then were turned away three times as often as lookups.
 func TestUrgentFlowsAreLetInToABusyServer(t *testing.T) {
-	q := New(patience)
+	q := New(maxWait)
 	q.Add(now, waiting(1, 1, 0), 10)
 	assert.Assert(t, q.Next(now, 6, 2, 2) == nil)
 	assert.Assert(t, q.Next(now, 5, 2, 2) != nil)
@@ -64,7 +64,7 @@
 // More wait than can be served. The one that would go last is refused at once, so that its caller
 // doesn't wait in vain, and the newcomer stays if it goes before.
 func TestFullQueueRefusesTheLast(t *testing.T) {
-	q := New(patience)
+	q := New(maxWait)
 	q.Add(now, waiting(1, 2, 900*time.Millisecond), 2)
 	q.Add(now, waiting(2, 2, 400*time.Millisecond), 2)
 	last := q.Add(now, waiting(3, 1, 0), 2)
@@ -74,16 +74,16 @@
 }
 
 func TestNobodyWaitsLongerThanItsCaller(t *testing.T) {
-	q := New(patience)
-	q.Add(now, waiting(1, 2, secondCopy), 10)
-	assert.Assert(t, q.Next(now.Add(patience-secondCopy+time.Millisecond), 0, 2, 2) == nil)
+	q := New(maxWait)
+	q.Add(now, waiting(1, 2, secondCopyAge), 10)
+	assert.Assert(t, q.Next(now.Add(maxWait-secondCopyAge+time.Millisecond), 0, 2, 2) == nil)
 	assert.Equal(t, q.Len(), 0)
 }
 
 // Whatever comes in which order, nothing is lost or doubled, and the bound holds.
 func TestQueueKeepsAll(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		q := New(patience)
+		q := New(maxWait)
 		limit := rapid.IntRange(1, 8).Draw(r, "limit")
 		in := rapid.SliceOfN(rapid.IntRange(0, 1300), 0, 20).Draw(r, "ages")
 		out := 0
--- a/internal/load/quick/quick.go
+++ b/internal/load/quick/quick.go
@@ -70,30 +70,30 @@
 func New() *Breaker { return &Breaker{kinds: map[netip.AddrPort]*kind{}} }
 
 // RecordAnswer notes how long an answer took on a flow to an address. It says whether that has opened or closed the breaker.
-func (w *Breaker) RecordAnswer(now time.Time, called netip.AddrPort, took time.Duration) (changed bool) {
-	k := w.kinds[called]
+func (b *Breaker) RecordAnswer(now time.Time, called netip.AddrPort, took time.Duration) (changed bool) {
+	k := b.kinds[called]
 	if k == nil {
-		if len(w.kinds) >= maxKinds {
+		if len(b.kinds) >= maxKinds {
 			return false
 		}
 		k = &kind{}
-		w.kinds[called] = k
+		b.kinds[called] = k
 	}
 	switch {
 	case k.tooFast(took):
-		w.weight = min(w.weight*decay+1, openWeight)
-	case w.open:
-		w.weight *= decayOpen
+		b.weight = min(b.weight*decay+1, openWeight)
+	case b.open:
+		b.weight *= decayOpen
 	default:
-		w.weight *= decay
+		b.weight *= decay
 	}
 	k.learn(took)
 	switch {
-	case !w.open && w.weight >= openWeight:
-		w.open, w.lastProbe = true, now
+	case !b.open && b.weight >= openWeight:
+		b.open, b.lastProbe = true, now
 		return true
-	case w.open && w.weight <= closeWeight:
-		w.open = false
+	case b.open && b.weight <= closeWeight:
+		b.open = false
 		return true
 	default:
 		return false
@@ -101,17 +101,17 @@
 }
 
 // Open says whether the server fails.
-func (w *Breaker) Open() bool { return w.open }
+func (b *Breaker) Open() bool { return b.open }
 
 // Allows says whether the server may get a new flow.
-func (w *Breaker) Allows(now time.Time) bool {
-	if !w.open {
+func (b *Breaker) Allows(now time.Time) bool {
+	if !b.open {
 		return true
 	}
-	if now.Sub(w.lastProbe) < probeInterval {
+	if now.Sub(b.lastProbe) < probeInterval {
 		return false
 	}
-	w.lastProbe = now
+	b.lastProbe = now
 	return true
 }
 
--- a/internal/load/quick/quick_test.go
+++ b/internal/load/quick/quick_test.go
@@ -11,20 +11,20 @@
 )
 
 var (
-	sheet   = netip.MustParseAddrPort("198.18.0.1:443")
-	archive = netip.MustParseAddrPort("198.18.0.2:443")
+	lookups = netip.MustParseAddrPort("198.18.0.1:443")
+	uploads = netip.MustParseAddrPort("198.18.0.2:443")
 )
 
 // server answers some forty requests a second.
 type server struct {
-	watch *Breaker
-	now   time.Time
-	rand  *rand.Rand
-	turns int // how often the breaker turned
+	breaker     *Breaker
+	now         time.Time
+	rand        *rand.Rand
+	transitions int // how often the breaker turned
 }
 
 func newServer(seed uint64) *server {
-	return &server{watch: New(), now: time.Unix(1_700_000_000, 0), rand: rand.New(rand.NewPCG(seed, 1))}
+	return &server{breaker: New(), now: time.Unix(1_700_000_000, 0), rand: rand.New(rand.NewPCG(seed, 1))}
 }
 
 // good is the time of a good answer around a median.
@@ -35,7 +35,7 @@
 // run lets the server answer for a while, a part of the requests by errors. While the breaker is open it gets few.
 func (s *server) run(d time.Duration, called netip.AddrPort, median time.Duration, failing float64) (failed int) {
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(25 * time.Millisecond) {
-		if !s.watch.Allows(s.now) {
+		if !s.breaker.Allows(s.now) {
 			continue
 		}
 		took := s.good(median)
@@ -43,8 +43,8 @@
 			took = 4 * time.Millisecond
 			failed++
 		}
-		if s.watch.RecordAnswer(s.now, called, took) {
-			s.turns++
+		if s.breaker.RecordAnswer(s.now, called, took) {
+			s.transitions++
 		}
 	}
 	return failed
@@ -55,11 +55,11 @@
 	for _, failing := range []float64{1, 0.7, 0.4} {
 		for seed := range uint64(20) {
 			s := newServer(seed)
-			s.run(10*time.Second, sheet, 47*time.Millisecond, 0)
-			failed := s.run(6*time.Second, sheet, 47*time.Millisecond, failing)
+			s.run(10*time.Second, lookups, 47*time.Millisecond, 0)
+			failed := s.run(6*time.Second, lookups, 47*time.Millisecond, failing)
 			assert.Assert(t, failed <= 40, "%d of 240 at %v, seed %d", failed, failing, seed)
-			s.run(6*time.Second, sheet, 47*time.Millisecond, 0)
-			assert.Assert(t, !s.watch.Open(), "it answers again, seed %d", seed)
+			s.run(6*time.Second, lookups, 47*time.Millisecond, 0)
+			assert.Assert(t, !s.breaker.Open(), "it answers again, seed %d", seed)
 		}
 	}
 }
@@ -68,9 +68,9 @@
 func TestGoodServerIsLeftAlone(t *testing.T) {
 	for seed := range uint64(20) {
 		s := newServer(seed)
-		s.run(time.Minute, sheet, 47*time.Millisecond, 0)
-		s.run(time.Minute, archive, 4*time.Millisecond, 0)
-		assert.Equal(t, s.turns, 0, "seed %d", seed)
+		s.run(time.Minute, lookups, 47*time.Millisecond, 0)
+		s.run(time.Minute, uploads, 4*time.Millisecond, 0)
+		assert.Equal(t, s.transitions, 0, "seed %d", seed)
 	}
 }
 
@@ -78,20 +78,20 @@
 func TestServerIsLeftAloneAfterSlowTimes(t *testing.T) {
 	for seed := range uint64(20) {
 		s := newServer(seed)
-		s.run(20*time.Second, sheet, 47*time.Millisecond, 0)
-		s.run(6*time.Second, sheet, 400*time.Millisecond, 0)
-		s.run(20*time.Second, sheet, 47*time.Millisecond, 0)
-		assert.Equal(t, s.turns, 0, "seed %d", seed)
+		s.run(20*time.Second, lookups, 47*time.Millisecond, 0)
+		s.run(6*time.Second, lookups, 400*time.Millisecond, 0)
+		s.run(20*time.Second, lookups, 47*time.Millisecond, 0)
+		assert.Equal(t, s.transitions, 0, "seed %d", seed)
 	}
 }
 
 // Guards against a service whose requests have turned short and whose servers count as failed for good.
 func TestShorterRequestsAreLearned(t *testing.T) {
 	s := newServer(1)
-	s.run(20*time.Second, sheet, 47*time.Millisecond, 0)
+	s.run(20*time.Second, lookups, 47*time.Millisecond, 0)
 	for range 2000 { // each is given to it, as all others turn flows away too
 		s.now = s.now.Add(25 * time.Millisecond)
-		s.watch.RecordAnswer(s.now, sheet, s.good(5*time.Millisecond))
+		s.breaker.RecordAnswer(s.now, lookups, s.good(5*time.Millisecond))
 	}
-	assert.Assert(t, !s.watch.Open())
+	assert.Assert(t, !s.breaker.Open())
 }
--- a/internal/load/steer/steer.go
+++ b/internal/load/steer/steer.go
@@ -61,21 +61,21 @@
 	// reportDecay is how fast a report's requests under way lose their weight: they last some 40 ms,
 	// and what is under way later is expected to be the average.
 	reportDecay = 250 * time.Millisecond
-	// unansweredPenalty is how long a server that didn't answer an opening packet comes last. A copy comes
+	// noReplyFor is how long a server that didn't answer an opening packet comes last. A copy comes
 	// after 200 ms, so a hung server costs one flow in this time at each entry.
-	unansweredPenalty = 3 * time.Second
-	// refusalPenalty is how long a server that refused an opening packet comes last.
-	refusalPenalty = time.Second
+	noReplyFor = 3 * time.Second
+	// refusedFor is how long a server that refused an opening packet comes last.
+	refusedFor = time.Second
 )
 
 // state is what is known of an agent's server.
 type state struct {
-	load            msgs.Load
-	avgBusy         float64 // of requests under way
-	reportedAt      time.Time
-	placed          float64 // flows placed since the report
-	unansweredUntil time.Time
-	refusedUntil    time.Time
+	load         msgs.Load
+	avgBusy      float64 // of requests under way
+	reportedAt   time.Time
+	placed       float64 // flows placed since the report
+	noReplyUntil time.Time
+	refusedUntil time.Time
 }
 
 // Chooser remembers what agents reported.
@@ -110,9 +110,9 @@
 
 // Ranks that put servers last. They are far over any work in slots.
 const (
-	penaltyRefused    = 1e3
-	penaltyUnanswered = 1e4
-	penaltyDraining   = 1e5
+	penaltyRefused  = 1e3
+	penaltyNoReply  = 1e4
+	penaltyDraining = 1e5
 )
 
 // score is what a candidate is expected to have under way for each slot, plus its rank.
@@ -129,8 +129,8 @@
 		if !c.off.Avoid && now.Before(s.refusedUntil) {
 			w += penaltyRefused * slots
 		}
-		if !c.off.Avoid && now.Before(s.unansweredUntil) {
-			w += penaltyUnanswered * slots
+		if !c.off.Avoid && now.Before(s.noReplyUntil) {
+			w += penaltyNoReply * slots
 		}
 	}
 	if k.Cold && !c.off.Cold {
@@ -140,7 +140,7 @@
 		w += crossDomainWork
 	}
 	if k.Failed {
-		w += penaltyUnanswered * slots
+		w += penaltyNoReply * slots
 	}
 	if k.Draining {
 		w += penaltyDraining * slots
@@ -180,17 +180,15 @@
 // Accepted says that an agent's server took a flow.
 func (c *Chooser) Accepted(agent netip.Addr) {
 	s := c.state(agent)
-	s.unansweredUntil, s.refusedUntil = time.Time{}, time.Time{}
+	s.noReplyUntil, s.refusedUntil = time.Time{}, time.Time{}
 }
 
-// Unanswered says that an agent's server didn't answer an opening packet in time.
-func (c *Chooser) Unanswered(now time.Time, agent netip.Addr) {
-	c.state(agent).unansweredUntil = now.Add(unansweredPenalty)
-}
+// NoReply says that an agent's server didn't answer an opening packet in time.
+func (c *Chooser) NoReply(now time.Time, a netip.Addr) { c.state(a).noReplyUntil = now.Add(noReplyFor) }
 
 // Refused says that an agent handed an opening packet back.
 func (c *Chooser) Refused(now time.Time, agent netip.Addr) {
-	c.state(agent).refusedUntil = now.Add(refusalPenalty)
+	c.state(agent).refusedUntil = now.Add(refusedFor)
 }
 
 // Retain forgets all agents but those listed.
--- a/internal/load/trip/trip_test.go
+++ b/internal/load/trip/trip_test.go
@@ -49,7 +49,7 @@
 // placing by requests under way alone, which is the version before, and a random server.
 func TestCallersFailLessOften(t *testing.T) {
 	const servers, failing, requests = 50, 5, 20_000
-	play := func(choose func(*rand.Rand, []Breaker, time.Time) int) (lost int) {
+	simulate := func(choose func(*rand.Rand, []Breaker, time.Time) int) (lost int) {
 		random := rand.New(rand.NewPCG(3, 4))
 		breakers := make([]Breaker, servers)
 		at := now
@@ -72,21 +72,21 @@
 		}
 		return lost
 	}
-	idle := func(r *rand.Rand) int { // three in ten of the busy ones are idle, the failing ones always
+	pickIdle := func(r *rand.Rand) int { // three in ten of the busy ones are idle, the failing ones always
 		if r.IntN(4) == 0 {
 			return r.IntN(failing)
 		}
 		return r.IntN(servers)
 	}
-	byLoad := play(func(r *rand.Rand, _ []Breaker, _ time.Time) int { return idle(r) })
-	random := play(func(r *rand.Rand, _ []Breaker, _ time.Time) int { return r.IntN(servers) })
-	tripped := play(func(r *rand.Rand, b []Breaker, at time.Time) int {
-		s := idle(r)
+	byLoad := simulate(func(r *rand.Rand, _ []Breaker, _ time.Time) int { return pickIdle(r) })
+	random := simulate(func(r *rand.Rand, _ []Breaker, _ time.Time) int { return r.IntN(servers) })
+	withBreakers := simulate(func(r *rand.Rand, b []Breaker, at time.Time) int {
+		s := pickIdle(r)
 		if !b[s].Allows(at) {
 			s = r.IntN(servers) // handed back, and placed again
 		}
 		return s
 	})
-	t.Logf("lost of %d: by load %d, at random %d, with breakers %d", requests, byLoad, random, tripped)
-	assert.Assert(t, tripped < byLoad/5 && tripped <= random)
+	t.Logf("lost of %d: by load %d, at random %d, with breakers %d", requests, byLoad, random, withBreakers)
+	assert.Assert(t, withBreakers < byLoad/5 && withBreakers <= random)
 }
--- a/internal/node/edge/place.go
+++ b/internal/node/edge/place.go
@@ -42,7 +42,7 @@
 	if last.Opened || p.Told {
 		return false // the answer was lost, or is on its way
 	}
-	e.chooser.Unanswered(now, last.Agent)
+	e.chooser.NoReply(now, last.Agent)
 	e.doubt(now, last.Agent)
 	silent.Inc()
 	e.Events.Flow(event.Failure, "unanswered", s.Flow).Stringer("agent", last.Agent).Uint32("copy", s.Ack).Send()
