--- a/internal/load/steer/steer.go
+++ b/internal/load/steer/steer.go
@@ -1,18 +1,19 @@
-// Package steer decides at an entry which agent gets a new opaque flow.
+// Package steer selects, at an entry, the agent that receives a new opaque flow.
 //
-// The load patterns, and what goes wrong without it. Nobody can read, queue or hand over a
-// request of an opaque flow, so the only decision is at its opening packet, and a long flow keeps
-// loading its server as long as it lives. Entries that count only their own flows don't see
-// what others placed, and entries that all trust the same old report send everything to the server that was
-// idle a moment ago. A server that hangs looks idle. A server that was just started is slow.
+// Requests inside an opaque flow cannot be read, queued or handed over, so the only placement decision is
+// made at the opening packet, and a long-lived flow loads its server for as long as it is open. Entries
+// that count only their own flows do not see what other entries placed. Entries that all act on the same
+// outdated report send every flow to the server that was idle when the report was made. A hung server
+// looks idle, and a server that has just started is slow.
 //
-// The rules: of the servers that may take flows the one with the least expected work
-// for each slot, where the expected work is what its agent reported last, the flows that it
-// holds, and what this entry placed there since. Another failure domain costs a bit more, so that equal
-// servers are used near by. Servers that didn't answer an opening packet, refused one, or are
-// leaving come last, in that order, and are used only when there is nothing else.
+// Among the servers that may take flows, the chooser picks the one with the least expected work per slot.
+// Expected work is the load last reported by the server's agent, the flows the server holds, and the flows
+// this entry has placed there since that report. A server in another failure domain is charged a fixed
+// extra amount, so that equally loaded servers are used locally. Servers that refused an opening packet,
+// did not answer one, or are draining come last, in that order, and are used only if there is no other.
 //
-// It is pure: time and randomness are handed in. It is not safe for concurrent use.
+// Package steer performs no I/O: the caller passes in the time and the source of randomness. A Chooser is
+// not safe for concurrent use.
 //
 // # Usage
 //
@@ -20,7 +21,7 @@
 //	agent, ok := c.Choose(now, candidates, tried)
 //	c.Placed(agent)
 //	c.Report(now, agent, load)
-//	c.Silent(now, agent)
+//	c.NoReply(now, agent)
 package steer
 
 import (
@@ -33,68 +34,71 @@
 	"mangowinch/internal/load/parts"
 )
 
-// Candidate is a server that a route sends flows to.
+// Candidate is a server to which a route may send flows.
 type Candidate struct {
 	Agent    netip.Addr
 	Domain   string
 	Slots    int
 	Draining bool
-	Cold     bool // started a moment ago and slow
-	Failed   bool // its agent is taken for lost
+	Cold     bool // started recently and still slow
+	Failed   bool // declared dead by the failure detector
 }
 
 const (
-	// initialFlowWork is the work in slots that an open flow stands for until reports tell: that of a flow which
-	// rests nearly all the time.
+	// initialFlowWork is the work, in slots, attributed to an open flow before any reports arrive. It is
+	// the value of a flow that is idle nearly all the time.
 	initialFlowWork = 0.013
-	// maxFlowWork bounds it: a flow with three requests of 30 ms a second.
+	// maxFlowWork bounds the learned work per flow: a flow with three requests of 30 ms per second.
 	maxFlowWork = 0.09
-	// flowWorkWindow is how many reports it is learned over, some seconds' worth.
+	// flowWorkWindow is the number of reports over which the work per flow is averaged, which spans
+	// several seconds.
 	flowWorkWindow = 256
-	// crossDomainWork is the work in slots that another failure domain costs. Bytes between domains are dear, and an agent
-	// whose server is busy passes a flow on by itself.
+	// crossDomainWork is the extra work, in slots, charged to a server in another failure domain. Traffic
+	// between domains is expensive, and the agent of a busy server forwards the flow by itself.
 	crossDomainWork = 8
-	// coldFactor multiplies the work of a server that has just started: it takes 1.6 times as long.
+	// coldFactor multiplies the work of a server that has just started, whose requests take 1.6 times as
+	// long.
 	coldFactor = 1.6
-	// jitter tells equal servers apart so that entries with the same report differ.
+	// jitter is the range of the random term that breaks ties, so that entries with the same report
+	// choose differently.
 	jitter = 0.1
-	// reportDecay is how fast a report's requests under way lose their weight: they last some 40 ms,
-	// and what is under way later is expected to be the average.
+	// reportDecay is the time over which the reported number of requests under way loses its weight. A
+	// request lasts about 40 ms, so later the average is the better estimate.
 	reportDecay = 250 * time.Millisecond
-	// noReplyFor is how long a server that didn't answer an opening packet comes last. A copy comes
-	// after 200 ms, so a hung server costs one flow in this time at each entry.
+	// noReplyFor is how long a server that did not answer an opening packet is placed last. The caller
+	// retransmits the packet after 200 ms, so a hung server costs each entry one flow in this period.
 	noReplyFor = 3 * time.Second
-	// refusedFor is how long a server that refused an opening packet comes last.
+	// refusedFor is how long a server that refused an opening packet is placed last.
 	refusedFor = time.Second
 )
 
-// state is what is known of an agent's server.
+// state is what the chooser knows about one server.
 type state struct {
 	load         msgs.Load
-	avgBusy      float64 // of requests under way
+	avgBusy      float64 // moving average of the requests under way
 	reportedAt   time.Time
-	placed       float64 // flows placed since the report
+	placed       float64 // flows placed since the last report
 	noReplyUntil time.Time
 	refusedUntil time.Time
 }
 
-// Chooser remembers what agents reported.
+// Chooser selects servers for new flows from the loads that agents report.
 type Chooser struct {
 	domain   string
 	off      parts.Off
 	random   *rand.Rand
 	states   map[netip.Addr]*state
-	avgBusy  float64 // average of reported requests under way
-	avgFlows float64 // average of reported flows
+	avgBusy  float64 // average number of requests under way over all reports
+	avgFlows float64 // average number of open flows over all reports
 }
 
-// New returns a chooser for an entry in a failure domain.
+// New returns a Chooser for an entry in the given failure domain.
 func New(domain string, random *rand.Rand, off parts.Off) *Chooser {
 	return &Chooser{domain: domain, random: random, off: off, states: map[netip.Addr]*state{}, avgBusy: initialFlowWork, avgFlows: 1}
 }
 
-// Choose returns the agent for a new flow, none of those tried. ok is false if there
-// is none left.
+// Choose returns the agent that should receive a new flow, excluding the agents in tried. It reports
+// false if no candidate is left.
 func (c *Chooser) Choose(now time.Time, candidates []Candidate, tried []netip.Addr) (agent netip.Addr, ok bool) {
 	least := 0.0
 	for _, k := range candidates {
@@ -108,14 +112,14 @@
 	return agent, ok
 }
 
-// Ranks that put servers last. They are far over any work in slots.
+// Penalties that place a server last. They are far above any possible amount of work in slots.
 const (
 	penaltyRefused  = 1e3
 	penaltyNoReply  = 1e4
 	penaltyDraining = 1e5
 )
 
-// score is what a candidate is expected to have under way for each slot, plus its rank.
+// score returns the expected work per slot of a candidate, plus its penalty.
 func (c *Chooser) score(now time.Time, k Candidate) float64 {
 	slots := float64(max(k.Slots, 1))
 	w := c.random.Float64() * jitter
@@ -157,13 +161,13 @@
 	return s
 }
 
-// Placed counts a flow that was sent to an agent.
+// Placed records that a flow was sent to an agent.
 func (c *Chooser) Placed(agent netip.Addr) { c.state(agent).placed++ }
 
-// busyWindow is how many reports the average of requests under way goes over.
+// busyWindow is the number of reports over which the requests under way are averaged.
 const busyWindow = 8
 
-// Report takes in how busy an agent's server is.
+// Report records the load that an agent reports for its server.
 func (c *Chooser) Report(now time.Time, agent netip.Addr, l msgs.Load) {
 	s := c.state(agent)
 	s.load, s.reportedAt, s.placed = l, now, 0
@@ -172,26 +176,26 @@
 	c.avgFlows += (float64(l.Flows) - c.avgFlows) / flowWorkWindow
 }
 
-// flowWork is the work in slots that an open flow stands for besides the requests under way, as
-// all reports show it. Too high a figure makes flows that rest look like work: new flows then went to far servers
-// that had just been started, for as long as those had fewer flows than the near ones.
+// flowWork returns the work, in slots, that an open flow stands for in addition to the requests under
+// way, learned from all reports. If the value is too high, idle flows count as work, and new flows go to
+// recently started servers in other domains for as long as those hold fewer flows than the local servers.
 func (c *Chooser) flowWork() float64 { return min(maxFlowWork, c.avgBusy/c.avgFlows) }
 
-// Accepted says that an agent's server took a flow.
+// Accepted records that an agent's server accepted a flow.
 func (c *Chooser) Accepted(agent netip.Addr) {
 	s := c.state(agent)
 	s.noReplyUntil, s.refusedUntil = time.Time{}, time.Time{}
 }
 
-// NoReply says that an agent's server didn't answer an opening packet in time.
+// NoReply records that an agent's server did not answer an opening packet in time.
 func (c *Chooser) NoReply(now time.Time, a netip.Addr) { c.state(a).noReplyUntil = now.Add(noReplyFor) }
 
-// Refused says that an agent handed an opening packet back.
+// Refused records that an agent returned an opening packet.
 func (c *Chooser) Refused(now time.Time, agent netip.Addr) {
 	c.state(agent).refusedUntil = now.Add(refusedFor)
 }
 
-// Retain forgets all agents but those listed.
+// Retain removes the state of all agents that are not listed.
 func (c *Chooser) Retain(agents []netip.Addr) {
 	for a := range c.states {
 		if !slices.Contains(agents, a) {
--- a/internal/load/steer/steer_test.go
+++ b/internal/load/steer/steer_test.go
@@ -30,9 +30,9 @@
 	return a
 }
 
-// An entry places a row of flows before any report comes back. They must not all go to the server that was least
-// busy a moment ago.
-func TestOwnPlacingsCountUntilTheNextReport(t *testing.T) {
+// Guards against an entry that sends a burst of flows to the server that was least busy in the last
+// report: flows placed since then count as work.
+func TestPlacedFlowsCountUntilNextReport(t *testing.T) {
 	c := New("zg-a", rand.New(rand.NewPCG(1, 2)), parts.Off{})
 	list := candidates(4)
 	got := map[netip.Addr]int{}
@@ -46,8 +46,8 @@
 	}
 }
 
-// A server that hangs has nothing under way and looks idle.
-func TestSilentServerComesLast(t *testing.T) {
+// Guards against placing flows on a hung server, which has no requests under way and looks idle.
+func TestServerWithoutReplyComesLast(t *testing.T) {
 	c := New("zg-a", rand.New(rand.NewPCG(1, 2)), parts.Off{})
 	list := candidates(2)
 	c.Report(now, agent(1), msgs.Load{Busy: 4, Flows: 20})
@@ -59,7 +59,7 @@
 	assert.Equal(t, choose(t, c, now, list), agent(0))
 }
 
-// The order of last resorts: refused, silent, draining.
+// Servers that refused, did not answer or are draining are still used, in this order, if there is no other.
 func TestServersOfLastResortAreStillUsed(t *testing.T) {
 	c := New("zg-a", rand.New(rand.NewPCG(1, 2)), parts.Off{})
 	list := candidates(3)
@@ -73,8 +73,8 @@
 	assert.Assert(t, !ok)
 }
 
-// A near server is used until its work is over a far one's by what the distance costs.
-func TestNearServerIsUsedWhileItIsNotMuchBusier(t *testing.T) {
+// A server of the own domain is used until its work exceeds that of a remote server by crossDomainWork.
+func TestLocalServerIsPreferredUnlessMuchBusier(t *testing.T) {
 	c := New("zg-b", rand.New(rand.NewPCG(1, 2)), parts.Off{})
 	list := candidates(2)
 	list[1].Domain = "zg-b"
@@ -85,10 +85,10 @@
 	assert.Equal(t, choose(t, c, now, list), agent(0))
 }
 
-// Servers are replaced one after the other. A new one holds no flows yet, the near ones hold a hundred each, most of
-// them at rest; for half a minute two of five new flows went to new servers in other failure domains, and all their
-// bytes crossed the border. An open flow counted as seven times the work that it brings.
-func TestFlowsAtRestSendNoNewOnesFar(t *testing.T) {
+// Guards against idle flows that count as work. During a rolling replacement new servers hold no flows
+// while local servers hold a hundred each, most of them idle. If an open flow counts as seven times its
+// real work, new flows go to new servers in other domains, and all their traffic crosses domains.
+func TestIdleFlowsDoNotSendNewFlowsToOtherDomains(t *testing.T) {
 	c := New("zg-b", rand.New(rand.NewPCG(1, 2)), parts.Off{})
 	list := candidates(2)
 	list[1].Domain = "zg-b"
@@ -99,9 +99,9 @@
 	assert.Equal(t, choose(t, c, now, list), agent(1))
 }
 
-// Flows that ask often are work: of two near servers the one with fewer of them is chosen, also when both are
-// idle at the moment of their reports.
-func TestFlowsThatAskOftenCount(t *testing.T) {
+// Flows with frequent requests count as work: of two local servers that both report no requests under
+// way, the one with fewer such flows is chosen.
+func TestFlowsWithFrequentRequestsCount(t *testing.T) {
 	c := New("zg-a", rand.New(rand.NewPCG(1, 2)), parts.Off{})
 	list := candidates(3)
 	for range 2 * flowWorkWindow {
@@ -119,7 +119,7 @@
 	assert.Equal(t, choose(t, c, now, list), agent(1))
 }
 
-// Without a mechanism the choice is as if it weren't there.
+// A mechanism that is switched off has no influence on the choice.
 func TestPartsCanBeSwitchedOff(t *testing.T) {
 	without := func(off parts.Off) *Chooser { return New("zg-a", rand.New(rand.NewPCG(1, 2)), off) }
 	list := candidates(2)
