--- a/internal/load/share/share.go
+++ b/internal/load/share/share.go
@@ -1,18 +1,17 @@
-// Package share decides at an agent whether its own server takes a new opaque flow or
-// another agent is to look.
+// Package share decides, at an agent, whether the agent's own server takes a new opaque flow or the
+// opening packet is offered to another agent.
 //
-// The load pattern, and what goes wrong without it. Entries place a flow by what agents reported
-// last, and with twenty entries before fifty servers such a report is a second old, while a
-// request takes 40 ms. At nine tenths of capacity a server with two slots then often has four requests waiting
-// while its neighbour is idle. The agent knows its own server's work exactly, at the moment at
-// which the flow arrives.
+// Entries place flows by the last reports of agents. With twenty entries and fifty servers a report is
+// about a second old, while a request takes 40 ms. At 90% of capacity a server with two slots often has
+// four requests queued while another server is idle. The agent knows the exact load of its own server at
+// the moment the flow arrives.
 //
-// The rule: a server with a free slot takes the flow. Otherwise the opening packet goes on to
-// another agent, a near one first and then others, picked at random since nobody's reports are fresher; after a few visits
-// the least busy one that it has been at takes it. This is the choice of the best of several at
-// random (Mitzenmacher, 2001), which stops at the first that is idle.
+// A server with a free slot takes the flow. Otherwise the opening packet is offered to another agent, first
+// in the same failure domain and then elsewhere, selected at random because no agent has more recent reports
+// than another. After a few visits the least busy of the visited servers takes the flow. This is the power
+// of several random choices (Mitzenmacher, 2001), ended early at the first server with a free slot.
 //
-// It is pure: randomness is handed in.
+// Package share performs no I/O: the caller passes in the source of randomness.
 //
 // # Usage
 //
@@ -25,33 +24,33 @@
 	"mangowinch/internal/flow/msgs"
 )
 
-// maxVisits is how many servers an opening packet is at. With a quarter of the servers idle,
-// four visits find one in two of three cases; each costs half a millisecond.
+// maxVisits is the number of servers an opening packet may visit. If a quarter of the servers have a free
+// slot, four visits find one in two of three cases. Each visit takes half a millisecond.
 const maxVisits = 4
 
-// maxLocalVisits is how many of them are in the own failure domain at most: when it is overloaded as a whole,
-// because its callers are more than others', the rest finds a server elsewhere.
+// maxLocalVisits is the number of those visits made within the own failure domain. If the whole domain is
+// overloaded because it has more callers than others, the remaining visits find a server elsewhere.
 const maxLocalVisits = 2
 
-// fullWork is the work, in hundredths of slots, from which a server has no free slot.
+// fullWork is the work, in hundredths of the server's slots, at which a server has no free slot.
 const fullWork = 100
 
-// Server is a server as an agent knows it.
+// Server is a server as seen by an agent.
 type Server struct {
 	Agent      netip.Addr
-	Work       uint16 // hundredths of its slots; only of the own server
-	SameDomain bool   // in the same failure domain
+	Work       uint16 // hundredths of its slots; set only for the own server
+	SameDomain bool   // in the failure domain of the own server
 }
 
-// Choice is who is to have the opening packet. If it is not the agent itself, it goes
-// there with Visited and Final.
+// Choice is the agent that receives the opening packet. If it is another agent, the packet is sent there
+// with Visited and Final.
 type Choice struct {
 	Agent   netip.Addr
 	Visited []msgs.Visit
-	Final   bool // takes it, however busy
+	Final   bool // the agent takes the flow regardless of its load
 }
 
-// Next decides about an opening packet that has been at the visited agents.
+// Next decides which agent receives an opening packet that has been offered to the visited agents.
 func Next(own Server, visited []msgs.Visit, final bool, others []Server, random func(int) int) Choice {
 	if final || own.Work < fullWork {
 		return Choice{Agent: own.Agent}
@@ -71,7 +70,8 @@
 	return Choice{Agent: best.Agent, Visited: visited, Final: true}
 }
 
-// pickUnvisited picks an agent that was not visited at random, if there is one a near one, or else a far one.
+// pickUnvisited picks at random an agent that was not visited. It prefers agents of the own domain if
+// sameDomain is set and agents of other domains otherwise, and falls back to the rest.
 func pickUnvisited(visited []msgs.Visit, others []Server, sameDomain bool, random func(int) int) (agent netip.Addr, ok bool) {
 	found, count := false, 0
 	for _, s := range others {
--- a/internal/load/share/share_test.go
+++ b/internal/load/share/share_test.go
@@ -13,7 +13,7 @@
 
 func agent(n int) netip.Addr { return netip.AddrFrom4([4]byte{10, 0, 1, byte(n)}) }
 
-// addrs lets addresses be compared.
+// addrs compares addresses in DeepEqual.
 var addrs = cmp.Comparer(func(a, b netip.Addr) bool { return a == b })
 
 func pickFirst(int) int { return 0 }
@@ -23,7 +23,8 @@
 	assert.Equal(t, got.Agent, agent(1))
 }
 
-// Callers of one failure domain are more than its servers can take. A flow must not be passed on only within it.
+// Guards against offering a flow only within a failure domain whose callers exceed the capacity of its
+// servers.
 func TestFlowLeavesAnOverloadedDomain(t *testing.T) {
 	others := []Server{{Agent: agent(2), SameDomain: true}, {Agent: agent(3), SameDomain: true}, {Agent: agent(4)}}
 	visited := []msgs.Visit{{Agent: agent(2), Work: 300}}
@@ -31,7 +32,7 @@
 	assert.Equal(t, got.Agent, agent(4))
 }
 
-func TestBusyServerPassesTheFlowOnNearFirst(t *testing.T) {
+func TestBusyServerOffersTheFlowLocallyFirst(t *testing.T) {
 	others := []Server{{Agent: agent(2)}, {Agent: agent(3), SameDomain: true}, {Agent: agent(4)}}
 	got := Next(Server{Agent: agent(1), Work: 150}, nil, false, others, pickFirst)
 	assert.Equal(t, got.Agent, agent(3))
@@ -39,7 +40,8 @@
 	assert.Assert(t, !got.Final)
 }
 
-// All servers are busy. The packet must not go round for ever, and the least busy one takes it.
+// Guards against an opening packet that is forwarded forever if all servers are busy: the least busy of
+// the visited servers takes it.
 func TestLeastBusyOfTheVisitedTakesTheFlow(t *testing.T) {
 	visited := []msgs.Visit{{Agent: agent(1), Work: 300}, {Agent: agent(2), Work: 200}, {Agent: agent(3), Work: 400}}
 	got := Next(Server{Agent: agent(4), Work: 250}, visited, false, []Server{{Agent: agent(5)}}, pickFirst)
@@ -48,8 +50,9 @@
 	assert.Equal(t, Next(Server{Agent: agent(2), Work: 900}, got.Visited, true, nil, pickFirst).Agent, agent(2))
 }
 
-// Forty-five servers of two slots at 88% of capacity, entries that know nothing: compared in the same run are
-// a random server, and the best that visits find. What callers get is how much waits before them.
+// Offering a flow finds a less busy server than random placement does, with 45 servers of two slots at
+// 88% of capacity and entries without reports. Both are compared on the same loads, by the work that is
+// ahead of a flow.
 func TestVisitsFindFreeSlots(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	const servers, flows = 45, 20_000
@@ -57,17 +60,17 @@
 	for range flows {
 		work := make([]uint16, servers)
 		for i := range work {
-			work[i] = uint16(random.IntN(5) * 50) // 0 to 4 requests in two slots, 3 in 5 without a free one
+			work[i] = uint16(random.IntN(5) * 50) // 0 to 4 requests in two slots; 3 of 5 values leave none free
 		}
 		at := random.IntN(servers)
 		randomWork += int(work[at])
 		visitWork += int(work[forward(at, work, random)])
 	}
-	t.Logf("work before a flow, in hundredths of slots: random %d, visits %d", randomWork/flows, visitWork/flows)
+	t.Logf("work before a flow, in hundredths of slots: random %d, offered %d", randomWork/flows, visitWork/flows)
 	assert.Assert(t, visitWork < randomWork*2/5)
 }
 
-// forward passes a flow on until a server takes it.
+// forward offers a flow from agent to agent until a server takes it, and returns that server.
 func forward(at int, work []uint16, random *rand.Rand) int {
 	var visited []msgs.Visit
 	final := false
