--- a/internal/load/hold/hold.go
+++ b/internal/load/hold/hold.go
@@ -1,25 +1,25 @@
-// Package hold decides at an agent which waiting opening packet its server gets next.
+// Package hold queues opening packets at an agent and selects the one that the agent's server receives next.
 //
-// The load patterns, and what goes wrong without it. After a power loss, or in a burst, more flows
-// come within a second than the servers can serve in it. A server that is given all of them
-// queues and sheds: callers of requests that it sheds come again at once, and by the time it gets
-// to the ones that it queued they are all late, the new ones included. Nothing can be
-// reordered in the server, but an opening packet that it hasn't seen yet can wait here.
+// After a power loss, or in a burst, more flows arrive within a second than the servers can serve in that
+// time. A server that receives all of them queues and sheds requests. Callers of shed requests retry at
+// once, and by the time the server reaches the queued requests all of them are late, including new ones.
+// Requests inside the server cannot be reordered, but opening packets that the server has not seen can
+// wait at the agent.
 //
-// The rule: the server is given a flow when a slot is free or about to be. Of those that wait, the ones that
-// can still be answered in time go first, by priority, the newest of a priority first: under
-// overload that is the order in which most are in time, and callers whose answer is late anyway lose
-// nothing more. Then the late ones, by priority, the oldest first, as it is the next to give up.
-// A flow waits no longer than its caller does. When more wait than can be served in that
-// time, a further one is refused at once.
+// The server receives a flow when a slot is free or about to be free. Waiting flows that can still be
+// answered in time come first, by priority and, within a priority, newest first: under overload this
+// order meets the most deadlines, and callers whose answers are late in any case lose nothing more. Late
+// flows follow, by priority and then oldest first, because the oldest caller is the next to give up. A
+// flow waits no longer than its caller does. If more flows wait than can be served in that time, the last
+// in order is refused at once.
 //
-// It is pure: time is handed in. It is not safe for concurrent use.
+// Package hold performs no I/O: the caller passes in the time. A Queue is not safe for concurrent use.
 //
 // # Usage
 //
-//	q := hold.New(patience)
-//	if last := q.Add(now, &hold.QueuedFlow{Flow: f, Began: now}, limit); last != nil { refuse(last) }
-//	if w := q.Next(now, expected, slots, lowest); w != nil { give(w) }
+//	q := hold.New(maxWait)
+//	if last := q.Add(now, &hold.QueuedFlow{Flow: f, FirstSent: now}, limit); last != nil { refuse(last) }
+//	if w := q.Next(now, expected, slots, lowest); w != nil { open(w) }
 package hold
 
 import (
@@ -30,59 +30,59 @@
 	"mangowinch/internal/flow/segs"
 )
 
-// onTimePercent is the part of the target within which a flow has to begin to be answered in time,
-// in percent: work takes a fifth of the target on average and twice that at times.
+// onTimePercent is the percentage of the target within which a flow has to be opened to be answered in
+// time. Service takes a fifth of the target on average and occasionally twice that.
 const onTimePercent = 60
 
-// QueuedFlow is a flow that waits to be opened.
+// QueuedFlow is a flow whose opening packet waits for the server.
 type QueuedFlow struct {
 	Flow      segs.Flow
-	Origin    netip.Addr    // the entry that placed it
+	Origin    netip.Addr    // entry that placed the flow
 	Priority  int           // 0 is the highest
 	FirstSent time.Time     // when the caller sent the first opening packet
-	Target    time.Duration // in which its request is to be answered; 0: none
+	Target    time.Duration // target latency of the request; 0 if there is none
 	Packet    []byte
 }
 
-// onTime says whether the request can still be answered in time.
+// onTime reports whether the request can still be answered within its target.
 func (w *QueuedFlow) onTime(now time.Time) bool {
 	return w.Target > 0 && now.Sub(w.FirstSent) < w.Target*onTimePercent/100
 }
 
-// before says whether w goes before v.
+// before reports whether w is served before v.
 func (w *QueuedFlow) before(v *QueuedFlow, now time.Time) bool {
-	mine, other := w.onTime(now), v.onTime(now)
+	wOnTime, vOnTime := w.onTime(now), v.onTime(now)
 	switch {
-	case mine != other:
-		return mine
+	case wOnTime != vOnTime:
+		return wOnTime
 	case w.Priority != v.Priority:
 		return w.Priority < v.Priority
-	case mine:
+	case wOnTime:
 		return w.FirstSent.After(v.FirstSent)
 	default:
 		return w.FirstSent.Before(v.FirstSent)
 	}
 }
 
-// Queue is the flows that wait at one agent.
+// Queue holds the flows that wait at one agent.
 type Queue struct {
 	maxWait time.Duration // how long a caller waits for its flow to open
 	waiting []*QueuedFlow
 }
 
-// New returns an empty queue of flows whose callers wait so long for their flows to open.
+// New returns an empty queue for flows whose callers wait at most maxWait for the flow to open.
 func New(maxWait time.Duration) *Queue { return &Queue{maxWait: maxWait} }
 
-// Len is the number of flows that wait.
+// Len returns the number of waiting flows.
 func (q *Queue) Len() int { return len(q.waiting) }
 
-// Contains says whether a flow waits.
+// Contains reports whether a flow is in the queue.
 func (q *Queue) Contains(f segs.Flow) bool {
 	return slices.ContainsFunc(q.waiting, func(w *QueuedFlow) bool { return w.Flow == f })
 }
 
-// Add lets a flow wait. If more than limit then do, the last in order is removed and returned,
-// which may be w.
+// Add adds a flow to the queue. If the queue then holds more than limit flows, Add removes and returns
+// the last in order, which may be w itself.
 func (q *Queue) Add(now time.Time, w *QueuedFlow, limit int) (last *QueuedFlow) {
 	q.waiting = append(q.waiting, w)
 	if len(q.waiting) <= limit {
@@ -101,8 +101,8 @@
 	q.waiting = slices.DeleteFunc(q.waiting, func(v *QueuedFlow) bool { return v == w })
 }
 
-// Peek returns the flow that goes next, or nil, without removing it. Flows whose
-// callers have given up are dropped.
+// Peek returns the flow that is served next without removing it, or nil. It drops flows whose callers
+// have given up.
 func (q *Queue) Peek(now time.Time) (first *QueuedFlow) {
 	q.Expire(now)
 	for _, w := range q.waiting {
@@ -113,8 +113,9 @@
 	return first
 }
 
-// Next removes and returns the flow that goes next if the server has room for it: it has
-// expected requests under way or about to come in so many slots.
+// Next removes and returns the flow that is served next, or nil if the server has no room for it. The
+// server has the given number of slots, and expected is the number of its requests that are under way or
+// about to arrive. Flows with a priority above lowest get more room.
 func (q *Queue) Next(now time.Time, expected, slots, lowest int) (next *QueuedFlow) {
 	next = q.Peek(now)
 	if next == nil || expected >= admissionLimit(next, slots, lowest) {
@@ -124,14 +125,14 @@
 	return next
 }
 
-// extraFlows is how many flows the server is given over its slots, so that none is idle while
-// the next caller learns that its flow is open, which takes a tenth of a request's time.
+// extraFlows is the number of flows the server may receive beyond its slots, so that no slot is idle
+// while the next caller learns that its flow is open. That takes a tenth of a request's service time.
 const extraFlows = 1
 
-// admissionLimit is how many requests the server may have for a flow to be let in. Requests on flows that are
-// open already never wait here, so in a long overload they would keep every new flow out; a flow of a
-// higher priority than the lowest is let in to the server's own queue, which holds four
-// requests for each slot.
+// admissionLimit returns the number of requests at which the server receives no further flow. Requests on
+// open flows are not queued here, so under sustained overload they would keep out every new flow. A flow
+// with a priority above the lowest is therefore admitted to the server's own queue, which holds four
+// requests per slot.
 func admissionLimit(w *QueuedFlow, slots, lowest int) int {
 	if w.Priority < lowest {
 		return urgentPerSlot * slots
@@ -139,11 +140,11 @@
 	return slots + extraFlows
 }
 
-// urgentPerSlot is how many requests for each slot a server may have when a flow of higher priority is
-// let in. With 3, it is served after two others, within half of its target.
+// urgentPerSlot is the number of requests per slot up to which a server receives flows with a priority
+// above the lowest. With 3, such a flow is served after two other requests, within half of its target.
 const urgentPerSlot = 3
 
-// Expire drops the flows whose callers have given up and returns their number.
+// Expire drops flows whose callers have given up and returns their number.
 func (q *Queue) Expire(now time.Time) int {
 	before := len(q.waiting)
 	q.waiting = slices.DeleteFunc(q.waiting, func(w *QueuedFlow) bool { return now.Sub(w.FirstSent) > q.maxWait })
--- a/internal/load/hold/hold_test.go
+++ b/internal/load/hold/hold_test.go
@@ -15,7 +15,7 @@
 const (
 	target        = 150 * time.Millisecond
 	maxWait       = 1350 * time.Millisecond
-	secondCopyAge = 600 * time.Millisecond // the age of a flow whose second copy comes
+	secondCopyAge = 600 * time.Millisecond // age of a flow at the second retransmission
 )
 
 func flow(n int) segs.Flow { return segs.Flow{CallerPort: uint16(n)} }
@@ -31,9 +31,9 @@
 	return ports
 }
 
-// After an outage of a second the callers' first requests are late whatever happens, and new ones come that
-// can be in time. Oldest first, all are late; the new ones first, only those that are late anyway.
-func TestFlowsThatCanBeInTimeGoFirst(t *testing.T) {
+// Guards against serving flows oldest first after an outage: the first requests are late in any case, and
+// new requests then become late too. Newest first, only the requests that are late anyway miss their target.
+func TestFlowsThatCanMeetTheirTargetComeFirst(t *testing.T) {
 	q := New(maxWait)
 	for _, w := range []*QueuedFlow{
 		waiting(1, 2, 800*time.Millisecond), waiting(2, 2, 500*time.Millisecond), waiting(3, 2, 50*time.Millisecond),
@@ -44,7 +44,7 @@
 	assert.DeepEqual(t, order(q), []int{4, 5, 3, 6, 1, 2})
 }
 
-// A server has all its slots busy; a flow is let in as soon as one is free.
+// A flow is admitted when a slot becomes free.
 func TestServerGetsNoMoreThanItHasSlotsFor(t *testing.T) {
 	q := New(maxWait)
 	q.Add(now, waiting(1, 2, 0), 10)
@@ -52,17 +52,17 @@
 	assert.Assert(t, q.Next(now, 2, 2, 2) != nil)
 }
 
-// In a long burst requests on open flows, which never wait, keep every slot busy. Feeds, of a higher priority
-// and each on a flow of its own, then were turned away three times as often as lookups.
-func TestUrgentFlowsAreLetInToABusyServer(t *testing.T) {
+// Guards against refusing feeds, which have a higher priority and a flow each, three times as often as
+// lookups in a long burst: requests on open flows are not queued here and keep every slot busy.
+func TestUrgentFlowsAreAdmittedToBusyServer(t *testing.T) {
 	q := New(maxWait)
 	q.Add(now, waiting(1, 1, 0), 10)
 	assert.Assert(t, q.Next(now, 6, 2, 2) == nil)
 	assert.Assert(t, q.Next(now, 5, 2, 2) != nil)
 }
 
-// More wait than can be served. The one that would go last is refused at once, so that its caller
-// doesn't wait in vain, and the newcomer stays if it goes before.
+// If more flows wait than can be served, the last in order is refused at once, so that its caller does
+// not wait in vain. A new flow is kept if it comes before the last one.
 func TestFullQueueRefusesTheLast(t *testing.T) {
 	q := New(maxWait)
 	q.Add(now, waiting(1, 2, 900*time.Millisecond), 2)
@@ -73,15 +73,15 @@
 	assert.Equal(t, last.Flow, flow(4))
 }
 
-func TestNobodyWaitsLongerThanItsCaller(t *testing.T) {
+func TestFlowWaitsNoLongerThanItsCaller(t *testing.T) {
 	q := New(maxWait)
 	q.Add(now, waiting(1, 2, secondCopyAge), 10)
 	assert.Assert(t, q.Next(now.Add(maxWait-secondCopyAge+time.Millisecond), 0, 2, 2) == nil)
 	assert.Equal(t, q.Len(), 0)
 }
 
-// Whatever comes in which order, nothing is lost or doubled, and the bound holds.
-func TestQueueKeepsAll(t *testing.T) {
+// For any order of arrivals, no flow is lost or duplicated and the queue's limit holds.
+func TestNoFlowIsLostOrDuplicated(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		q := New(maxWait)
 		limit := rapid.IntRange(1, 8).Draw(r, "limit")
