--- a/internal/load/detect/detect.go
+++ b/internal/load/detect/detect.go
@@ -1,93 +1,100 @@
-// Package detect decides when somebody who doesn't answer is taken for lost: a failure detector over one party.
+// Package detect is a failure detector for one observed process, the target.
 //
-// Definition. The party is in doubt when something was sent to it that it answers at once, and nothing has been heard of it for
-// Doubt since. Then it is asked directly. It is lost when Checks such questions have had no answer within Wait each, so
-// Doubt + Checks*Wait after the first unanswered message, plus a tick. Whatever is heard of it ends doubt and loss at once.
+// The target is suspected if a message that it answers at once was sent to it and nothing has been
+// received from it for Config.SuspectAfter. The observer then probes it directly. The target is declared
+// failed when Config.Probes probes in a row have had no answer within Config.ProbeTimeout each, that is,
+// SuspectAfter + Probes*ProbeTimeout after the first unanswered message, plus at most one tick. Any
+// message from the target clears the suspicion and the failure at once.
 //
-// False suspicion. The time that counts is the observer's own, awake: an observer that was frozen, slowed down or
-// without a processor for a while finds messages unanswered that it has had no chance to read, and would take everybody for lost when it
-// wakes up. So a step of the clock between two ticks counts as mostStep at the most, and what came meanwhile is read before
-// the next steps add up. A party that answers any one of Checks questions is not lost: with a hundredth of the packets
-// lost each way, two questions in a row go unanswered once in 2,500 doubts, each of which takes a loss itself; who can't
-// afford that asks several at a time, or over a way that loses nothing. An observer whose own link is full gets answers late or not
-// at all: it asks others beside the party, and a question counts only if they have answered meanwhile. One that doesn't
-// count is repeated, after a longer wait if nobody has answered.
+// False suspicions are limited in three ways:
 //
-// It says nothing of what follows from a loss, and it sends nothing. It is pure: time is handed in. It is not safe for
-// concurrent use.
+//   - Time is the observer's own running time. An observer that was frozen, slowed down or not scheduled
+//     finds messages unanswered that it had no chance to read, and would declare every target failed when
+//     it resumes. A step of the clock between two ticks therefore counts as at most maxStep, and messages
+//     that arrived in the meantime are read before further steps add up.
+//   - A target that answers any one of the probes is not failed. With 1% packet loss in each direction, two
+//     probes in a row go unanswered in one of 2,500 suspicions, each of which needs a lost packet itself. A
+//     caller that cannot accept this rate sends several probes at a time, or probes over a path without loss.
+//   - An observer whose own link is saturated receives answers late or not at all. It probes other
+//     processes along with the target, and a probe counts only if they have answered in the meantime. A
+//     probe that does not count is repeated, after a longer timeout if none of them has answered.
+//
+// The package sends nothing and does not decide what follows from a failure. The caller passes in the
+// time. A Detector is not safe for concurrent use.
 //
 // # Usage
 //
-//	d := detect.New(detect.Config{Doubt: 150 * time.Millisecond, Wait: 150 * time.Millisecond, Checks: 3})
-//	d.Asked(now) // something was sent that is answered at once
-//	d.Heard(now) // anything has come
+//	d := detect.New(detect.Config{SuspectAfter: suspectAfter, ProbeTimeout: timeout, Probes: 3})
+//	d.Sent(now)  // a message was sent that is answered at once
+//	d.Received() // a message has arrived
 //	switch d.Tick(now, detect.Open) {
 //	case detect.Probe:
-//		askDirectly()
+//		sendProbe()
 //	case detect.Failed:
-//		giveUp()
+//		markFailed()
 //	}
 package detect
 
 import "time"
 
-// Config are the times of one detector.
+// Config holds the timeouts of a detector.
 type Config struct {
-	SuspectAfter time.Duration // without an answer, until the party is asked directly
-	ProbeTimeout time.Duration // for the answer to a direct question
-	Probes       int           // direct questions without an answer until the party is lost
+	SuspectAfter time.Duration // time without an answer after which the target is probed
+	ProbeTimeout time.Duration // timeout of a probe
+	Probes       int           // unanswered probes after which the target is failed
 }
 
-// Verdict is what a tick asks for.
+// Verdict is the action that Tick requests.
 type Verdict uint8
 
 // The verdicts.
 const (
-	None   Verdict = iota // nothing is to be done
-	Probe                 // the party is to be asked directly
-	Failed                // it is lost as of now; said once
+	None   Verdict = iota // no action
+	Probe                 // send a probe to the target
+	Failed                // the target has failed; returned once per failure
 )
 
-// Path is how the way between the observer and the others was while it waited for an answer, by their answers.
+// Path is the state of the path between the observer and the other processes during a probe, derived from
+// their answers.
 type Path uint8
 
-// The ways.
+// The path states.
 const (
-	Open    Path = iota // all others have answered: silence counts
-	Partial             // some have: it doesn't count, and waiting longer is of no use
-	Blocked             // none has: it doesn't count, and answers may take longer
+	Open    Path = iota // all others answered: a missing answer counts
+	Partial             // some answered: a missing answer does not count, and a longer timeout does not help
+	Blocked             // none answered: a missing answer does not count, and answers may take longer
 )
 
-// maxStep bounds what one step between two ticks counts for: twice the 50 ms of the ticks of
-// both roles, so that a late tick counts and a pause doesn't.
+// maxStep is the most that one step between two ticks counts for. It is twice the tick interval of 50 ms
+// of entries and agents, so that a late tick counts in full and a pause does not.
 const maxStep = 100 * time.Millisecond
 
-// maxBackoff bounds how long a question that doesn't count is waited for, in Bounds.Wait.
+// maxBackoff bounds the timeout of probes that do not count, as a multiple of Config.ProbeTimeout.
 const maxBackoff = 8
 
-// Detector watches one party. Its zero value is of no use.
+// Detector observes one target. Use New to create one; the zero value is not usable.
 type Detector struct {
 	config        Config
-	lastTick      time.Time     // of the last tick
-	runTime       time.Duration // until then
-	awaitingSince time.Duration // awake time of the first unanswered message
-	awaiting      bool          // there is one
-	probes        int           // questions asked since
-	probedAt      time.Duration // awake time of the last question
-	timeout       time.Duration // for its answer
+	lastTick      time.Time     // time of the last tick
+	runTime       time.Duration // running time until lastTick
+	awaitingSince time.Duration // running time of the first unanswered message
+	awaiting      bool          // a message is unanswered
+	probes        int           // probes sent since awaitingSince
+	probedAt      time.Duration // running time of the last probe
+	timeout       time.Duration // timeout of the last probe
 	failed        bool
 }
 
-// New returns a detector of a party that nothing speaks against.
+// New returns a detector for a target that is not suspected.
 func New(c Config) *Detector { return &Detector{config: c, timeout: c.ProbeTimeout} }
 
-// Failed says whether the party is lost.
+// Failed reports whether the target is declared failed.
 func (d *Detector) Failed() bool { return d.failed }
 
-// AwaitingReply says whether something is unanswered.
+// AwaitingReply reports whether a message is unanswered.
 func (d *Detector) AwaitingReply() bool { return d.awaiting }
 
-// runTimeAt is the observer's awake time.
+// runTimeAt returns the observer's running time at now.
 func (d *Detector) runTimeAt(now time.Time) time.Duration {
 	if d.lastTick.IsZero() {
 		return d.runTime
@@ -95,22 +102,23 @@
 	return d.runTime + min(max(now.Sub(d.lastTick), 0), maxStep)
 }
 
-// Sent notes that something was sent that the party answers at once.
+// Sent records that a message was sent that the target answers at once.
 func (d *Detector) Sent(now time.Time) {
 	if !d.awaiting {
 		d.awaiting, d.awaitingSince = true, d.runTimeAt(now)
 	}
 }
 
-// Received notes that something has come from the party. It says whether it was lost.
+// Received records that a message has arrived from the target. It reports whether the target was declared
+// failed.
 func (d *Detector) Received() (recovered bool) {
 	recovered = d.failed
 	d.awaiting, d.probes, d.failed, d.timeout = false, 0, false, d.config.ProbeTimeout
 	return recovered
 }
 
-// Tick says what is to be done now. It is to be called each 50 ms. Way is how the way was since the last question. A lost party
-// is still to be asked directly every now and then, so that its return shows.
+// Tick returns the action to take now. It has to be called every 50 ms, with the state of the path since
+// the last probe. A failed target is still probed at intervals, so that its recovery is noticed.
 func (d *Detector) Tick(now time.Time, path Path) Verdict {
 	d.runTime, d.lastTick = d.runTimeAt(now), now
 	switch {
@@ -132,7 +140,7 @@
 	}
 }
 
-// repeatProbe asks once more, as the last question doesn't count.
+// repeatProbe requests a probe in place of the last one, which does not count.
 func (d *Detector) repeatProbe(path Path) Verdict {
 	if path == Blocked {
 		d.timeout = min(2*d.timeout, maxBackoff*d.config.ProbeTimeout)
--- a/internal/load/detect/detect_test.go
+++ b/internal/load/detect/detect_test.go
@@ -12,7 +12,7 @@
 
 var config = Config{SuspectAfter: 150 * time.Millisecond, ProbeTimeout: 200 * time.Millisecond, Probes: 2}
 
-// harness ticks a detector and answers its questions as long as answers says so.
+// harness ticks a detector and answers its probes while answering is set.
 type harness struct {
 	now       time.Time
 	d         *Detector
@@ -41,8 +41,9 @@
 	}
 }
 
-// A party falls silent. It is lost within the stated bound and not before, and its first word brings it back.
-func TestSilentPartyIsLostWithinTheBound(t *testing.T) {
+// A target that stops answering is declared failed within the documented bound and not earlier, and its
+// next message clears the failure.
+func TestUnresponsiveTargetFailsWithinTheBound(t *testing.T) {
 	w := newHarness()
 	began := w.now
 	w.d.Sent(w.now)
@@ -55,15 +56,16 @@
 	assert.Assert(t, !w.d.Failed())
 }
 
-// Nothing was asked, so nothing is owed: a party without traffic is never in doubt.
-func TestPartyThatIsAskedNothingIsFine(t *testing.T) {
+// A target to which nothing was sent is never suspected.
+func TestTargetWithoutMessagesIsNotSuspected(t *testing.T) {
 	w := newHarness()
 	w.run(time.Minute)
 	assert.Assert(t, !w.d.Failed())
 }
 
-// A message and its answer are lost, again and again, and the direct questions are answered.
-func TestPartyThatAnswersQuestionsIsFine(t *testing.T) {
+// Guards against declaring a target failed that answers probes, if messages and their answers are lost
+// repeatedly.
+func TestTargetThatAnswersProbesDoesNotFail(t *testing.T) {
 	w := newHarness()
 	w.answering = true
 	for range 100 {
@@ -73,10 +75,9 @@
 	assert.Assert(t, w.failedAt.IsZero())
 }
 
-// The observer's instance is frozen for five seconds right after it has asked. The answer lies in its socket when it wakes up, and
-// the clock says that five seconds have gone; with the clock's time it would have taken everybody for lost before it
-// read a word.
-func TestFrozenObserverTakesNobodyForLost(t *testing.T) {
+// Guards against an observer that was frozen for five seconds after sending a message and declares the target
+// failed before it reads the answer, which is in its socket. By the wall clock the timeout has passed.
+func TestFrozenObserverDeclaresNoTargetFailed(t *testing.T) {
 	w := newHarness()
 	w.d.Sent(w.now)
 	w.now = w.now.Add(5 * time.Second)
@@ -89,8 +90,9 @@
 	assert.Assert(t, w.failedAt.IsZero())
 }
 
-// Guards against a party that is lost by questions whose answers couldn't come, and against asking ever more often meanwhile.
-func TestQuestionsThatDoNotCountLoseNobody(t *testing.T) {
+// Guards against declaring a target failed because of probes that could not be answered, and against
+// probing more and more often meanwhile.
+func TestProbesThatDoNotCountDeclareNoFailure(t *testing.T) {
 	w := newHarness()
 	w.d.Sent(w.now)
 	questions := 0
@@ -100,17 +102,17 @@
 		case Probe:
 			questions++
 		case Failed:
-			t.Fatal("lost")
+			t.Fatal("declared failed")
 		case None:
 		}
 	}
 	assert.Assert(t, questions > 0 && questions <= 10, questions)
 	w.run(config.ProbeTimeout * time.Duration(config.Probes) * maxBackoff)
-	assert.Assert(t, !w.failedAt.IsZero(), "the way is open again, and the party has answered nothing")
+	assert.Assert(t, !w.failedAt.IsZero(), "the path is open again and the target has not answered")
 }
 
-// Whatever pauses the observer has, a party that answers each question within two ticks is never lost.
-func TestPartyThatLivesIsNeverLost(t *testing.T) {
+// A target that answers each probe within two ticks is never declared failed, for any pauses of the observer.
+func TestResponsiveTargetNeverFails(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		w := newHarness()
 		due := -1
