--- a/internal/load/trip/trip.go
+++ b/internal/load/trip/trip.go
@@ -1,46 +1,48 @@
-// Package trip is a circuit breaker for one backend server, kept by the agent beside it.
+// Package trip is a circuit breaker for one backend server, used by the agent beside it.
 //
-// The load pattern, and what goes wrong without it. A server that breaks off each request at once has nothing under
-// way and looks idle, so that whoever places by load sends it more: callers whose request was broken off come again, are given to the
-// same server, and fail for good after their third try. Of ten of 51 servers that went down and up by turns, 111 requests
-// of safe kind failed so in 6.5 s.
+// A server that aborts each request at once has nothing under way and looks idle, so that placement by
+// load sends it more requests. Callers whose requests were aborted retry, are placed on the same server,
+// and fail permanently after the third attempt. With 10 of 51 servers flapping, 111 idempotent requests
+// failed in this way within 6.5 s.
 //
-// The rule: after failuresToTrip requests in a row that the server broke off, it gets no new flow but one each tryEvery, and the
-// first answer ends that. A server that breaks off a part of its requests trips now and then, the more often the more
-// it breaks off.
+// After failuresToTrip consecutive requests that the server aborted, it receives no new flows except one
+// per probeInterval, and the first answer closes the breaker. A server that aborts only part of its
+// requests opens the breaker occasionally, more often the larger that part is.
 //
-// It decides about new flows of one server and knows nothing of others; who keeps the last one in use is the
-// caller's business. It is pure: time is handed in. It is not safe for concurrent use.
+// A breaker decides about new flows of one server and does not know other servers; keeping the last
+// available server in use is up to its caller. The caller also passes in the time. A Breaker is not safe
+// for concurrent use.
 //
 // # Usage
 //
 //	var b trip.Breaker
-//	if b.Failed(now) { tellThoseWhoRest() }
-//	b.Answered()
+//	if b.RecordFailure(now) { resetIdleFlows() }
+//	b.RecordAnswer()
 //	if !b.Allows(now) { placeElsewhere() }
 package trip
 
 import "time"
 
 const (
-	// failuresToTrip in a row are no accident: a server that breaks off one in ten requests hardly ever has as many, one
-	// that breaks off half of them soon has.
+	// failuresToTrip is the number of consecutive failures that opens the breaker. A server that aborts
+	// one in ten requests hardly ever has as many in a row; one that aborts half of them soon does.
 	failuresToTrip = 5
-	// probeInterval is how often a tripped server gets a flow, to see whether it is back: a caller that is unlucky comes again
-	// and is placed elsewhere.
+	// probeInterval is how often an open breaker lets a flow through, to see whether the server has
+	// recovered. A caller whose flow fails retries and is placed elsewhere.
 	probeInterval = 400 * time.Millisecond
 )
 
-// Breaker is one server's. Its zero value is closed: nothing has failed.
+// Breaker is the circuit breaker of one server. The zero value is a closed breaker.
 type Breaker struct {
 	failures  int
 	lastProbe time.Time
 }
 
-// Open says whether the server has tripped the breaker.
+// Open reports whether the breaker is open.
 func (b *Breaker) Open() bool { return b.failures >= failuresToTrip }
 
-// RecordFailure notes a request that the server broke off. It says whether that one has opened the breaker.
+// RecordFailure records a request that the server aborted. It reports whether this failure has opened the
+// breaker.
 func (b *Breaker) RecordFailure(now time.Time) (opened bool) {
 	b.failures++
 	if b.failures != failuresToTrip {
@@ -50,10 +52,10 @@
 	return true
 }
 
-// RecordAnswer notes an answer.
+// RecordAnswer records an answered request.
 func (b *Breaker) RecordAnswer() { b.failures = 0 }
 
-// Allows says whether the server may get a new flow.
+// Allows reports whether the server may receive a new flow.
 func (b *Breaker) Allows(now time.Time) bool {
 	if !b.Open() {
 		return true
--- a/internal/load/trip/trip_test.go
+++ b/internal/load/trip/trip_test.go
@@ -10,8 +10,9 @@
 
 var now = time.Unix(1_700_000_000, 0)
 
-// A server breaks off whatever comes. It gets one flow each 400 ms, and all again from its first answer.
-func TestFailingServerGetsAFlowNowAndThen(t *testing.T) {
+// A server that aborts every request receives one flow every 400 ms, and all flows again after its first
+// answer.
+func TestFailingServerGetsOneFlowPerProbeInterval(t *testing.T) {
 	var b Breaker
 	for range failuresToTrip - 1 {
 		assert.Assert(t, !b.RecordFailure(now))
@@ -22,7 +23,7 @@
 	for i := range 100 {
 		if b.Allows(now.Add(time.Duration(i) * 20 * time.Millisecond)) {
 			allowed++
-			assert.Assert(t, !b.RecordFailure(now), "it is open already")
+			assert.Assert(t, !b.RecordFailure(now), "the breaker is open already")
 		}
 	}
 	assert.Equal(t, allowed, 4)
@@ -30,8 +31,9 @@
 	assert.Assert(t, b.Allows(now))
 }
 
-// A tenth of the requests is broken off, at random, as by a server with a fault in one of its paths. Its callers would rather have it.
-func TestServerThatFailsNowAndThenStays(t *testing.T) {
+// Guards against opening the breaker of a server that aborts a tenth of its requests at random, as with a
+// fault in one of its code paths: its callers are better off with that server than without it.
+func TestServerWithOccasionalFailuresIsNotTripped(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	var b Breaker
 	opened := 0
@@ -45,11 +47,11 @@
 	assert.Assert(t, opened <= 1, opened)
 }
 
-// Fifty servers, five of which break off everything for as long as the load lasts; callers try three times. Compared in the same run are
-// placing by requests under way alone, which is the version before, and a random server.
-func TestCallersFailLessOften(t *testing.T) {
+// With breakers, fewer requests fail than with placement by load alone or with random placement, if five of
+// fifty servers abort every request and callers try three times. All three are compared on the same load.
+func TestBreakersReduceFailures(t *testing.T) {
 	const servers, failing, requests = 50, 5, 20_000
-	simulate := func(choose func(*rand.Rand, []Breaker, time.Time) int) (lost int) {
+	simulate := func(choose func(*rand.Rand, []Breaker, time.Time) int) (failed int) {
 		random := rand.New(rand.NewPCG(3, 4))
 		breakers := make([]Breaker, servers)
 		at := now
@@ -67,12 +69,12 @@
 				break
 			}
 			if !served {
-				lost++
+				failed++
 			}
 		}
-		return lost
+		return failed
 	}
-	pickIdle := func(r *rand.Rand) int { // three in ten of the busy ones are idle, the failing ones always
+	pickIdle := func(r *rand.Rand) int { // failing servers always look idle; three in ten of the others are idle
 		if r.IntN(4) == 0 {
 			return r.IntN(failing)
 		}
@@ -83,10 +85,10 @@
 	withBreakers := simulate(func(r *rand.Rand, b []Breaker, at time.Time) int {
 		s := pickIdle(r)
 		if !b[s].Allows(at) {
-			s = r.IntN(servers) // handed back, and placed again
+			s = r.IntN(servers) // returned and placed again
 		}
 		return s
 	})
-	t.Logf("lost of %d: by load %d, at random %d, with breakers %d", requests, byLoad, random, withBreakers)
+	t.Logf("failed of %d: by load %d, at random %d, with breakers %d", requests, byLoad, random, withBreakers)
 	assert.Assert(t, withBreakers < byLoad/5 && withBreakers <= random)
 }
