--- a/internal/load/quick/quick.go
+++ b/internal/load/quick/quick.go
@@ -1,24 +1,28 @@
-// Package quick finds out, beside one backend server, that it answers far too fast: it fails its requests.
+// Package quick is a circuit breaker, beside one backend server, that opens when the server answers much
+// faster than usual, which indicates that its answers are errors.
 //
-// The load pattern, and what goes wrong without it. A server that has lost what it needs answers each request by an error within a
-// few milliseconds, or a part of them, while its health check is good. Nobody can read an answer on an opaque flow. Such a server has
-// nothing under way and looks idle, so that whoever places by load sends it more than any other, and a request that must not run twice
-// fails for good.
+// A server that has lost a dependency answers all or some of its requests with an error within a few
+// milliseconds, while its health check succeeds. Answers on an opaque flow cannot be read. Such a server
+// has nothing under way and looks idle, so that placement by load sends it more requests than any other,
+// and requests that must not run twice fail permanently.
 //
-// The rule: for each kind of request, by the address that is called, the time that only a tenth of the answers stay under is learned. An
-// answer in less than a third of that hardly ever is a good one. When some of the last answers were so, the server gets no new flow but
-// one each tryEvery, until good answers outweigh.
+// For each kind of request, identified by the address that is called, the breaker learns the time below
+// which a tenth of the answers fall. An answer in less than a third of that time is hardly ever a good
+// one. After several such answers the server receives no new flows except one per probeInterval, until
+// good answers prevail.
 //
-// What it can't tell: requests that take as long as an error does, and a server that has failed ever since its agent knows it. A service
-// whose requests all turn short at once looks the same at each of its agents, so whoever is turned away by one has to be taken by the next.
+// The breaker does not detect errors that take as long as regular answers, or a server that has failed
+// since its agent started. If all requests of a service become short at once, the breakers of all its
+// agents open, so a flow that one agent returns has to be accepted by the next.
 //
-// It decides about new flows of one server and knows nothing of others. It is pure: time is handed in. It is not safe for concurrent use.
+// A breaker decides about new flows of one server and does not know other servers. The caller passes in
+// the time. A Breaker is not safe for concurrent use.
 //
 // # Usage
 //
-//	w := quick.New()
-//	if w.Answered(now, called, took) { log() }
-//	if !w.Allows(now) { placeElsewhere() }
+//	b := quick.New()
+//	if b.RecordAnswer(now, called, took) { log() }
+//	if !b.Allows(now) { placeElsewhere() }
 package quick
 
 import (
@@ -27,49 +31,52 @@
 )
 
 const (
-	// minSamples is how many answers of a kind are needed before one is judged.
+	// minSamples is the number of answers of a kind that are needed before an answer is judged.
 	minSamples = 16
-	// learnedQuantile is the part of all answers that take less than the time that is learned.
+	// learnedQuantile is the share of all answers that take less than the learned time.
 	learnedQuantile = 0.1
-	// learnRate is how much of what is learned one answer changes.
+	// learnRate is the weight of one answer in the learned time.
 	learnRate = 0.05
-	// tooFastLearnRate is that for answers that are far too fast: what a failing server does isn't learned within seconds, and a
-	// service whose requests turn short is after some hundreds of answers.
+	// tooFastLearnRate is the learning rate for answers that are too fast. The answers of a failing
+	// server are not learned within seconds, while a service whose requests become short is learned after
+	// some hundreds of answers.
 	tooFastLearnRate = learnRate / 10
-	// tooFastRatio of what is learned under which an answer is far too fast.
+	// tooFastRatio is the part of the learned time below which an answer is too fast.
 	tooFastRatio = 1.0 / 3
-	// decay is the weight of the answers before the last one, and keepOpen that of those before a good one of a server that fails: it
-	// gets few flows, and each one tells more.
+	// decay is the factor applied to the weight of previous answers with each new one. decayOpen applies to a
+	// good answer while the breaker is open: the server then receives few flows, and each answer says more.
 	decay     = 0.9
 	decayOpen = 0.8
-	// openWeight and closeAt are the weights of far too fast answers that open and close the breaker: three in a row open it, and so do two of
-	// five before long. They weigh no more than that, so that five good answers in a row close it.
+	// openWeight and closeWeight are the weights of too fast answers at which the breaker opens and
+	// closes. Three in a row open it, and so do two of five before long. The weight is capped at
+	// openWeight, so that five good answers in a row close the breaker.
 	openWeight  = 2.5
 	closeWeight = 1.0
-	// probeInterval is how often a server that fails gets a flow.
+	// probeInterval is how often a server with an open breaker receives a flow.
 	probeInterval = 400 * time.Millisecond
-	// maxKinds bounds the memory.
+	// maxKinds bounds the memory used for kinds of requests.
 	maxKinds = 256
 )
 
-// Breaker is one server's. The zero value is of no use.
+// Breaker is the circuit breaker of one server. Use New to create one; the zero value is not usable.
 type Breaker struct {
 	kinds     map[netip.AddrPort]*kind
-	weight    float64 // of answers that were far too fast
+	weight    float64 // of the answers that were too fast, decayed
 	open      bool
 	lastProbe time.Time
 }
 
-// kind is what is learned of one kind of request.
+// kind is what the breaker has learned about one kind of request.
 type kind struct {
 	answers  int
 	quantile time.Duration // a tenth of the answers take less
 }
 
-// New returns a watch that has seen no answer.
+// New returns a closed breaker without samples.
 func New() *Breaker { return &Breaker{kinds: map[netip.AddrPort]*kind{}} }
 
-// RecordAnswer notes how long an answer took on a flow to an address. It says whether that has opened or closed the breaker.
+// RecordAnswer records how long an answer took on a flow to the address called. It reports whether the
+// answer has opened or closed the breaker.
 func (b *Breaker) RecordAnswer(now time.Time, called netip.AddrPort, took time.Duration) (changed bool) {
 	k := b.kinds[called]
 	if k == nil {
@@ -100,10 +107,10 @@
 	}
 }
 
-// Open says whether the server fails.
+// Open reports whether the breaker is open.
 func (b *Breaker) Open() bool { return b.open }
 
-// Allows says whether the server may get a new flow.
+// Allows reports whether the server may receive a new flow.
 func (b *Breaker) Allows(now time.Time) bool {
 	if !b.open {
 		return true
@@ -119,7 +126,7 @@
 	return k.answers >= minSamples && float64(took) < tooFastRatio*float64(k.quantile)
 }
 
-// learn moves what is known towards the quantile.
+// learn moves the estimate towards the learned quantile.
 func (k *kind) learn(took time.Duration) {
 	k.answers++
 	if k.answers <= minSamples {
--- a/internal/load/quick/quick_test.go
+++ b/internal/load/quick/quick_test.go
@@ -15,24 +15,25 @@
 	uploads = netip.MustParseAddrPort("198.18.0.2:443")
 )
 
-// server answers some forty requests a second.
+// server simulates a server that answers about forty requests per second.
 type server struct {
 	breaker     *Breaker
 	now         time.Time
 	rand        *rand.Rand
-	transitions int // how often the breaker turned
+	transitions int // number of times the breaker opened or closed
 }
 
 func newServer(seed uint64) *server {
 	return &server{breaker: New(), now: time.Unix(1_700_000_000, 0), rand: rand.New(rand.NewPCG(seed, 1))}
 }
 
-// good is the time of a good answer around a median.
+// good returns the duration of a good answer, distributed around a median.
 func (s *server) good(median time.Duration) time.Duration {
 	return time.Duration(float64(median) * math.Exp(0.5*s.rand.NormFloat64()))
 }
 
-// run lets the server answer for a while, a part of the requests by errors. While the breaker is open it gets few.
+// run lets the server answer requests for a while, some of them with errors, and returns the number of
+// errors. While the breaker is open the server receives few requests.
 func (s *server) run(d time.Duration, called netip.AddrPort, median time.Duration, failing float64) (failed int) {
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(25 * time.Millisecond) {
 		if !s.breaker.Allows(s.now) {
@@ -50,8 +51,8 @@
 	return failed
 }
 
-// Guards against a server that fails all or some of its requests at once and gets the most flows.
-func TestServerThatFailsAtOnceGetsFewFlows(t *testing.T) {
+// Guards against placing the most flows on a server that fails all or some of its requests immediately.
+func TestServerThatFailsImmediatelyGetsFewFlows(t *testing.T) {
 	for _, failing := range []float64{1, 0.7, 0.4} {
 		for seed := range uint64(20) {
 			s := newServer(seed)
@@ -59,13 +60,13 @@
 			failed := s.run(6*time.Second, lookups, 47*time.Millisecond, failing)
 			assert.Assert(t, failed <= 40, "%d of 240 at %v, seed %d", failed, failing, seed)
 			s.run(6*time.Second, lookups, 47*time.Millisecond, 0)
-			assert.Assert(t, !s.breaker.Open(), "it answers again, seed %d", seed)
+			assert.Assert(t, !s.breaker.Open(), "breaker still open although the server has recovered, seed %d", seed)
 		}
 	}
 }
 
-// Guards against good servers that get no flows.
-func TestGoodServerIsLeftAlone(t *testing.T) {
+// Guards against opening the breaker of a good server.
+func TestBreakerStaysClosedForGoodServer(t *testing.T) {
 	for seed := range uint64(20) {
 		s := newServer(seed)
 		s.run(time.Minute, lookups, 47*time.Millisecond, 0)
@@ -74,8 +75,9 @@
 	}
 }
 
-// Guards against a server that looks failed after a time in which all was slow, or waited.
-func TestServerIsLeftAloneAfterSlowTimes(t *testing.T) {
+// Guards against opening the breaker when answers return to normal after a period in which all of them
+// were slow or queued.
+func TestBreakerStaysClosedAfterSlowPeriod(t *testing.T) {
 	for seed := range uint64(20) {
 		s := newServer(seed)
 		s.run(20*time.Second, lookups, 47*time.Millisecond, 0)
@@ -85,11 +87,11 @@
 	}
 }
 
-// Guards against a service whose requests have turned short and whose servers count as failed for good.
+// Guards against a breaker that never closes again after all requests of a service have become short.
 func TestShorterRequestsAreLearned(t *testing.T) {
 	s := newServer(1)
 	s.run(20*time.Second, lookups, 47*time.Millisecond, 0)
-	for range 2000 { // each is given to it, as all others turn flows away too
+	for range 2000 { // every flow is placed here because all other servers return it too
 		s.now = s.now.Add(25 * time.Millisecond)
 		s.breaker.RecordAnswer(s.now, lookups, s.good(5*time.Millisecond))
 	}
