--- a/internal/load/bulk/bulk.go
+++ b/internal/load/bulk/bulk.go
@@ -1,27 +1,32 @@
-// Package bulk decides at an entry when a flow that will fill the entry's link for long may begin.
+// Package bulk decides, at an entry, when a flow that will occupy the entry's link for a long time may start.
 //
-// The load pattern, and what goes wrong without it. Callers send all that fits into their window at once, and repeat what isn't acknowledged in
-// time. A few uploads at a time fill a narrow link; each further one makes all wait longer, those that only ask something among them, until
-// packets are repeated that still wait, and a link that has to carry nine tenths of its rate carries each packet twice.
+// A caller sends as much as its window allows at once and retransmits whatever is not acknowledged in
+// time. A few concurrent uploads fill a narrow link. Each further upload delays all flows, including
+// short requests, until packets are retransmitted while the originals are still queued, and a link at 90%
+// load carries each packet twice.
 //
 // The rules:
-//   - What a flow to an address sends is learned. Only flows that take over longFlow of the link's time are held up.
-//   - So many of them are under way at a time as fill the link with their windows, and no more: the others wait for their turn in
-//     the order in which they came, as their callers repeat an opening packet for a while.
-//   - One that can't begin in time is refused at once: its caller's next try comes by another entry.
 //
-// A flow is under way from its turn until its caller closes it, or has sent nothing for restFor. Flows that other entries began are counted as
-// soon as they are seen.
+//   - The gate learns how many bytes flows to an address send. Only flows that take more than
+//     longFlowTime of the link's time are delayed.
+//   - The number of such flows under way is limited to those whose windows fill the link. Other long
+//     flows wait in order of arrival, while their callers retransmit the opening packet.
+//   - A flow that cannot start in time is refused at once, and its caller's next attempt arrives through
+//     another entry.
 //
-// It knows the link's rate as its operator states it; without one nothing waits. What else narrows the link isn't seen. It is
-// pure: time is handed in. It is not safe for concurrent use.
+// A flow is under way from its start until its caller closes it or has sent nothing for idleTimeout.
+// Flows that were started through other entries are counted as soon as their packets are seen.
+//
+// The gate uses the link's rate as configured by the operator; without a rate, no flow waits. It does not
+// detect anything else that narrows the link. The caller passes in the time. A Gate is not safe for
+// concurrent use.
 //
 // # Usage
 //
-//	g := bulk.New(rate, patience)
-//	switch g.Open(now, flow, age, packet) { case bulk.Pass: place(packet) }
-//	g.Sent(now, flow, bytes)
-//	g.Closed(flow)
+//	g := bulk.New(rate, maxWait)
+//	switch g.Admit(now, flow, age, packet) { case bulk.Pass: place(packet) }
+//	g.RecordSent(now, flow, bytes)
+//	g.Close(flow)
 //	for w, ok := g.Next(now); ok; w, ok = g.Next(now) { place(w.Packet) }
 package bulk
 
@@ -34,59 +39,62 @@
 )
 
 const (
-	// callerWindow is what a caller has in flight at most, with the headers around it.
+	// callerWindow is the number of bytes a caller has in flight at most, including headers.
 	callerWindow = 16 * 1300
-	// maxQueueTime is the queue that the windows of flows under way make at most, unless one alone makes more.
+	// maxQueueTime is the longest queue that the windows of flows under way may create on the link,
+	// unless a single window creates a longer one.
 	maxQueueTime = 50 * time.Millisecond
-	// longFlowTime is the link's time that a flow has to take to be held up.
+	// longFlowTime is the link time above which a flow is long and may be delayed.
 	longFlowTime = maxQueueTime / 2
-	// idleTimeout is how long a flow under way may send nothing: a lost packet is repeated after 200 ms.
+	// idleTimeout is how long a flow under way may send nothing. A lost packet is retransmitted after 200 ms.
 	idleTimeout = 300 * time.Millisecond
-	// learnWindow is how many flows what they send is learned over.
+	// learnWindow is the number of flows over which the bytes per flow are averaged.
 	learnWindow = 8
-	// maxFlows bounds the memory for flows under way, mostKinds that for addresses.
+	// maxFlows and maxAddresses bound the memory used for flows under way and for addresses.
 	maxFlows     = 1024
 	maxAddresses = 256
 )
 
-// Verdict is what becomes of a flow that is to begin.
+// Verdict is the decision about a flow that is about to start.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Pass   Verdict = iota // it may begin
-	Hold                  // Next returns it when it may begin, or Late when it can't any more
-	Refuse                // it can't begin in time
+	Pass   Verdict = iota // the flow may start
+	Hold                  // the flow waits until Next or NextExpired returns it
+	Refuse                // the flow cannot start in time
 )
 
-// Gate is that of one entry. Its zero value lets everything pass.
+// Gate controls the long flows on the link of one entry. The zero value admits every flow.
 type Gate struct {
-	rate     float64 // bytes a second; 0: not stated
+	rate     float64 // bytes per second; 0 if not configured
 	maxWait  time.Duration
-	avgBytes map[netip.AddrPort]float64 // bytes that a flow to an address sends
+	avgBytes map[netip.AddrPort]float64 // average bytes sent by a flow to an address
 	active   map[segs.Flow]*flow
 	waiting  []QueuedFlow
 }
 
-// flow is one that is under way.
+// flow is a flow that is under way.
 type flow struct {
 	bytes    int
 	lastSent time.Time
 }
 
-// QueuedFlow is a flow that waits for its turn.
+// QueuedFlow is a flow that waits to start.
 type QueuedFlow struct {
 	Flow     segs.Flow
-	Packet   []byte    // its opening packet
-	deadline time.Time // it has waited for too long
+	Packet   []byte    // opening packet
+	deadline time.Time // the latest time at which the flow may start
 }
 
-// New returns the gate of a link of a rate in bytes a second, at which a flow waits no longer than patience.
+// New returns a gate for a link with the given rate in bytes per second, at which a flow waits no longer
+// than maxWait.
 func New(rate float64, maxWait time.Duration) *Gate {
 	return &Gate{rate: rate, maxWait: maxWait, avgBytes: map[netip.AddrPort]float64{}, active: map[segs.Flow]*flow{}}
 }
 
-// Admit says what becomes of a flow whose caller began to ask for it some time ago. It copies the packet of one that waits.
+// Admit decides about a flow whose caller sent its first opening packet the given age ago. The packet of
+// a flow that has to wait is copied.
 func (g *Gate) Admit(now time.Time, f segs.Flow, age time.Duration, packet []byte) Verdict {
 	switch {
 	case !g.isLong(f):
@@ -94,7 +102,7 @@
 	case len(g.waiting) == 0 && g.hasRoom():
 		g.begin(now, f)
 		return Pass
-	case age+g.expectedWait(f) > g.maxWait: // known now, so not told later
+	case age+g.expectedWait(f) > g.maxWait: // refused now rather than after maxWait
 		return Refuse
 	default:
 		g.waiting = append(g.waiting, QueuedFlow{Flow: f, Packet: slices.Clone(packet), deadline: now.Add(g.maxWait - age)})
@@ -102,18 +110,18 @@
 	}
 }
 
-// isLong says whether a flow is one that may be held up.
+// isLong reports whether a flow is long enough to be delayed.
 func (g *Gate) isLong(f segs.Flow) bool {
 	return g.rate > 0 && g.avgBytes[f.Called()]/g.rate > longFlowTime.Seconds()
 }
 
-// hasRoom says whether one more flow may be under way.
+// hasRoom reports whether one more long flow may be under way.
 func (g *Gate) hasRoom() bool {
 	limit := int(maxQueueTime.Seconds() * g.rate / callerWindow)
 	return g.activeLong() < max(1, limit)
 }
 
-// activeLong counts the long flows that are.
+// activeLong returns the number of long flows under way.
 func (g *Gate) activeLong() (n int) {
 	for f := range g.active {
 		if g.isLong(f) {
@@ -129,13 +137,14 @@
 	}
 }
 
-// expectedWait is how long a flow waits for its turn: until those before it have sent what they will, and half of those under way.
+// expectedWait estimates how long a flow waits to start: the time in which the flows ahead of it, and
+// half of those under way, send what they are expected to send.
 func (g *Gate) expectedWait(f segs.Flow) time.Duration {
 	before := float64(len(g.waiting)) + float64(g.activeLong())/2
 	return time.Duration(before * g.avgBytes[f.Called()] / g.rate * float64(time.Second))
 }
 
-// Contains says whether a flow waits for its turn.
+// Contains reports whether a flow is waiting to start.
 func (g *Gate) Contains(f segs.Flow) bool {
 	for _, w := range g.waiting {
 		if w.Flow == f {
@@ -145,10 +154,10 @@
 	return false
 }
 
-// Len is how many flows wait.
+// Len returns the number of waiting flows.
 func (g *Gate) Len() int { return len(g.waiting) }
 
-// RecordSent notes bytes that a flow's caller has sent.
+// RecordSent records bytes that the caller of a flow has sent.
 func (g *Gate) RecordSent(now time.Time, f segs.Flow, bytes int) {
 	if g.rate == 0 {
 		return
@@ -165,14 +174,14 @@
 	a.lastSent = now
 }
 
-// Close notes that a flow's caller has sent all that it will.
+// Close records that the caller of a flow has sent everything.
 func (g *Gate) Close(f segs.Flow) {
 	if a := g.active[f]; a != nil {
 		g.finish(f, a)
 	}
 }
 
-// finish forgets a flow and learns what it has sent.
+// finish removes a flow and learns from the number of bytes it has sent.
 func (g *Gate) finish(f segs.Flow, a *flow) {
 	delete(g.active, f)
 	called := f.Called()
@@ -185,7 +194,7 @@
 	}
 }
 
-// Next returns the flow whose turn it is.
+// Next removes and returns the next waiting flow if it may start.
 func (g *Gate) Next(now time.Time) (w QueuedFlow, ok bool) {
 	if len(g.waiting) == 0 || !g.hasRoom() {
 		return QueuedFlow{}, false
@@ -195,14 +204,14 @@
 	return w, true
 }
 
-// pop takes the first of the waiting flows.
+// pop removes and returns the first waiting flow.
 func (g *Gate) pop() QueuedFlow {
 	w := g.waiting[0]
 	g.waiting = slices.Delete(g.waiting, 0, 1)
 	return w
 }
 
-// NextExpired returns a flow that has waited for too long.
+// NextExpired removes and returns the next flow that has waited too long.
 func (g *Gate) NextExpired(now time.Time) (w QueuedFlow, ok bool) {
 	if len(g.waiting) == 0 || now.Before(g.waiting[0].deadline) {
 		return QueuedFlow{}, false
@@ -210,7 +219,7 @@
 	return g.pop(), true
 }
 
-// Expire ends flows that have sent nothing for a while.
+// Expire finishes flows that have sent nothing for idleTimeout.
 func (g *Gate) Expire(now time.Time) {
 	for f, a := range g.active {
 		if now.Sub(a.lastSent) > idleTimeout {
--- a/internal/load/bulk/play_test.go
+++ b/internal/load/bulk/play_test.go
@@ -14,9 +14,9 @@
 	"mangowinch/internal/flow/segs"
 )
 
-// What callers do, and a link of 10 Mbit/s.
+// Parameters of the simulated callers and of a link of 10 Mbit/s.
 const (
-	linkRate    = 10e6 / 8 // bytes a second
+	linkRate    = 10e6 / 8 // bytes per second
 	packetBytes = 1232
 	windowSize  = 16
 	baseRTT     = 5 * time.Millisecond
@@ -26,35 +26,36 @@
 	target      = 800 * time.Millisecond
 	deadline    = 4 * time.Second
 	meanBytes   = 80e3
-	maxQueued   = 1500 * time.Millisecond // more is dropped
+	maxQueued   = 1500 * time.Millisecond // packets beyond this are dropped
 )
 
 var uploadAddr = netip.MustParseAddrPort("198.18.0.1:443")
 
-// simulation is an entry's link and callers who upload, beside some that send a packet now and then.
+// simulation models an entry's link with callers that upload and callers that occasionally send a short
+// packet.
 type simulation struct {
-	gate    *Gate // nil: everything passes
+	gate    *Gate // nil admits every flow
 	rand    *rand.Rand
 	start   time.Time
 	now     time.Time
 	pending events
 	count   int
-	idleAt  time.Time // the link has sent all that waits
+	idleAt  time.Time // when the link has sent everything that is queued
 	uploads int
 
-	done       []time.Duration // how long finished uploads took, from their first packet
+	done       []time.Duration // durations of finished uploads, from their first packet
 	refused    int
 	failed     int
-	shortWaits []time.Duration // how long short packets waited at the link
+	shortWaits []time.Duration // queueing delays of short packets at the link
 }
 
-// upload is one caller's.
+// upload is the upload of one caller.
 type upload struct {
 	flow     segs.Flow
 	began    time.Time
 	acked    []bool
-	next     int // first packet that hasn't been sent
-	left     int // packets not acknowledged
+	next     int // first packet not sent yet
+	left     int // packets not acknowledged yet
 	flight   int
 	finished bool
 }
@@ -64,7 +65,8 @@
 	return &simulation{gate: gate, rand: rand.New(rand.NewPCG(seed, 3)), start: start, now: start, idleAt: start}
 }
 
-// transmit sends a packet; what is to be done when it is through may be nothing.
+// transmit queues a packet on the link and calls delivered when the link has sent it. Packets that exceed
+// the queue are dropped.
 func (p *simulation) transmit(bytes int, delivered func()) {
 	if p.idleAt.Before(p.now) {
 		p.idleAt = p.now
@@ -76,7 +78,7 @@
 	p.schedule(p.idleAt, delivered)
 }
 
-// arrive begins an upload.
+// arrive starts an upload.
 func (p *simulation) arrive() {
 	p.uploads++
 	f := segs.Flow{Caller: [4]byte{100, 64, byte(p.uploads >> 8), byte(p.uploads)}, Service: uploadAddr.Addr().As4(), CallerPort: 40000, Port: uploadAddr.Port()}
@@ -99,7 +101,7 @@
 	}
 }
 
-// queued are the uploads that wait for their turn.
+// queued holds the uploads that wait for the gate.
 var queued = map[segs.Flow]*upload{}
 
 func (p *simulation) giveUp(u *upload) {
@@ -119,7 +121,7 @@
 	}
 }
 
-// sendPacket sends one packet, and again until it is acknowledged.
+// sendPacket sends one packet and retransmits it until it is acknowledged.
 func (p *simulation) sendPacket(u *upload, i int, rto time.Duration) {
 	if u.finished || u.acked[i] {
 		return
@@ -152,7 +154,7 @@
 	}
 }
 
-// startQueued begins the uploads whose turn it is.
+// startQueued starts the queued uploads that the gate releases.
 func (p *simulation) startQueued() {
 	for w, ok := p.gate.NextExpired(p.now); ok; w, ok = p.gate.NextExpired(p.now) {
 		queued[w.Flow].finished = true
@@ -163,7 +165,7 @@
 	}
 }
 
-// run plays a load, a part of the link's rate, for some time.
+// run offers a load, as a share of the link's rate, for the given duration.
 func (p *simulation) run(load float64, d time.Duration) {
 	end := p.now.Add(d)
 	for at := p.now; at.Before(end); {
@@ -189,7 +191,7 @@
 	}
 }
 
-// inTime is the part of all uploads that finished within their target.
+// inTime returns the share of uploads that finished within their target.
 func (p *simulation) inTime() float64 {
 	n := 0
 	for _, d := range p.done {
@@ -205,7 +207,8 @@
 	return p.shortWaits[len(p.shortWaits)*99/100]
 }
 
-// Guards against a narrow link that a burst of uploads fills, so that they and all others wait for seconds.
+// Guards against a burst of uploads that fills a narrow link, so that the uploads and all other flows
+// wait for seconds.
 func TestBurstOfUploadsLeavesTheLinkUsable(t *testing.T) {
 	for _, load := range []float64{0.5, 0.9, 1.3} {
 		for seed := range uint64(3) {
@@ -225,7 +228,7 @@
 	}
 }
 
-// schedule does something later.
+// schedule calls do at the given time.
 func (p *simulation) schedule(at time.Time, do func()) {
 	p.count++
 	heap.Push(&p.pending, event{at: at, number: p.count, do: do})
