--- a/internal/load/warm/warm.go
+++ b/internal/load/warm/warm.go
@@ -1,49 +1,51 @@
-// Package warm limits the new flows of a server that has just started, to the rate that its service states for it.
+// Package warm limits the rate of new flows to a server that has just started, to the rate configured for
+// its service.
 //
-// The load pattern, and what goes wrong without it. A failure domain's servers come back together, empty: whoever places by load sends them
-// everything, and a server that has yet to fill its caches and open its connections bears a few requests a second. They queue, callers come
-// again, and the servers that were well get nothing meanwhile.
+// When the servers of a failure domain restart together they are empty, and placement by load sends them
+// all new flows. A server that has yet to fill its caches and open its connections can serve only a few
+// requests per second. Requests queue there and callers retry, while the healthy servers receive nothing.
 //
-// The rule: while a server is cold it gets no more flows in any second than stated, and one a second at the least, so that it is used
-// at all. It is the agent beside the server that counts, since it alone sees what all entries send. A flow over the limit goes elsewhere or
-// waits; who decides that is the caller of this package. Nothing is limited where nothing is stated.
+// While a server is cold it receives no more than the configured number of flows in any second, and at
+// least one per second so that it is used at all. The agent beside the server counts the flows, since
+// only it sees the flows from all entries. A flow above the limit is placed elsewhere or waits, as the
+// caller of this package decides. Without a configured rate nothing is limited.
 //
-// It is pure: time is handed in. It is not safe for concurrent use.
+// Package warm performs no I/O: the caller passes in the time. A Limiter is not safe for concurrent use.
 //
 // # Usage
 //
 //	var l warm.Limiter
-//	l.ColdFor(now, left)
+//	l.SetCold(now, left)
 //	if l.Allows(now, perSecond) {
-//		l.Took(now)
+//		l.Record(now)
 //	}
 package warm
 
 import "time"
 
-// window is the span in which the flows are counted, which slides.
+// window is the length of the sliding window in which flows are counted.
 const window = time.Second
 
-// Limiter counts the new flows of one server. Its zero value is that of a server that is warm.
+// Limiter counts the new flows of one server. The zero value is the limiter of a warm server.
 type Limiter struct {
 	coldUntil time.Time
-	recent    []time.Time // within the window, oldest first; kept while the server is cold
+	recent    []time.Time // flows within the window, oldest first
 }
 
-// SetCold says how much longer the server is cold; it replaces what was said before.
+// SetCold sets how much longer the server is cold, replacing any earlier value.
 func (l *Limiter) SetCold(now time.Time, left time.Duration) { l.coldUntil = now.Add(left) }
 
-// ExtendCold says that the server is cold for that long or longer.
+// ExtendCold ensures that the server is cold for at least the given time.
 func (l *Limiter) ExtendCold(now time.Time, left time.Duration) {
 	if until := now.Add(left); until.After(l.coldUntil) {
 		l.coldUntil = until
 	}
 }
 
-// Cold says whether the server is cold.
+// Cold reports whether the server is cold.
 func (l *Limiter) Cold(now time.Time) bool { return now.Before(l.coldUntil) }
 
-// Allows says whether the server may get a new flow. A rate of 0 is none: nothing is limited.
+// Allows reports whether the server may receive a new flow. With a rate of 0 there is no limit.
 func (l *Limiter) Allows(now time.Time, perSecond float64) bool {
 	if perSecond <= 0 || !l.Cold(now) {
 		return true
@@ -52,7 +54,7 @@
 	return len(l.recent) < max(1, int(perSecond))
 }
 
-// Record notes a new flow.
+// Record records a new flow.
 func (l *Limiter) Record(now time.Time) {
 	l.prune(now)
 	l.recent = append(l.recent, now)
--- a/internal/load/warm/warm_test.go
+++ b/internal/load/warm/warm_test.go
@@ -10,8 +10,8 @@
 
 var now = time.Unix(1_700_000_000, 0)
 
-// Guards against a cold server that gets more than it bears in some second, wherever that second begins.
-func TestNoSecondHasMoreThanStated(t *testing.T) {
+// Guards against a cold server that receives more flows than configured within any interval of one second.
+func TestNoSecondExceedsConfiguredRate(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		rate := rapid.Float64Range(0.2, 40).Draw(r, "rate")
 		var l Limiter
@@ -34,7 +34,7 @@
 	})
 }
 
-// Guards against a service without a stated rate, or a warm server, that is limited.
+// Guards against limiting a warm server or a service without a configured rate.
 func TestNothingIsLimitedWithoutARateOrWhenWarm(t *testing.T) {
 	var l Limiter
 	for range 100 {
@@ -47,8 +47,8 @@
 	assert.Assert(t, l.Allows(now.Add(time.Second), 5), "warm again")
 }
 
-// Guards against a server that is taken for warm because an older word said so.
-func TestColdAtLeast(t *testing.T) {
+// Guards against an earlier and shorter cold period that ends the current one.
+func TestExtendCold(t *testing.T) {
 	var l Limiter
 	l.ExtendCold(now, 2*time.Second)
 	l.ExtendCold(now, time.Second)
