--- a/internal/load/admit/admit.go
+++ b/internal/load/admit/admit.go
@@ -1,41 +1,42 @@
-// Package admit decides at one backend server which requests start, which wait
-// and which are refused at once.
+// Package admit decides, for one backend server, which requests start, which wait and which are refused
+// at once.
 //
-// The load patterns, and what goes wrong without it:
+// It guards against three load patterns:
 //
-//   - Saturation. Without a bound on waiting, every request waits longer than its
-//     deadline, the server works only on answers nobody waits for any more, and
-//     goodput falls to nothing. Here a request that cannot make its deadline by a
-//     pessimistic estimate is refused when it comes, as not run, so that what is let
-//     in is answered in time.
-//   - Long work among short. A server has 4 or 5 slots but holds 2,000 connections.
-//     Four uploads of some seconds would hold every slot, and lookups of some
-//     milliseconds would wait for seconds. Here long work has a bounded share of the slots.
-//   - A heavy caller. See package queue, which orders what waits and lets no caller
-//     fill the queue.
+//   - Saturation. If waiting is unbounded, every request waits longer than its deadline, the server works
+//     only on answers that nobody waits for, and goodput drops to zero. The gate refuses a request on
+//     arrival, as not run, if a pessimistic estimate says that it will miss its deadline, so that
+//     admitted requests are answered in time.
+//   - Long requests among short ones. A server has 4 or 5 slots but 2,000 connections. Four uploads of
+//     several seconds would occupy every slot, and lookups of a few milliseconds would wait for seconds.
+//     Long requests are therefore limited to a share of the slots.
+//   - A heavy caller. Package queue orders the waiting requests and lets no caller fill the queue.
 //
-// A feed holds a slot only until the first byte of its answer: it is open for
-// hours, so with 4 slots the fifth caseworker would wait until the evening. After
-// the first byte it is a connection and no longer work; the document's bound on
-// connections holds for it. The process reports the first byte as [Gate.Done].
+// A feed holds a slot only until the first byte of its answer. Feeds are open for hours, so with 4 slots
+// the fifth caller would otherwise wait until the others close theirs. After the first byte a feed counts
+// only as a connection, for which the document's limit on connections applies. The process reports the
+// first byte with [Gate.Done].
 //
-// The thresholds, which docs/design/tuning.md compares with others:
+// The thresholds, which docs/design/tuning.md compares with alternatives:
 //
-//   - A part of the time left may be spent waiting. With more, what was let in expires in the queue.
-//   - Feeds and uploads may hold half of the slots each, so that lookups are answered beside any number of them.
-//   - Retry-After is spread over a multiple of the expected shortage. Unspread, all callers come back at one moment.
+//   - Only a share of the time left may be spent waiting. With a larger share, admitted requests expire
+//     in the queue.
+//   - Feeds and uploads may each hold half of the slots, so that lookups are answered regardless of their
+//     number.
+//   - Retry-After is spread over a multiple of the expected shortage. Otherwise all refused callers
+//     return at the same time.
 //
-// It is not a network server: it takes events and returns decisions. It starts no
-// goroutine, and time and randomness are handed in; one process drives it under
-// one lock. It is not safe for concurrent use.
+// Package admit is not a network server: it maps events to decisions, starts no goroutine, and is passed
+// the time and the source of randomness. A Gate is not safe for concurrent use; one process drives it
+// under one lock.
 //
 // # Usage
 //
 //	gate := admit.New(admit.LimitsOf(service, self), random)
 //	switch d := gate.Arrive(now, request); d.Verdict {
-//	case admit.Run: // start it; call gate.Done when it ended
+//	case admit.Run: // start it; call gate.Done when it has ended
 //	case admit.Wait: // a later Change starts or refuses it
-//	case admit.Refuse: // answer not-run with d.Reason and Retry-After d.After
+//	case admit.Refuse: // answer not-run with d.Reason and Retry-After d.RetryAfter
 //	}
 //	change := gate.Done(now, request.ID, took)
 //	// start change.Started, answer change.Refused; set a timer for gate.NextExpiry()
@@ -51,39 +52,39 @@
 	"mangowinch/internal/work/result"
 )
 
-// Request is one request that wants to run at this server.
+// Request is a request that arrives at this server.
 type Request struct {
 	ID       uint64 // unique among the requests that wait or run here
-	Class    string // one of the document's
+	Class    string // name of a class of the document
 	Caller   queue.Caller
 	Deadline time.Time
 }
 
-// Verdict is what becomes of a request when it arrives.
+// Verdict is the decision about an arriving request.
 type Verdict uint8
 
-// The verdicts. The zero value refuses, so that a forgotten one starts nothing.
+// The verdicts. The zero value refuses, so that a verdict that was not set starts nothing.
 const (
 	Refuse Verdict = iota
 	Run
 	Wait
 )
 
-// Decision answers an arrival.
+// Decision is the gate's answer to an arriving request.
 type Decision struct {
 	Verdict    Verdict
-	Reason     result.Reason // of a refusal
-	RetryAfter time.Duration // of a refusal: when to come back
+	Reason     result.Reason // reason of a refusal
+	RetryAfter time.Duration // when the caller of a refused request should retry
 }
 
-// Refusal is a request that waited and is given up on. It did not run.
+// Refusal is a request that waited and is refused without having run.
 type Refusal struct {
 	ID         uint64
 	Reason     result.Reason
-	RetryAfter time.Duration // when to come back
+	RetryAfter time.Duration // when the caller should retry
 }
 
-// Change is what an event leads to: the process starts the ones and answers the others.
+// Change is the result of an event: the process starts the requests in Started and answers those in Refused.
 type Change struct {
 	Started []uint64
 	Refused []Refusal
@@ -97,11 +98,11 @@
 	lanes     map[docs.Kind]*lane
 	clock     queue.Clock
 	running   map[uint64]run
-	estimates map[string]*estimate // by class
+	estimates map[string]*estimate // keyed by class
 	shortage  shortage
 }
 
-// lane is one kind of work: its queue, and its place among the kinds.
+// lane is the queue of one kind of request, with the kind's share of the slots.
 type lane struct {
 	kind     docs.Kind
 	share    queue.Share
@@ -116,10 +117,10 @@
 	since time.Time
 }
 
-// kinds is the order in which lanes are considered when their claims are equal.
+// kinds is the order in which lanes with equal virtual start times are served.
 var kinds = []docs.Kind{docs.Lookup, docs.Feed, docs.Upload}
 
-// New returns a gate with nothing running.
+// New returns a gate with no running requests.
 func New(l Limits, random *rand.Rand) *Gate {
 	g := &Gate{
 		rules:     Default,
@@ -138,7 +139,7 @@
 // SetRules replaces the default thresholds.
 func (g *Gate) SetRules(r Rules) { g.rules = r }
 
-// Arrive decides on a new request.
+// Arrive decides about a new request.
 func (g *Gate) Arrive(now time.Time, r Request) Decision {
 	g.shortage.arrive(now)
 	class, ok := g.limits.class(r.Class)
@@ -150,9 +151,8 @@
 	}
 	l := g.lanes[class.Kind]
 	if l.waiting.Len() == 0 && g.hasSlot(l) {
-		// Even a request that seems to be late starts in a free slot: the slot would
-		// stay idle otherwise, and an estimate from a slow spell would never be
-		// corrected, since only runs correct it.
+		// A request starts in a free slot even if it is estimated to be late. The slot would stay idle
+		// otherwise, and an estimate from a slow period would never be corrected, since only runs update it.
 		l.waiting.Charge(r.Caller, g.cost(r.Class))
 		g.start(now, l, r.ID, r.Class)
 		return Decision{Verdict: Run}
@@ -171,10 +171,9 @@
 	return Decision{Verdict: Wait}
 }
 
-// Done says that a request has given its slot back: a lookup or upload that is
-// answered, a feed whose first byte came. took is its service time; 0 if it failed
-// or was cancelled, which says nothing of how long service takes (a server that
-// fails fast would look quick otherwise).
+// Done records that a request has released its slot: a lookup or upload has been answered, or a feed has
+// sent the first byte of its answer. took is the service time, or 0 if the request failed or was cancelled.
+// Such requests do not count as service times, because a server that fails fast would appear to be fast.
 func (g *Gate) Done(now time.Time, id uint64, took time.Duration) Change {
 	r, ok := g.running[id]
 	if !ok {
@@ -188,7 +187,7 @@
 	return g.fill(now)
 }
 
-// Cancel says that a caller went away; its request waits or runs no longer.
+// Cancel records that the caller of a request has cancelled it, whether the request waits or runs.
 func (g *Gate) Cancel(now time.Time, id uint64) Change {
 	for _, k := range kinds {
 		g.lanes[k].waiting.Remove(id)
@@ -196,8 +195,7 @@
 	return g.Done(now, id, 0)
 }
 
-// Expire gives up on waiting requests that could not be answered in time even
-// if they started now.
+// Expire refuses the waiting requests that could not be answered in time even if they started now.
 func (g *Gate) Expire(now time.Time) (c Change) {
 	for _, k := range kinds {
 		l := g.lanes[k]
@@ -211,7 +209,7 @@
 	return c
 }
 
-// NextExpiry returns when Expire is next due; the zero time if nothing waits.
+// NextExpiry returns when Expire is next due, or the zero time if no request waits.
 func (g *Gate) NextExpiry() (next time.Time) {
 	for _, k := range kinds {
 		for i := range g.lanes[k].waiting.All {
@@ -223,8 +221,8 @@
 	return next
 }
 
-// Drain takes out all that waits, oldest first within its kind, to be placed
-// elsewhere or refused. What runs goes on.
+// Drain removes all waiting requests, which are to be placed elsewhere or refused, and returns their IDs
+// by kind, oldest first. Running requests continue.
 func (g *Gate) Drain() (ids []uint64) {
 	for _, k := range kinds {
 		for _, i := range g.lanes[k].waiting.Clear() {
@@ -234,8 +232,8 @@
 	return ids
 }
 
-// SetLimits puts a new document in force. What waits stays, whether or not its
-// class still has room; what runs goes on, also over a smaller number of slots.
+// SetLimits applies the limits of a new document. Waiting requests stay queued even if their class has no
+// more room, and running requests continue even if they exceed a reduced number of slots.
 func (g *Gate) SetLimits(now time.Time, l Limits) Change {
 	g.limits = l
 	for _, k := range kinds {
@@ -249,7 +247,7 @@
 	return g.fill(now)
 }
 
-// fill starts what may start, and gives up on what would start too late.
+// fill starts waiting requests in the free slots and refuses those that would start too late.
 func (g *Gate) fill(now time.Time) (c Change) {
 	for {
 		l := g.next()
@@ -266,7 +264,8 @@
 	}
 }
 
-// next returns the lane that has the strongest claim to a slot, nil if none can use one.
+// next returns the lane with a waiting request that may start and has the earliest virtual start time, or
+// nil.
 func (g *Gate) next() (best *lane) {
 	for _, k := range kinds {
 		l := g.lanes[k]
@@ -286,7 +285,7 @@
 	g.running[id] = run{class: class, kind: l.kind, since: now}
 }
 
-// hasSlot reports whether a lane may take one more slot.
+// hasSlot reports whether a lane may use one more slot.
 func (g *Gate) hasSlot(l *lane) bool {
 	if len(g.running) >= g.limits.Slots {
 		return false
@@ -294,12 +293,12 @@
 	return l.kind == docs.Lookup || l.inflight < g.slotLimit(l) && g.longInFlight() < max(1, g.limits.Slots-1)
 }
 
-// longInFlight returns how many slots feeds and uploads hold.
+// longInFlight returns the number of slots that feeds and uploads hold.
 func (g *Gate) longInFlight() int {
 	return g.lanes[docs.Feed].inflight + g.lanes[docs.Upload].inflight
 }
 
-// Running returns the IDs that hold slots, sorted.
+// Running returns the sorted IDs of the requests that hold slots.
 func (g *Gate) Running() []uint64 {
 	ids := make([]uint64, 0, len(g.running))
 	for id := range g.running {
--- a/internal/load/admit/admit_test.go
+++ b/internal/load/admit/admit_test.go
@@ -30,7 +30,7 @@
 	Callers: []docs.Caller{{Name: "fund-a", Weight: 1}, {Name: "fund-b", Weight: 1}},
 }
 
-// testGate is a gate with the clock and the request numbers of one test.
+// testGate is a gate with the clock and the request IDs of one test.
 type testGate struct {
 	*Gate
 	now time.Time
@@ -46,7 +46,7 @@
 	return b.Arrive(b.now, Request{ID: b.id, Class: class, Caller: c, Deadline: b.now.Add(left)})
 }
 
-// learn runs lookups to their end, each after the given time.
+// learn runs lookups to completion, each with the given service time.
 func (b *testGate) learn(took time.Duration) {
 	for range 8 {
 		b.arrive("claim", fundA, time.Minute)
@@ -55,10 +55,9 @@
 	}
 }
 
-// A fund sends more than the servers can do. Its callers would all wait past
-// their deadlines, and every answer would come too late for somebody. What can't be
-// answered in time is refused when it comes; what is let in waits less than its time.
-func TestRefusesAtOnceWhatWouldBeLate(t *testing.T) {
+// Guards against overload in which every caller waits past its deadline: a request that cannot be
+// answered in time is refused on arrival, and an admitted request waits less than its time left.
+func TestRefusesLateRequestsOnArrival(t *testing.T) {
 	b := newTestGate(limits)
 	b.learn(100 * time.Millisecond)
 	for range 4 {
@@ -71,8 +70,7 @@
 	assert.Assert(t, d.RetryAfter >= minRetryAfter && d.RetryAfter <= 5*minRetryAfter, d.RetryAfter)
 }
 
-// Heirs upload scans for seconds each. Were every slot theirs, a caseworker's
-// lookup of some milliseconds would wait for seconds.
+// Guards against uploads of several seconds that occupy every slot while short lookups wait.
 func TestUploadsLeaveSlotsToLookups(t *testing.T) {
 	b := newTestGate(limits)
 	for range 2 {
@@ -83,14 +81,14 @@
 	assert.Equal(t, b.arrive("claim", fundB, time.Second).Verdict, Run)
 }
 
-// A server with a single slot still takes uploads.
+// Guards against a share of the slots that rounds down to zero for uploads.
 func TestSingleSlotTakesAllKinds(t *testing.T) {
 	l := limits
 	l.Slots = 1
 	assert.Equal(t, newTestGate(l).arrive("scan", fundA, time.Minute).Verdict, Run)
 }
 
-// Lookups never stop coming. An upload that waits gets a slot all the same.
+// Guards against a continuous load of lookups that keeps a waiting upload out.
 func TestLookupsDoNotKeepUploadsOut(t *testing.T) {
 	b := newTestGate(limits)
 	b.learn(100 * time.Millisecond)
@@ -110,8 +108,8 @@
 	assert.Assert(t, slices.Contains(running, scan))
 }
 
-// A feed is open for hours. The fifth caseworker still gets one, since a feed gives its
-// slot back with the first byte.
+// Guards against open feeds that occupy the slots: a feed releases its slot with the first byte of its
+// answer.
 func TestOpenFeedsHoldNoSlot(t *testing.T) {
 	b := newTestGate(limits)
 	for range 100 {
@@ -121,8 +119,8 @@
 	assert.Equal(t, b.Stats().Running, 0)
 }
 
-// One fund sends without end. It is refused at once when it holds its part of the
-// queue, and the other fund still finds room.
+// Guards against a caller that fills the queue: it is refused at once when it has used its part, and
+// another caller still finds room.
 func TestHeavyCallerLeavesRoom(t *testing.T) {
 	b := newTestGate(limits)
 	waiting := 0
@@ -137,15 +135,15 @@
 	assert.Equal(t, b.arrive("claim", fundB, time.Minute).Verdict, Wait)
 }
 
-// A backend server was slow for a while and is quick again. If nothing were let in
-// by the old estimate, it would never be measured again and stay refused for ever.
-func TestSlowSpellDoesNotCloseTheGate(t *testing.T) {
+// Guards against refusing every request after a slow period: without new runs the old estimate would
+// never be corrected.
+func TestSlowPeriodDoesNotCloseTheGate(t *testing.T) {
 	b := newTestGate(limits)
 	b.learn(2 * time.Second)
 	assert.Equal(t, b.arrive("claim", fundA, 500*time.Millisecond).Verdict, Run)
 }
 
-// A backend server answers 500 within a millisecond. Its failures must not count as quick service.
+// Guards against counting requests that fail within a millisecond as fast service.
 func TestFailuresDoNotLowerTheEstimate(t *testing.T) {
 	b := newTestGate(limits)
 	b.learn(100 * time.Millisecond)
@@ -170,7 +168,7 @@
 	assert.Assert(t, b.NextExpiry().IsZero())
 }
 
-// The backend server leaves. What runs ends on its own; what waits is handed out once to be passed on.
+// When the server is drained, running requests continue and waiting requests are returned exactly once.
 func TestDrainHandsOutWhatWaits(t *testing.T) {
 	b := newTestGate(limits)
 	for range 6 {
@@ -181,8 +179,8 @@
 	assert.Equal(t, len(b.Done(b.now, 1, time.Second).Started), 0)
 }
 
-// The document gives the server fewer slots, then more: nothing that runs is
-// stopped, and what waits starts with the new slots.
+// When a new document reduces the slots, running requests continue; when it adds slots, waiting requests
+// start.
 func TestSetLimitsStartsWhatWaits(t *testing.T) {
 	b := newTestGate(limits)
 	for range 6 {
@@ -196,8 +194,8 @@
 	assert.DeepEqual(t, b.SetLimits(b.now, l).Started, []uint64{5, 6})
 }
 
-// A server refuses a stray request now and then for an hour, then the service is short for
-// ten seconds. The first callers are told to come back soon, not in an hour; the last ones later.
+// Guards against a Retry-After that counts occasional refusals of the last hour as a shortage: the first
+// refusals of a real shortage have a short Retry-After, later ones a longer one.
 func TestRetryAfterFollowsTheShortage(t *testing.T) {
 	b := newTestGate(limits)
 	for range 3600 {
@@ -218,8 +216,8 @@
 	assert.Assert(t, last >= 10*time.Second && last <= 50*time.Second, last)
 }
 
-// Whatever happens, in any order: each request is started at most once and either
-// started or refused in the end, never both, and slots and queues keep their bounds.
+// For any order of events, each request is started at most once, ends up either started or refused, and
+// the limits of slots and queues hold.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := newTestGate(limits)
@@ -251,7 +249,7 @@
 				apply(b.Expire(b.now))
 			case 5:
 				if !running[id] && settled[id] == 0 && id > 0 {
-					settled[id]++ // the caller of a waiting request went away
+					settled[id]++ // a waiting request was cancelled
 				}
 				apply(b.Cancel(b.now, id))
 				running[id] = false
--- a/internal/load/admit/after.go
+++ b/internal/load/admit/after.go
@@ -7,21 +7,20 @@
 	"mangowinch/internal/work/result"
 )
 
-// Parameters of Retry-After.
+// Limits of Retry-After.
 const (
-	minRetryAfter = time.Second      // the header's own unit
-	maxRetryAfter = 30 * time.Second // before spreading; a caller that is told more ignores it
-	// shortageShare is the share of a second's requests that has to be refused for the
-	// shortage to go on. A stray refusal now and then is none: were it one, the
-	// first callers of an outage would be told to stay away for as long as
-	// there have been stray refusals.
+	minRetryAfter = time.Second      // the unit of the header
+	maxRetryAfter = 30 * time.Second // before spreading; callers ignore longer values
+	// shortageShare is the share of a second's requests that have to be refused for a shortage to
+	// continue. Occasional refusals are not a shortage: if they were, the first callers of an outage
+	// would be asked to stay away for as long as there have been occasional refusals.
 	shortageShare = 0.05
 )
 
-// shortage follows since when a good part of the requests is refused.
+// shortage tracks since when a significant share of the requests has been refused.
 type shortage struct {
-	since             time.Time // zero if there is none
-	windowStart       time.Time // begin of the second that is counted
+	since             time.Time // zero if there is no shortage
+	windowStart       time.Time // start of the second that is being counted
 	arrivals, refused int
 }
 
@@ -39,7 +38,8 @@
 	return now.Sub(s.since)
 }
 
-// advance ends the shortage if a second has ended in which little was refused.
+// advance starts counting a new second if the current one is over, and ends the shortage if few requests
+// were refused in it.
 func (s *shortage) advance(now time.Time) {
 	elapsed := now.Sub(s.windowStart)
 	if elapsed < time.Second {
@@ -51,19 +51,18 @@
 	s.windowStart, s.arrivals, s.refused = now, 0, 0
 }
 
-// RetryAfter is when a caller that is refused now is to come back; it notes the refusal.
-// A process asks for it when it refuses for a reason of its own, such as that no server
-// can be reached. A shortage is expected to last about as long again as it has
-// lasted, and no less than the queue takes to empty. The answer is spread evenly beyond
-// that: callers that were refused together would otherwise come back together and
-// make the next shortage.
+// RetryAfter records a refusal and returns after which time the refused caller should retry. A process
+// also calls it when it refuses a request for a reason of its own, such as that no server is reachable. A
+// shortage is expected to last as long again as it has lasted so far, and at least until the queue is
+// empty. The result is spread evenly beyond that time, because callers that were refused together would
+// otherwise return together and cause the next shortage.
 func (g *Gate) RetryAfter(now time.Time) time.Duration {
 	base := max(g.shortage.refuse(now), g.backlog(), minRetryAfter)
 	base = min(base, maxRetryAfter)
 	return base + time.Duration(g.rules.Spread*g.random.Float64()*float64(base))
 }
 
-// backlog is how long the slots take for all that waits.
+// backlog returns how long the slots take to serve all waiting requests.
 func (g *Gate) backlog() time.Duration {
 	cost := 0.0
 	for _, k := range kinds {
@@ -82,7 +81,7 @@
 	return Refusal{ID: id, Reason: r, RetryAfter: g.RetryAfter(now)}
 }
 
-// Stats is the state of a gate for /status and for the load that peers are told of.
+// Stats is the state of a gate, as shown by /status and used for the load reports to peers.
 type Stats struct {
 	Slots   int             `json:"slots"`
 	Running int             `json:"running"`
@@ -91,16 +90,16 @@
 	Callers []queue.Backlog `json:"callers"`
 }
 
-// ClassStats is what is measured of one class.
+// ClassStats holds the service time statistics of one class.
 type ClassStats struct {
 	Class string        `json:"class"`
-	Mean  time.Duration `json:"mean"` // of service
+	Mean  time.Duration `json:"mean"` // mean service time
 	Runs  int           `json:"runs"`
 }
 
-// ServiceTime is the service time to tell peers: the mean of the shortest class. A mean over
-// all classes would make a server look slow that happens to have got more uploads. 0 if
-// nothing has been measured.
+// ServiceTime returns the service time to report to peers: the mean of the fastest class, or 0 if no
+// request has completed. A mean over all classes would make a server that happens to receive more uploads
+// appear slow.
 func (s Stats) ServiceTime() (shortest time.Duration) {
 	for _, c := range s.Classes {
 		if c.Runs > 0 && (shortest == 0 || c.Mean < shortest) {
@@ -110,7 +109,7 @@
 	return shortest
 }
 
-// Stats returns a copy of the gate's state.
+// Stats returns a snapshot of the gate's state.
 func (g *Gate) Stats() Stats {
 	s := Stats{Slots: g.limits.Slots, Running: len(g.running)}
 	for _, k := range kinds {
--- a/internal/load/admit/estimate.go
+++ b/internal/load/admit/estimate.go
@@ -7,14 +7,13 @@
 	"mangowinch/internal/load/queue"
 )
 
-// estimateGain is the weight of the newest run, as in TCP's round-trip estimate: some ten
-// runs make up the mean, so a server that turns slow is believed within three rounds
-// of its slots.
+// estimateGain is the weight of the newest run, the value of TCP's round-trip time estimator. About ten runs
+// determine the mean, so the estimate follows a server that becomes slow within three rounds of its slots.
 const estimateGain = 0.125
 
-// estimate follows the service time of one class.
+// estimate is the estimated service time of one class.
 type estimate struct {
-	mean float64 // seconds
+	mean float64 // in seconds
 	runs int
 }
 
@@ -35,22 +34,22 @@
 	return e
 }
 
-// cost is what a run of a class is expected to take, in seconds of a slot; 0 as
-// long as none has ended, when only the bounds of the queue hold.
+// cost returns the expected service time of a class in seconds of a slot. It is 0 until a run has
+// completed; until then only the limits of the queue apply.
 func (g *Gate) cost(class string) float64 {
 	return g.estimate(class).mean
 }
 
-// tooLate reports whether a request that has to wait is to be refused. The estimate
-// is pessimistic in that waiting may take only a part of the time left: the rest is
-// for a service time that is over the mean and for a wait that is longer than expected.
+// tooLate reports whether a request that has to wait is to be refused. The estimate is pessimistic: only
+// a share of the time left may be spent waiting, and the rest is a margin for a service time above the
+// mean and for a longer wait than expected.
 func (g *Gate) tooLate(now time.Time, l *lane, r Request) bool {
 	wait, left := g.expectedWait(now, l, r.Caller), r.Deadline.Sub(now).Seconds()
 	return wait > g.rules.WaitShare*left || wait+g.cost(r.Class) > left
 }
 
-// expectedWait is the expected wait of a new request of a caller, in seconds: the work that
-// starts before it, over the slots that its kind can count on.
+// expectedWait returns the expected wait of a new request of a caller, in seconds: the work that starts
+// before it, divided by the slots usable by its kind.
 func (g *Gate) expectedWait(now time.Time, l *lane, c queue.Caller) float64 {
 	work := l.waiting.Ahead(c)
 	for _, r := range g.running {
@@ -61,15 +60,15 @@
 	return work / float64(g.usableSlots(l))
 }
 
-// remaining is what a run still takes. A run that is over its mean may be one of
-// a slow server; half of the mean more is assumed, so that it never counts as nothing.
+// remaining returns the expected remaining time of a run in seconds. For a run that has exceeded the
+// mean, which may be on a slow server, it is half of the mean rather than zero.
 func (g *Gate) remaining(now time.Time, r run) float64 {
 	mean := g.cost(r.class)
 	return max(mean-now.Sub(r.since).Seconds(), mean/2)
 }
 
-// usableSlots is how many slots a kind can count on: its bound, less those that other
-// kinds hold or wait for.
+// usableSlots returns the number of slots that a kind can expect to use: its limit, less the slots that
+// other kinds hold or wait for.
 func (g *Gate) usableSlots(l *lane) int {
 	slots := g.limits.Slots
 	for _, k := range kinds {
@@ -80,7 +79,7 @@
 	return max(1, min(slots, g.slotLimit(l)))
 }
 
-// latestStart is when a waiting request has to start at the latest.
+// latestStart returns the latest time at which a waiting request can start and still meet its deadline.
 func (g *Gate) latestStart(i queue.Item) time.Time {
 	return i.Deadline.Add(-seconds(g.cost(i.Class)))
 }
--- a/internal/load/admit/limits.go
+++ b/internal/load/admit/limits.go
@@ -4,21 +4,20 @@
 	"mangowinch/internal/conf/docs"
 )
 
-// Limits are what the document says of one backend server.
+// Limits holds the limits that the document sets for one backend server.
 type Limits struct {
 	Slots   int
 	Classes []docs.Class
 	Callers []docs.Caller
 }
 
-// LimitsOf takes the limits of one server from its service's document.
+// LimitsOf returns the limits of one server from its service's document.
 func LimitsOf(s *docs.Service, server docs.Server) Limits {
 	return Limits{Slots: server.Slots, Classes: s.Classes, Callers: s.Callers}
 }
 
-// The weights of the kinds when all of them wait: lookups get half of the slots'
-// time, feeds up to their first byte and uploads a quarter each, so that a flood of
-// lookups does not keep uploads out for ever.
+// Weights of the kinds when all of them wait. Lookups get half of the slots' time; uploads, and feeds up
+// to their first byte, get a quarter each, so that a flood of lookups cannot keep uploads out.
 const (
 	lookupWeight = 2
 	longWeight   = 1
@@ -31,19 +30,19 @@
 	return longWeight
 }
 
-// Rules are the thresholds of admission.
+// Rules holds the thresholds of admission.
 type Rules struct {
 	WaitShare float64 // share of the time left to the deadline that a request may be expected to wait
-	Spread    float64 // Retry-After is spread over once to 1+Spread times the expected shortage
-	LongShare float64 // share of the slots that feeds may hold, and that uploads may hold
+	Spread    float64 // Retry-After is spread between 1 and 1+Spread times the expected shortage
+	LongShare float64 // share of the slots that feeds may hold, and likewise uploads
 }
 
-// Default are the thresholds in use; docs/design/load.md has the runs behind them.
+// Default holds the default thresholds; docs/design/load.md gives the reasons for them.
 var Default = Rules{WaitShare: 0.3, Spread: 4, LongShare: 0.5}
 
-// slotLimit is how many slots a kind may hold. Feeds and uploads together leave one free
-// besides, so that lookups always find a slot that turns over quickly; a server with
-// one slot has it for all kinds.
+// slotLimit returns the number of slots that a kind may hold. Feeds and uploads together also leave one
+// slot free (see hasSlot), so that lookups always find a slot with short service times. A server with a
+// single slot makes it available to all kinds.
 func (g *Gate) slotLimit(l *lane) int {
 	if l.kind == docs.Lookup {
 		return g.limits.Slots
