--- a/internal/load/place/place.go
+++ b/internal/load/place/place.go
@@ -1,33 +1,32 @@
-// Package place chooses the backend server on which a request runs: the agent's
-// own, or one of a peer agent's of the same service.
+// Package place selects the backend server on which a request runs: the agent's own server, or that of a
+// peer agent of the same service.
 //
-// The load patterns, and what goes wrong without it. A connection stays with the
-// agent that it reached, and callers don't send equally much, so that one server is
-// full while its neighbours idle. Balancers that all act on the same old report send
-// everything to the server that was idle a second ago. A server that fails fast
-// always looks idle and swallows the service's requests. A server that was just
-// started gets a full share while its caches are empty. And if everything that
-// looks sick is avoided, the few that are left drown.
+// A connection stays with the agent that it reached, and callers do not send equal load, so that one server
+// is full while others are idle. Load balancers that act on the same outdated report send every request to
+// the server that was idle a second ago. A server that fails fast always looks idle and attracts the
+// requests of the whole service. A server that was just started receives a full share while its caches are
+// empty. And if every server that appears unhealthy is avoided, the few that remain are overloaded.
 //
 // The rules, in order:
 //
-//   - The own server if it has an idle slot: a hop is paid only when it buys something.
-//   - It buys something if the own server is full, leaving, ejected, cold, much
-//     slower than its peers, or has lately worked more than they have.
-//   - Then the better of two peers picked at random among those that seem to have an
-//     idle slot. Two choices, and the agent's own count of what it sent since the
-//     last report, keep agents with the same old report from choosing the same peer.
-//   - Equal ones are told apart by failure domain: the near one.
-//   - If nobody seems idle, the own server, unless a peer is expected to answer much earlier.
+//   - The own server is used if it has an idle slot, because handing over a request costs a hop.
+//   - A request is handed over if the own server is full, leaving, ejected, cold, much slower than its
+//     peers, or has recently been busier than they are.
+//   - It goes to the better of two peers selected at random among those that appear to have an idle slot.
+//     The random choice, and the agent's own count of requests sent since the last report, prevent agents
+//     with the same outdated report from selecting the same peer.
+//   - Among equal peers, one in the same failure domain is preferred.
+//   - If no peer appears idle, the own server is used, unless a peer is expected to answer much earlier.
 //
-// Reports are hints: they fade with age, the agent's own count and measurement stand
-// beside them and the worse of the two counts, and a refusal outweighs any report.
+// Reports are hints: their weight decreases with age, the agent compares them with its own counts and
+// latencies and uses the worse of the two, and a refusal overrides any report.
 //
-// Every request that is handed over costs a hop, so small differences count as equal. At most half of the servers are ejected:
-// more, and the others couldn't carry the load. docs/design/tuning.md compares the thresholds with others.
+// Since each hand-over costs a hop, small differences count as equal. At most half of the servers are
+// ejected, because the remaining ones could not carry the load otherwise. docs/design/tuning.md compares
+// the thresholds with alternatives.
 //
-// The package does not decide whether a server takes the request (package admit),
-// nor whether a refused one is tried again (package retry). It is not safe for concurrent use.
+// Package place does not decide whether a server accepts the request (see package admit) or whether a
+// refused request is retried (see package retry). A Placer is not safe for concurrent use.
 //
 // # Usage
 //
@@ -47,7 +46,7 @@
 	"mangowinch/internal/conf/docs"
 )
 
-// Server is what the document says of one server.
+// Server is a server as configured in the document.
 type Server struct {
 	ID      uint32
 	Domain  string
@@ -55,7 +54,7 @@
 	Leaving bool
 }
 
-// ServersOf lists the servers of a document.
+// ServersOf returns the servers of a document.
 func ServersOf(s *docs.Service) []Server {
 	list := make([]Server, 0, len(s.Servers))
 	for _, v := range s.Servers {
@@ -64,43 +63,43 @@
 	return list
 }
 
-// Hint is what an agent says of its server; a peer gets it late.
+// Hint is the load that an agent reports for its server. Peers receive it with a delay.
 type Hint struct {
-	Running     int           // requests in slots
+	Running     int           // requests that hold slots
 	Waiting     int           // requests in the queue
-	Utilization float64       // share of the slots' time used lately, 0 to 1
+	Utilization float64       // recently used share of the slots' time, 0 to 1
 	Service     time.Duration // mean service time
-	Leaving     bool          // takes no new work
+	Leaving     bool          // accepts no new requests
 }
 
-// Self names the agent's own server.
+// Self identifies the agent's own server.
 type Self struct {
 	ID     uint32
 	Domain string
 }
 
-// Reason says what a choice was made for; each has a counter.
+// Reason is the reason for a choice. Each has a counter.
 type Reason string
 
-// The reasons of a choice.
+// The reasons for a choice.
 const (
 	Own      Reason = "own"      // the own server has an idle slot
-	Full     Reason = "full"     // the own server is full, a peer has an idle slot
-	Balance  Reason = "balance"  // the own server worked more than a peer lately
+	Full     Reason = "full"     // the own server is full and a peer has an idle slot
+	Balance  Reason = "balance"  // the own server has recently been busier than a peer
 	Slow     Reason = "slow"     // the own server is much slower than a peer
 	Avoid    Reason = "avoid"    // the own server is leaving, ejected or already tried
-	Shorter  Reason = "shorter"  // all are full; a peer is expected to answer much earlier
-	Stay     Reason = "stay"     // all are full, or no peer is better
-	NoServer Reason = "noserver" // nothing may take the request
+	Shorter  Reason = "shorter"  // all servers are full, and a peer is expected to answer much earlier
+	Stay     Reason = "stay"     // all servers are full, or no peer is better
+	NoServer Reason = "noserver" // no server may take the request
 )
 
-// Choice is where a request goes. Server is 0 if nothing may take it.
+// Choice is the server selected for a request. Server is 0 if no server may take it.
 type Choice struct {
 	Server uint32
 	Reason Reason
 }
 
-// Placer holds what one agent knows of the servers of its service.
+// Placer holds the state of the servers of a service as one agent knows it.
 type Placer struct {
 	rules  Rules
 	self   Self
@@ -108,7 +107,7 @@
 	states []*state // ordered by ID
 }
 
-// New returns a placer that knows of no server yet.
+// New returns a Placer without servers.
 func New(self Self, random *rand.Rand) *Placer {
 	return &Placer{rules: Default, self: self, random: random}
 }
@@ -116,8 +115,8 @@
 // SetRules replaces the default thresholds.
 func (p *Placer) SetRules(r Rules) { p.rules = r }
 
-// SetServers puts the servers of a new document in force. A server that is new
-// starts cold, except with the first document: then nobody knows who is cold.
+// SetServers applies the servers of a new document. A new server starts cold, except with the first
+// document, when it is unknown which servers are cold.
 func (p *Placer) SetServers(now time.Time, servers []Server) {
 	first := p.states == nil
 	states := make([]*state, 0, len(servers))
@@ -136,15 +135,15 @@
 	p.states = states
 }
 
-// Joined says that a server was started anew: it gets a growing share.
+// Joined records that a server has been restarted. Its share grows over the slow start.
 func (p *Placer) Joined(now time.Time, id uint32) {
 	if s := p.state(id); s != nil {
 		*s = state{Server: s.Server, coldSince: now, inflight: s.inflight}
 	}
 }
 
-// Choose returns the server for a request. own is the state of the agent's own
-// server, tried the servers that already refused the request.
+// Choose returns the server for a request. own is the current state of the agent's own server, and tried
+// lists the servers that have already refused the request.
 func (p *Placer) Choose(now time.Time, own Hint, tried []uint32) Choice {
 	mine := p.state(p.self.ID)
 	peers := p.candidates(now, tried)
@@ -190,7 +189,7 @@
 	return Choice{best.ID, Avoid}
 }
 
-// candidates are the peers that may be given work.
+// candidates returns the peers that may receive requests.
 func (p *Placer) candidates(now time.Time, tried []uint32) (list []*state) {
 	for _, s := range p.states {
 		if s.ID != p.self.ID && !s.unavailable(now) && !slices.Contains(tried, s.ID) {
@@ -200,7 +199,7 @@
 	return list
 }
 
-// withIdleSlot keeps those that seem to have an idle slot.
+// withIdleSlot returns the peers that appear to have an idle slot.
 func (p *Placer) withIdleSlot(now time.Time, peers []*state) (list []*state) {
 	for _, s := range peers {
 		if !now.Before(s.fullUntil) && s.load(now, p.rules) < s.usableSlots(now, p.rules) {
@@ -210,7 +209,7 @@
 	return list
 }
 
-// pickOfTwo returns the better of two at random, nil of none.
+// pickOfTwo returns the better of two servers selected at random, or nil if the list is empty.
 func (p *Placer) pickOfTwo(now time.Time, list []*state) *state {
 	if len(list) < 2 {
 		if len(list) == 0 {
@@ -230,7 +229,7 @@
 	return a
 }
 
-// better reports whether a is better than b.
+// better reports whether a is a better choice than b.
 func (p *Placer) better(now time.Time, a, b *state) bool {
 	ea, eb := a.expected(now, p.rules), b.expected(now, p.rules)
 	if !similar(ea, eb, p.rules.SimilarMargin) {
@@ -246,13 +245,14 @@
 	return ba < bb
 }
 
-// slower reports whether the own server is so slow that a hop is worth it.
+// slower reports whether the own server is so slow that handing over a request is worth the hop.
 func (p *Placer) slower(now time.Time, mine, best *state) bool {
 	theirs := best.expected(now, p.rules)
 	return theirs > 0 && mine.service(now, p.rules) > p.rules.SlowFactor*theirs
 }
 
-// busier reports whether the own server has lately worked more than its share.
+// busier reports whether the own server has recently used more than its share of slot time and more than
+// best.
 func (p *Placer) busier(now time.Time, mine, best *state) bool {
 	sum, n := mine.utilization(now, p.rules), 1
 	for _, s := range p.states {
--- a/internal/load/place/place_test.go
+++ b/internal/load/place/place_test.go
@@ -10,13 +10,14 @@
 
 var now = time.Unix(1_000_000, 0)
 
-// idleHint is a server with idle slots that works like the others.
+// idleHint is the report of a server with idle slots and the same utilization as its peers.
 var idleHint = Hint{Running: 1, Utilization: 0.3, Service: 20 * time.Millisecond}
 
-// fullHint is a server without an idle slot.
+// fullHint is the report of a server without an idle slot.
 var fullHint = Hint{Running: 4, Waiting: 2, Utilization: 0.3, Service: 20 * time.Millisecond}
 
-// newTestPlacer is the placer of server 1 of seven in three failure domains, with a fresh report of each peer.
+// newTestPlacer returns the placer of server 1 of seven in three failure domains, with a current report
+// of each peer.
 func newTestPlacer() *Placer {
 	p := New(Self{ID: 1, Domain: "zg-a"}, rand.New(rand.NewPCG(1, 2)))
 	var servers []Server
@@ -30,7 +31,7 @@
 	return p
 }
 
-// spread counts where n requests go that all start at once.
+// spread counts the servers selected for n requests that start at the same time.
 func spread(p *Placer, own Hint, n int) map[uint32]int {
 	counts := map[uint32]int{}
 	for range n {
@@ -45,7 +46,7 @@
 	assert.Equal(t, newTestPlacer().Choose(now, idleHint, nil), Choice{1, Own})
 }
 
-func TestFullServerPassesOnToIdlePeers(t *testing.T) {
+func TestFullServerHandsOverToIdlePeers(t *testing.T) {
 	counts := spread(newTestPlacer(), fullHint, 12)
 	assert.Equal(t, counts[1], 0)
 	for id, n := range counts {
@@ -53,34 +54,34 @@
 	}
 }
 
-func TestNearPeerAmongEqualOnes(t *testing.T) {
-	p, near := newTestPlacer(), 0
+func TestLocalPeerIsPreferredAmongEqualPeers(t *testing.T) {
+	p, local := newTestPlacer(), 0
 	for range 100 {
 		if c := p.Choose(now, fullHint, nil); c.Server == 4 || c.Server == 7 {
-			near++ // the two peers in zg-a; two choices meet one of them in 9 of 15 pairs
+			local++ // the two peers in zg-a; two random picks include one of them in 9 of 15 pairs
 		}
 	}
-	assert.Assert(t, near > 45 && near < 75, near)
+	assert.Assert(t, local > 45 && local < 75, local)
 }
 
-// Two servers are twice as busy as the rest. The own server, the busiest, passes on
-// work although it has an idle slot, or one fund's callers would wait longer than another's.
-func TestBusierServerGivesWork(t *testing.T) {
+// A server that is twice as busy as most peers hands over requests although it has an idle slot.
+// Otherwise its callers would wait longer than those of other servers.
+func TestBusierServerHandsOver(t *testing.T) {
 	own := idleHint
 	own.Utilization = 0.6
 	assert.Equal(t, newTestPlacer().Choose(now, own, nil).Reason, Balance)
 }
 
-// A server turned five times slower. It has idle slots, but its requests are placed elsewhere.
-func TestSlowOwnServerPassesOn(t *testing.T) {
+// A server that has become five times slower hands over requests although it has idle slots.
+func TestSlowOwnServerHandsOver(t *testing.T) {
 	own := idleHint
 	own.Service = 100 * time.Millisecond
 	assert.Equal(t, newTestPlacer().Choose(now, own, nil).Reason, Slow)
 }
 
-// A peer reports four idle slots for ever and refuses whatever it is sent. It is
-// asked less and less often, not with every request.
-func TestLyingReportIsOutweighedByRefusals(t *testing.T) {
+// Guards against a peer that always reports four idle slots and refuses every request: it is selected
+// less and less often instead of for every request.
+func TestRefusalsOverrideFalseReport(t *testing.T) {
 	p, asked := newTestPlacer(), 0
 	for n := range 1000 {
 		at := now.Add(time.Duration(n) * 10 * time.Millisecond)
@@ -100,8 +101,8 @@
 	assert.Assert(t, asked < 20, asked)
 }
 
-// A server answers 500 within a millisecond, so it always looks idle and would draw the
-// service's requests. It is ejected, comes back for a probe, and is out longer each time.
+// Guards against a server that answers 500 within a millisecond, looks idle and attracts the requests of
+// the service. The server is ejected, probed, and ejected for a longer time after each failed probe.
 func TestFailFastServerIsEjected(t *testing.T) {
 	p, failed := newTestPlacer(), 0
 	for n := range 3000 {
@@ -121,9 +122,8 @@
 	assert.Assert(t, failed < 40, failed)
 }
 
-// The fault is in front of all servers, so all of them fail. Were all ejected, the
-// one that is left would get everything.
-func TestEjectionHasACeiling(t *testing.T) {
+// Guards against ejecting all servers but one when a fault outside the servers makes all of them fail.
+func TestEjectionIsLimited(t *testing.T) {
 	p := newTestPlacer()
 	for id := uint32(1); id <= 7; id++ {
 		for range 10 {
@@ -134,9 +134,9 @@
 	assert.Equal(t, len(p.Ejected(now)), 3)
 }
 
-// Three of seven servers crash. None of their agents may go on sending callers'
-// requests into the void because no more than half of the servers may be ejected.
-func TestUnreachableServersAreOutBeyondTheCeiling(t *testing.T) {
+// Guards against sending requests to crashed servers because the limit on ejected servers is reached:
+// three of seven servers are unreachable.
+func TestUnreachableServersAreAvoidedBeyondEjectionLimit(t *testing.T) {
 	p := newTestPlacer()
 	for _, id := range []uint32{1, 3, 5} {
 		p.Sent(id)
@@ -145,10 +145,10 @@
 	assert.Assert(t, p.Down(now))
 	counts := spread(p, idleHint, 100)
 	assert.Equal(t, counts[1]+counts[3]+counts[5], 0)
-	assert.Equal(t, p.Choose(now.Add(minDown), idleHint, nil), Choice{1, Own}) // tried again
+	assert.Equal(t, p.Choose(now.Add(minDown), idleHint, nil), Choice{1, Own}) // retried after minDown
 }
 
-// Callers of this agent hold a hundred feeds open. They take no slot, so its server is not full.
+// Guards against counting open feeds as load: they hold no slot.
 func TestOpenFeedsDoNotFillTheOwnServer(t *testing.T) {
 	p := newTestPlacer()
 	for range 100 {
@@ -157,7 +157,7 @@
 	assert.Equal(t, p.Choose(now, idleHint, nil), Choice{1, Own})
 }
 
-// A server joins with empty caches. It gets one request at a time first, not as many as it has slots.
+// A server that joins with empty caches receives one request at a time at first, not as many as it has slots.
 func TestColdServerStartsSlowly(t *testing.T) {
 	p := newTestPlacer()
 	p.Joined(now, 5)
@@ -166,16 +166,16 @@
 	assert.Equal(t, p.state(5).usableSlots(now.Add(Default.SlowStart), Default), 4.0)
 }
 
-// All hold the same old report that one server is idle. None of them sends it more
-// than its slots, and the report fades.
-func TestOldReportDrawsNoMoreThanItsSlots(t *testing.T) {
+// Guards against sending a server more requests than it has slots because of an outdated report that it
+// is idle.
+func TestOutdatedReportAttractsNoMoreThanIdleSlots(t *testing.T) {
 	p := newTestPlacer()
 	for id := uint32(2); id <= 7; id++ {
 		p.Report(now, id, fullHint)
 	}
 	p.Report(now, 6, Hint{Service: 20 * time.Millisecond})
 	own := fullHint
-	own.Waiting = 0 // as long as the one at server 6 once its slots are taken
+	own.Waiting = 0 // as long as the queue at server 6 once its slots are taken
 	assert.Equal(t, spread(p, own, 8)[6], 4)
 }
 
@@ -189,7 +189,7 @@
 	assert.Equal(t, p.Choose(now, Hint{Leaving: true}, []uint32{3, 4, 5, 6, 7}).Reason, NoServer)
 }
 
-func TestUsageForgets(t *testing.T) {
+func TestUsageDecays(t *testing.T) {
 	u := Usage{Window: time.Second}
 	u.Set(now, 4, 4)
 	u.Set(now.Add(10*time.Second), 0, 4)
