--- a/internal/load/queue/ahead.go
+++ b/internal/load/queue/ahead.go
@@ -2,14 +2,15 @@
 
 import "slices"
 
-// Backlog is what one caller has waiting.
+// Backlog is the waiting work of one caller.
 type Backlog struct {
 	Caller  Caller  `json:"caller"`
 	Waiting int     `json:"waiting"`
-	Cost    float64 `json:"cost"` // seconds of a slot
+	Cost    float64 `json:"cost"` // in seconds of a slot
 }
 
-// Backlogs lists the callers that wait, in the order in which they came.
+// Backlogs returns the backlogs of the callers with waiting requests, in the order in which the callers
+// arrived.
 func (f *Fair) Backlogs() []Backlog {
 	var list []Backlog
 	for w := range f.all {
@@ -31,9 +32,9 @@
 	return sum
 }
 
-// Ahead returns the work, in seconds of a slot, that would start before a new
-// request of the caller: all that the caller has waiting, and of every other
-// caller no more than its weight lets it start in the meantime.
+// Ahead returns the work, in seconds of a slot, that would start before a new request of the caller:
+// everything the caller already has waiting, and of every other caller at most what its weight lets it
+// start in the meantime.
 func (f *Fair) Ahead(c Caller) float64 {
 	key, within := c, 0.0
 	if c.Name == "" {
@@ -49,7 +50,8 @@
 	return within + rivalWork(f.queues, key, f.Weight(key), within)
 }
 
-// workWithinGroup is the caller's own backlog and what its rivals start meanwhile.
+// workWithinGroup returns the caller's own backlog plus the work that its rivals in the group start in
+// the meantime.
 func workWithinGroup(level []*callerQueue, c Caller, weight float64) float64 {
 	cost := 0.0
 	if own := lookup(level, c); own != nil {
@@ -58,9 +60,8 @@
 	return cost + rivalWork(level, c, weight, cost)
 }
 
-// rivalWork is the work that the rivals of a caller start while it is served the
-// given cost. Each may start one request more than its exact share, since
-// requests are not cut into pieces.
+// rivalWork returns the work that the rivals of a caller start while the caller is served the given cost.
+// Each rival may start one request more than its exact share, since requests are not divisible.
 func rivalWork(level []*callerQueue, c Caller, weight, cost float64) float64 {
 	sum := 0.0
 	for _, w := range level {
@@ -82,13 +83,12 @@
 	return nil
 }
 
-// HasRoom reports whether a caller may have one more request of a class waiting,
-// of at most limit in all. Each caller may have as many as places are still free,
-// times its weight over the mean weight: one heavy caller fills half of the queue
-// at most, two a third each. So there is always room for a caller that has
-// nothing waiting, nobody has to be turned out again to make it, and a refusal is
-// said at once. Unnamed callers are bounded as the group they are, and in the
-// same way among each other.
+// HasRoom reports whether a caller may have one more waiting request of a class, with at most limit
+// requests of the class waiting in all. Each caller may have as many waiting requests as there are free
+// places, multiplied by the ratio of its weight to the mean weight: one heavy caller fills at most half
+// of the queue, two fill a third each. There is therefore always room for a caller without waiting
+// requests, no waiting request has to be evicted, and refusals are immediate. Unnamed callers are limited
+// as a group, and in the same way within the group.
 func (f *Fair) HasRoom(class string, c Caller, limit int) bool {
 	key := c
 	if c.Name == "" {
@@ -123,7 +123,7 @@
 	return n
 }
 
-// Waiting returns how many requests of a class wait.
+// Waiting returns the number of waiting requests of a class.
 func (f *Fair) Waiting(class string) int {
 	n := 0
 	for _, w := range f.queues {
@@ -132,7 +132,7 @@
 	return n
 }
 
-// Clear takes out everything, oldest first.
+// Clear removes and returns all requests, oldest first.
 func (f *Fair) Clear() []Item {
 	items := slices.Collect(f.All)
 	slices.SortStableFunc(items, func(a, b Item) int { return a.Arrived.Compare(b.Arrived) })
--- a/internal/load/queue/caller.go
+++ b/internal/load/queue/caller.go
@@ -6,19 +6,18 @@
 	"mangowinch/internal/conf/docs"
 )
 
-// Prefix lengths by which callers outside every declared network are told
-// apart: what one site commonly holds, so that it cannot multiply itself by
-// taking more addresses of its own.
+// Prefix lengths that identify callers outside every declared network. They are the sizes commonly
+// assigned to one site, so that a site does not become several callers by using more of its own addresses.
 const (
 	siteBits4 = 24
 	siteBits6 = 48
 )
 
-// Caller is the party that a request counts against: a caller that the document
-// names, or, with an empty name, the network of a site that it does not name.
+// Caller is the party that a request is charged to: a caller named in the document, or, if Name is empty,
+// the network of a site that the document does not name.
 type Caller struct {
 	Name    string
-	Network netip.Prefix // only for callers without a name
+	Network netip.Prefix // set only for callers without a name
 }
 
 // String returns the caller's name, or its network.
@@ -29,13 +28,12 @@
 	return c.Network.String()
 }
 
-// MarshalText gives the caller as /status shows it. It never fails.
+// MarshalText returns the caller as shown by /status. It never fails.
 func (c Caller) MarshalText() ([]byte, error) { return []byte(c.String()), nil }
 
-// Identify returns the caller that a source address counts as. The longest
-// declared network wins. The address is one that has answered a QUIC handshake, so
-// it cannot be forged; connections, ports and request keys, which a caller can
-// multiply at will, play no part.
+// Identify returns the caller of a source address. The longest declared network that contains the address
+// wins. The address has completed a QUIC handshake and cannot be forged. Connections, ports and request
+// keys are ignored, because a caller can create any number of them.
 func Identify(callers []docs.Caller, source netip.Addr) Caller {
 	source = source.Unmap()
 	best, name := -1, ""
@@ -53,7 +51,7 @@
 	if source.Is6() {
 		bits = siteBits6
 	}
-	// The length fits every valid address; an invalid one gives the zero prefix.
+	// The length is in range for every valid address; an invalid address yields the zero prefix.
 	network, _ := source.Prefix(bits)
 	return Caller{Network: network}
 }
--- a/internal/load/queue/queue.go
+++ b/internal/load/queue/queue.go
@@ -1,23 +1,21 @@
-// Package queue holds waiting requests and lets them go fairly between callers.
+// Package queue holds waiting requests and releases them fairly between callers.
 //
-// The load pattern: one caller, or a few, send most of the requests of a service
-// that several parties share. In a common first-come queue everybody then waits
-// behind the heavy caller's backlog, although the modest one asked for less
-// than its share; and once the queue is full, the modest caller is refused for
-// the heavy one's sake.
+// If one caller, or a few, send most of the requests of a shared service, a common
+// first-come-first-served queue makes every caller wait behind the heavy caller's backlog, including
+// callers that use less than their share. Once the queue is full, those callers are refused because of
+// the heavy one.
 //
-// The rule is start-time fair queueing, by caller, weighted by the document, in
-// seconds of a backend server's slot and not in requests: a caller whose requests
-// are long pays for their length. No caller may fill the queue (see [Fair.Room]).
+// The queue applies start-time fair queueing between callers, with the weights of the document. Cost is
+// counted in seconds of a backend server's slot rather than in requests, so that a caller with long
+// requests is charged for their length. No caller may fill the queue (see [Fair.HasRoom]).
 //
-// Callers that the document does not name share one weight, and are fair among
-// each other by the network of their site (see [Identify]). Who takes more
-// networks takes share from other unnamed callers only, never from named ones.
-// Memory is bounded by the requests that wait: a caller is forgotten with its last
-// waiting request, which gains it at most the cost of one request (see [Clock]).
+// Callers that the document does not name share one weight, and are served fairly among each other by the
+// network of their site (see [Identify]). A caller that uses more networks takes share only from other
+// unnamed callers, never from named ones. Memory is bounded by the number of waiting requests: a caller is
+// removed with its last waiting request, by which it gains at most the cost of one request (see [Clock]).
 //
-// The package does not decide who may wait or for how long (package admit), and
-// it does not know the time.
+// Package queue does not decide which requests may wait or for how long (see package admit), and it does
+// not use the time.
 //
 // # Usage
 //
@@ -33,27 +31,27 @@
 	"mangowinch/internal/conf/docs"
 )
 
-// Item is one request that waits.
+// Item is a waiting request.
 type Item struct {
 	ID       uint64
 	Caller   Caller
 	Class    string
-	Cost     float64 // expected seconds of a slot
+	Cost     float64 // expected service time in seconds of a slot
 	Arrived  time.Time
 	Deadline time.Time
 }
 
-// Fair is a set of waiting requests. It is not safe for concurrent use.
+// Fair is a fair queue of waiting requests. It is not safe for concurrent use.
 type Fair struct {
 	clock      Clock
 	weights    map[string]float64
-	meanWeight float64        // weight of a caller
-	queues     []*callerQueue // named callers that wait or owe, and the group of unnamed ones
+	meanWeight float64        // mean weight of a caller
+	queues     []*callerQueue // callers that wait or were served ahead of the clock; unnamed ones as a group
 	size       int
 }
 
-// callerQueue is the backlog of one caller. The group of unnamed callers is a flow
-// whose requests wait in flows of its own.
+// callerQueue holds the waiting requests of one caller. The group of unnamed callers is a callerQueue
+// whose requests wait in member queues.
 type callerQueue struct {
 	share   Share
 	caller  Caller
@@ -62,11 +60,11 @@
 	members []*callerQueue
 }
 
-// maxIdleMembers bounds the unnamed callers that are remembered only for what they owe:
-// some 30 KB, and more sites than have requests within one service time.
+// maxIdleMembers bounds the unnamed callers that are kept only because they have been served ahead of the
+// clock. It takes about 30 KB and is more than the number of sites with requests within one service time.
 const maxIdleMembers = 256
 
-// unnamed is the caller whose flow groups all callers without a name.
+// unnamed is the key of the group of all callers without a name.
 var unnamed Caller
 
 // New returns an empty queue with the callers' weights of a document.
@@ -76,10 +74,10 @@
 	return f
 }
 
-// SetWeights puts the weights of a new document in force; what waits stays.
+// SetWeights applies the weights of a new document. Waiting requests stay queued.
 func (f *Fair) SetWeights(callers []docs.Caller) {
 	f.weights = make(map[string]float64, len(callers))
-	sum := 1.0 // of the unnamed
+	sum := 1.0 // weight of the unnamed callers
 	for _, c := range callers {
 		f.weights[c.Name] = float64(max(c.Weight, 1))
 		sum += f.weights[c.Name]
@@ -90,7 +88,7 @@
 	}
 }
 
-// Weight returns the weight of a caller; all unnamed callers share a weight of 1.
+// Weight returns the weight of a caller. All unnamed callers share a weight of 1.
 func (f *Fair) Weight(c Caller) float64 {
 	if w, ok := f.weights[c.Name]; ok && c.Name != "" {
 		return w
@@ -98,10 +96,10 @@
 	return 1
 }
 
-// Len returns how many requests wait.
+// Len returns the number of waiting requests.
 func (f *Fair) Len() int { return f.size }
 
-// Push adds a request behind those of its caller.
+// Push adds a request after the waiting requests of its caller.
 func (f *Fair) Push(i Item) {
 	w := f.queue(i.Caller)
 	w.items = append(w.items, i)
@@ -118,7 +116,7 @@
 	f.prune()
 }
 
-// Pop takes out the next request and accounts for it.
+// Pop removes the next request, accounts for it and returns it.
 func (f *Fair) Pop() (next Item, ok bool) {
 	top := first(&f.clock, f.queues)
 	if top == nil {
@@ -135,7 +133,7 @@
 	return next, true
 }
 
-// Remove takes out a request that no longer waits, without accounting for it.
+// Remove removes a request that no longer waits, without accounting for it.
 func (f *Fair) Remove(id uint64) (removed Item, ok bool) {
 	for w := range f.all {
 		n := slices.IndexFunc(w.items, func(i Item) bool { return i.ID == id })
@@ -151,8 +149,8 @@
 	return Item{}, false
 }
 
-// All yields what waits, in no promised order but the same for the same events.
-// Nothing may be added or taken out meanwhile.
+// All iterates over the waiting requests. The order is unspecified but the same for the same sequence of
+// events. The queue must not be modified during the iteration.
 func (f *Fair) All(yield func(Item) bool) {
 	for w := range f.all {
 		for _, i := range w.items {
@@ -163,7 +161,7 @@
 	}
 }
 
-// queue returns the backlog of a caller, created if need be.
+// queue returns the queue of a caller, creating it if necessary.
 func (f *Fair) queue(c Caller) *callerQueue {
 	top := f.topLevel(c)
 	if c.Name != "" {
@@ -172,8 +170,8 @@
 	return top.member(c)
 }
 
-// topLevel returns the flow that competes for a caller at the upper level. A name
-// that the document does not have any more counts with the unnamed callers' weight.
+// topLevel returns the queue that competes for a caller at the top level. A name that is no longer in the
+// document has the weight of the unnamed callers.
 func (f *Fair) topLevel(c Caller) *callerQueue {
 	key := unnamed
 	if c.Name != "" {
@@ -196,7 +194,7 @@
 	return w
 }
 
-// all yields every flow that may hold requests.
+// all iterates over every queue that may hold requests.
 func (f *Fair) all(yield func(*callerQueue) bool) {
 	for _, top := range f.queues {
 		if !yield(top) {
@@ -218,7 +216,8 @@
 	return n
 }
 
-// first returns the flow with the smallest start; of equals the one listed first.
+// first returns the queue with waiting requests that has the smallest virtual start time, or the first of
+// several.
 func first(c *Clock, queues []*callerQueue) *callerQueue {
 	var best *callerQueue
 	for _, w := range queues {
@@ -229,10 +228,10 @@
 	return best
 }
 
-// prune drops flows that neither wait nor owe: without it memory would grow
-// with every network ever seen. Nothing is lost, since such a flow starts at the
-// clock's present anyway. New networks may each owe without the clock moving, so
-// the unnamed that owe are bounded too; past the bound they are forgotten.
+// prune removes queues of callers that neither wait nor have been served ahead of the clock; without it,
+// memory would grow with every network ever seen. Nothing is lost, since such a caller starts at the
+// present virtual time anyway. New networks can each be served ahead without the clock advancing, so
+// beyond maxIdleMembers unnamed callers without waiting requests are removed too.
 func (f *Fair) prune() {
 	for _, top := range f.queues {
 		top.members = slices.DeleteFunc(top.members, func(m *callerQueue) bool { return m.idle(&top.clock) })
--- a/internal/load/queue/queue_test.go
+++ b/internal/load/queue/queue_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// served counts whom the next n requests belong to.
+// served pops n requests and counts them by caller.
 func served(q *Fair, n int) map[Caller]int {
 	counts := map[Caller]int{}
 	for range n {
@@ -53,9 +53,7 @@
 	assert.Equal(t, got[Caller{Name: "fund-b"}], 60)
 }
 
-// A fund whose requests take four times as long gets as much of the servers'
-// time as its weight says, not as many requests: otherwise long requests would
-// be a way to more than one's share.
+// Guards against a caller that gains more than its share of slot time by sending long requests.
 func TestLongRequestsPayForTheirLength(t *testing.T) {
 	q := New([]docs.Caller{{Name: "long", Weight: 1}, {Name: "short", Weight: 1}})
 	fill(q, Caller{Name: "long"}, 100, 4)
@@ -64,8 +62,8 @@
 	assert.Equal(t, got[Caller{Name: "short"}], 40)
 }
 
-// An unnamed sender takes fifty networks to get fifty shares. The named fund
-// still gets its own share; only other unnamed callers are delayed.
+// Guards against an unnamed caller that uses fifty networks to gain fifty shares: only other unnamed
+// callers are delayed.
 func TestManyNetworksGainNothingFromNamedCallers(t *testing.T) {
 	q := New(funds)
 	for n := range 50 {
@@ -75,9 +73,9 @@
 	assert.Equal(t, served(q, 100)[Caller{Name: "fund-a"}], 50)
 }
 
-// One fund, or a crowd of unnamed networks, sends without end. It never takes the
-// last place: a caller with nothing waiting is let in.
-func TestNobodyFillsTheQueue(t *testing.T) {
+// Guards against a caller, or many unnamed networks, that take the last place in the queue: a caller
+// without waiting requests is always admitted.
+func TestNoCallerFillsTheQueue(t *testing.T) {
 	q := New(funds)
 	const limit = 32
 	push := func(c Caller) (n int) {
@@ -96,7 +94,7 @@
 	assert.Assert(t, q.Len() < limit)
 }
 
-// A caller that used the service alone for long owes nothing when others come.
+// A caller that has used the service alone for a long time owes nothing when other callers arrive.
 func TestIdleCapacityIsFree(t *testing.T) {
 	q := New([]docs.Caller{{Name: "early", Weight: 1}, {Name: "late", Weight: 1}})
 	for range 1000 {
@@ -108,8 +106,8 @@
 	assert.Assert(t, got[Caller{Name: "early"}] >= 4, got)
 }
 
-// Whatever comes and goes: a caller's own requests leave in their order, none
-// is lost or doubled, and callers without waiting requests are forgotten.
+// For any sequence of operations, the requests of a caller leave in order, none is lost or duplicated,
+// and callers without waiting requests are removed.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(funds)
@@ -139,8 +137,8 @@
 	})
 }
 
-// A sender comes from a new network with each request while the queue never runs
-// dry: what is remembered of it stays bounded.
+// Guards against unbounded memory if a sender uses a new network for each request while the queue is
+// never empty.
 func TestMemoryIsBounded(t *testing.T) {
 	q := New(funds)
 	fill(q, site(0), 2, 1)
