--- a/internal/load/shift/shift.go
+++ b/internal/load/shift/shift.go
@@ -1,34 +1,34 @@
-// Package shift moves the weights by which an entry spreads new flows over the
-// servers of a service.
+// Package shift adjusts the weights by which an entry distributes new flows over the servers of a service.
 //
-// The load patterns, and what goes wrong without it. With fixed weights a server
-// that turns slow, or whose flows ask for more than others', gets as many new flows
-// as the rest for hours, and its agent has to hand most of its requests over. With
-// weights that follow the reports at once, many entries that all hold the same old
-// report send every new flow to the server that was idle then; flows last, so the
-// overload arrives after the reports have turned, and the weights swing for ever.
+// With fixed weights, a server that becomes slow, or whose flows send more requests than others, receives
+// as many new flows as the rest for hours, and its agent has to hand over most of its requests. If
+// weights follow the reports immediately, many entries with the same outdated report send every new flow
+// to the server that was idle then. Flows are long-lived, so the overload appears after the reports have
+// changed, and the weights oscillate indefinitely.
 //
-// The rule is integral control with damping. The weight that would even a server's load
-// out is its present one times mean load over its own load; each step goes a fraction
-// of the way there (the hysteresis of Jockey, EuroSys 2012, section 4.3), and only
-// if the load is off by more than a dead zone (ibid.). Jockey's third means, slack, is
-// not used: it multiplies all loads alike and cancels out of a share.
+// The controller is integral with damping. The weight that would balance a server is its present weight
+// times the mean load divided by its own load. Each step moves the weight by a fraction of the difference
+// (the hysteresis of Jockey, EuroSys 2012, section 4.3), and only if the load deviates by more than a
+// dead zone (ibid.). Jockey's third technique, slack, is not used: it multiplies all loads by the same
+// factor and cancels out of a share.
 //
-// Undamped, weights swing, since reports are seconds old. Without a dead zone they move over noise, and two entries differ, so that
-// first packets of a flow are sent apart. docs/design/tuning.md compares the thresholds with others.
+// Without damping the weights oscillate, since reports are seconds old. Without a dead zone they follow
+// noise and differ between entries, so that the first packets of one flow are sent to different servers.
+// docs/design/tuning.md compares the thresholds with alternatives.
 //
-// A server that leaves has weight 0 at once, without damping. Weights have a floor and
-// a ceiling relative to the document's, so that no report, true or false, takes a server
-// out or floods it; a report that grows old lets its weight go back to the document's.
+// The weight of a leaving server is 0 at once, without damping. Weights have a floor and a ceiling
+// relative to the document's weights, so that no report, true or false, excludes or floods a server. When
+// a report expires, the weight returns to the document's.
 //
-// Shift moves new flows only. Requests are placed by package place; flows stay.
+// Package shift affects new flows only. Requests are placed by package place, and existing flows are not
+// moved.
 //
 // # Usage
 //
 //	weights := shift.New(shift.Default)
 //	weights.SetServers([]shift.Server{{ID: 1, Weight: 1}})
 //	weights.Report(now, 1, shift.Load{Demand: 0.7})
-//	weights.Step(now) // every Rules.Every
+//	weights.Step(now) // every Rules.Interval
 //	for _, w := range weights.Weights() { ... }
 package shift
 
@@ -37,17 +37,17 @@
 	"time"
 )
 
-// Rules are the parameters of the controller.
+// Rules holds the parameters of the controller.
 type Rules struct {
-	Interval       time.Duration // between steps
-	Gain           float64       // part of the way to the target in one step; 1 is undamped
-	DeadZone       float64       // relative difference from the mean load that is let be
-	Floor          float64       // least weight, as a share of the document's
-	Ceiling        float64       // greatest weight, in document weights
+	Interval       time.Duration // time between steps
+	Gain           float64       // fraction of the way to the target moved in one step; 1 is undamped
+	DeadZone       float64       // relative deviation from the mean load that is ignored
+	Floor          float64       // smallest weight, as a multiple of the document's
+	Ceiling        float64       // greatest weight, as a multiple of the document's
 	ReportLifetime time.Duration // age at which a report no longer counts
 }
 
-// Default are the parameters in use.
+// Default holds the default parameters.
 var Default = Rules{
 	Interval:       time.Second,
 	Gain:           0.05,
@@ -57,7 +57,7 @@
 	ReportLifetime: 10 * time.Second,
 }
 
-// Undamped follows each report at once; it is the rule that Default is measured against.
+// Undamped follows each report immediately. It is the baseline that Default is compared with.
 var Undamped = Rules{
 	Interval:       time.Second,
 	Gain:           1,
@@ -66,27 +66,26 @@
 	ReportLifetime: 10 * time.Second,
 }
 
-// Server is what the document says of one server.
+// Server is a server as configured in the document.
 type Server struct {
 	ID      uint32
 	Weight  int
 	Leaving bool
 }
 
-// Load is what an agent reports.
+// Load is the load that an agent reports.
 type Load struct {
-	Demand  float64 // slot time that requests on its own flows ask for, as a share of its slots' time; may exceed 1
-	Leaving bool    // takes no new work
+	Demand  float64 // slot time that the agent's own flows require, as a share of its slots' time; may exceed 1
+	Leaving bool    // accepts no new requests
 }
 
-// Weight is the share of new flows of one server, on any scale; 0 is none.
+// Weight is one server's share of new flows, on an arbitrary scale; 0 excludes the server.
 type Weight struct {
 	ID    uint32
 	Share float64
 }
 
-// Weights holds the weights of one service at one entry. It is not safe for
-// concurrent use.
+// Weights holds the weights of one service at one entry. It is not safe for concurrent use.
 type Weights struct {
 	rules  Rules
 	states []*state
@@ -94,19 +93,19 @@
 
 type state struct {
 	Server
-	factor     float64 // of the document's weight
+	factor     float64 // multiplies the document's weight
 	load       Load
 	reportedAt time.Time
 }
 
-// New returns weights without servers.
+// New returns Weights without servers.
 func New(r Rules) *Weights {
 	return &Weights{rules: r}
 }
 
-// SetServers puts the servers of a document in force. A server that is new, or
-// comes back from leaving, starts at the floor if the others already have
-// load, since it is cold; with the first document all start alike.
+// SetServers applies the servers of a document. A server that is new, or that returns from leaving,
+// starts at the floor because it is cold and the others already have load. With the first document all
+// servers start equal.
 func (w *Weights) SetServers(servers []Server) {
 	first := w.states == nil
 	states := make([]*state, 0, len(servers))
@@ -128,7 +127,7 @@
 	w.states = states
 }
 
-// Report takes in what an agent says of itself. That it leaves counts at once.
+// Report records the load that an agent reports. A change of Leaving takes effect at once.
 func (w *Weights) Report(now time.Time, id uint32, l Load) {
 	s := w.state(id)
 	if s == nil {
@@ -140,7 +139,7 @@
 	s.load, s.reportedAt = l, now
 }
 
-// Step moves the weights; call it every Rules.Every.
+// Step adjusts the weights. It has to be called every Rules.Interval.
 func (w *Weights) Step(now time.Time) {
 	mean, n := 0.0, 0
 	for _, s := range w.states {
@@ -159,7 +158,7 @@
 	}
 }
 
-// target is the factor at which a server would have the mean load.
+// target returns the factor at which a server would have the mean load.
 func (w *Weights) target(s *state, mean float64) float64 {
 	if deviation := s.load.Demand/mean - 1; deviation >= -w.rules.DeadZone && deviation <= w.rules.DeadZone {
 		return s.factor
@@ -171,7 +170,7 @@
 	return min(max(balanced, w.rules.Floor), w.rules.Ceiling)
 }
 
-// Weights returns the weights in force, ordered by server.
+// Weights returns the current weights, ordered by server ID.
 func (w *Weights) Weights() []Weight {
 	list := make([]Weight, 0, len(w.states))
 	for _, s := range w.states {
@@ -186,7 +185,7 @@
 
 func (s *state) leaving() bool { return s.Leaving || s.load.Leaving }
 
-// hasLoad reports whether the server's load is known and belongs to the mean.
+// hasLoad reports whether the server's load is known and counts towards the mean.
 func (s *state) hasLoad(now time.Time, r Rules) bool {
 	return !s.leaving() && !s.reportedAt.IsZero() && now.Sub(s.reportedAt) < r.ReportLifetime
 }
--- a/internal/load/shift/shift_test.go
+++ b/internal/load/shift/shift_test.go
@@ -41,8 +41,8 @@
 	assert.DeepEqual(t, shares(w), []float64{1, 1, 2})
 }
 
-// A server's flows ask for twice as much as others'. It gets fewer new ones, in steps, down to
-// the floor at worst, however long the reports say so.
+// A server whose flows have a higher demand than others receives fewer new flows, in small steps and
+// never below the floor, however long its reports stay high.
 func TestHeavyServerGetsLessWithinBounds(t *testing.T) {
 	w := newTestWeights(Default)
 	last := 1.0
@@ -58,8 +58,8 @@
 	assert.Assert(t, last < 0.11 && last >= Default.Floor, last)
 }
 
-// A server leaves while weights move slowly. It gets no new flow from the very next
-// one on, and starts anew from the floor when it comes back.
+// A leaving server receives no new flow at once although weights move slowly, and restarts at the floor
+// when it returns.
 func TestLeavingCountsAtOnce(t *testing.T) {
 	w := newTestWeights(Default)
 	w.Report(now, 2, Load{Demand: 0.7, Leaving: true})
@@ -70,8 +70,9 @@
 	assert.Equal(t, shares(w)[0], 0.0)
 }
 
-// An agent falls silent. Its last report, that it is overloaded, does not keep its share down for ever.
-func TestOldReportIsForgotten(t *testing.T) {
+// Guards against a server whose weight stays low because of the last report of an agent that stopped
+// reporting.
+func TestOldReportExpires(t *testing.T) {
 	w := newTestWeights(Default)
 	report(w, now, 2, 0.5, 0.5)
 	for n := range 300 {
