--- a/internal/load/retry/retry.go
+++ b/internal/load/retry/retry.go
@@ -1,37 +1,35 @@
-// Package retry decides whether a request that was refused, or whose outcome is
-// unknown, is tried once more.
+// Package retry decides whether a request that was refused, or whose outcome is unknown, is retried.
 //
-// The load pattern: after an outage, or when a server sheds, every layer that tries
-// again multiplies the load just when there is least to spare. Three layers with
-// three tries each make 27 requests of one, and the service stays down although its
-// cause is long gone. And a claim that is tried again without proof that it did not
-// run opens two cases for one widow.
+// After an outage, or while a server sheds load, every layer that retries multiplies the load when
+// capacity is scarcest. Three layers with three attempts each turn one request into 27, and the service
+// stays down long after the cause is gone. In addition, a claim that is retried without proof that it did
+// not run may be filed twice.
 //
 // The rules:
 //
-//   - One layer only: the agent that holds the caller's connection. A request that was
-//     handed over by a peer, or that the caller marks as its own repeat, is not tried again.
-//   - By outcome and class: "not run" may be tried elsewhere; "unknown" only if the
-//     class is idempotent; "ran" never.
-//   - A budget: retries are a share of fresh work, with a small reserve so that a
-//     quiet service may retry at all.
-//   - Only while the deadline leaves room for a whole service time, and only twice.
+//   - Only one layer retries: the agent that holds the caller's connection. A request that was handed
+//     over by a peer, or that the caller marks as its own repeat, is not retried.
+//   - The outcome and the class decide: "not run" may be retried elsewhere, "unknown" only if the class
+//     is idempotent, and "ran" never.
+//   - Retries are limited to a share of the fresh requests, with a small reserve so that a service with
+//     little traffic may retry at all.
+//   - A request is retried only while its deadline leaves room for a full service time, and at most twice.
 //
-// Why the thresholds are what they are: with 3 of 7 servers unreachable, in time are 95.5%
-// without retries, 95.6% with a tenth and 95.8% without a bound, which hands over 7 points more
-// for it (seeds 1 and 2, docs/design/load/thresholds.md): retries buy little once placement
-// knows better, so the smallest share that serves a stray refusal is enough.
+// A small share is sufficient because placement already avoids failed servers. With 3 of 7 servers
+// unreachable, 95.5% of the requests are answered in time without retries, 95.6% with a share of a tenth,
+// and 95.8% without a limit, which hands over 7 percentage points more of the requests
+// (docs/design/load/thresholds.md). The smallest share that covers occasional refusals is therefore used.
 //
-// The package does not say where the next try goes (package place) nor wait: there
-// is no backoff inside the system, since what is given up on is answered at once.
+// Package retry neither selects the server of the next attempt (see package place) nor waits: there is no
+// backoff inside the system, since a request that is not retried is answered at once.
 //
 // # Usage
 //
 //	budget := retry.New(retry.Default)
 //	budget.Fresh() // for each request that a caller sent
 //	switch v := budget.Decide(now, attempt); v.Retry {
-//	case true: // count v.Why as taken, place again without the servers already tried
-//	case false: // count v.Why as refused, answer the caller
+//	case true: // count v.Reason as taken, place the request without the servers already tried
+//	case false: // count v.Reason as refused, answer the caller
 //	}
 package retry
 
@@ -41,74 +39,74 @@
 	"mangowinch/internal/work/result"
 )
 
-// Rules are the thresholds of retries.
+// Rules holds the thresholds of retries.
 type Rules struct {
-	Share    float64 // retries for each fresh request
-	Reserve  float64 // retries that may be saved up
-	MaxTries int     // in all, the first one included
+	Share    float64 // retries per fresh request
+	Reserve  float64 // maximum number of accumulated retries
+	MaxTries int     // attempts in all, including the first
 }
 
-// Default are the thresholds in use; docs/design/load.md has the runs behind them.
+// Default holds the default thresholds; docs/design/load.md gives the reasons for them.
 var Default = Rules{Share: 0.1, Reserve: 10, MaxTries: 3}
 
-// Reason says why a retry was taken or not. Each has a counter.
+// Reason is the reason for which a retry was taken or not. Each has a counter.
 type Reason string
 
-// Why a retry was taken.
+// Reasons for which a retry is taken.
 const (
-	Shed          Reason = "shed"    // a server or a peer's queue refused it as not run
+	Shed          Reason = "shed"    // refused as not run by a server or a peer's queue
 	Unsent        Reason = "unsent"  // the server could not be reached
-	Idempotent    Reason = "repeat"  // outcome unknown, the class is idempotent
-	ServerLeaving Reason = "leaving" // the server takes no new work
+	Idempotent    Reason = "repeat"  // outcome unknown, and the class is idempotent
+	ServerLeaving Reason = "leaving" // the server accepts no new requests
 )
 
-// Why a retry was not taken.
+// Reasons for which a retry is not taken.
 const (
-	Ran         Reason = "ran"     // it ran, whatever the answer
-	Unsafe      Reason = "unsafe"  // outcome unknown, and it must not run twice
-	OtherLayer  Reason = "layer"   // another process or the caller decides on its retries
-	NoBudget    Reason = "budget"  // retries are used up
-	TooLate     Reason = "late"    // the deadline leaves no room
-	MaxTries    Reason = "tries"   // tried often enough
-	FinalReason Reason = "verdict" // no other server would decide otherwise
+	Ran         Reason = "ran"     // the request ran, whatever its answer
+	Unsafe      Reason = "unsafe"  // outcome unknown, and the request must not run twice
+	OtherLayer  Reason = "layer"   // another process or the caller decides about retries
+	NoBudget    Reason = "budget"  // the retry budget is used up
+	TooLate     Reason = "late"    // the deadline leaves no room for another attempt
+	MaxTries    Reason = "tries"   // the maximum number of attempts is reached
+	FinalReason Reason = "verdict" // every other server would decide the same
 )
 
-// Attempt is a try that ended without an answer for the caller.
+// Attempt is an attempt that ended without an answer for the caller.
 type Attempt struct {
 	Result      result.Result
-	Idempotent  bool          // the class's
-	Tries       int           // so far, 1 after the first
-	OtherLayer  bool          // another agent handed it over, or the caller repeats it by itself
-	Deadline    time.Time     // of the request
-	ServiceTime time.Duration // expected time of one more try, the way there and back included
+	Idempotent  bool          // whether the class is idempotent
+	Tries       int           // attempts so far, 1 after the first
+	OtherLayer  bool          // another agent handed over the request, or the caller marked it as its own repeat
+	Deadline    time.Time     // deadline of the request
+	ServiceTime time.Duration // expected time of one more attempt, including the round trip
 }
 
-// Verdict answers an attempt.
+// Verdict is the decision about an attempt.
 type Verdict struct {
 	Retry  bool
 	Reason Reason
 }
 
-// Budget holds the retries that may be taken. It is not safe for concurrent use.
+// Budget holds the number of retries that may be taken. It is not safe for concurrent use.
 type Budget struct {
 	rules     Rules
 	available float64
 }
 
-// New returns a budget with its reserve full.
+// New returns a budget with a full reserve.
 func New(r Rules) *Budget {
 	return &Budget{rules: r, available: r.Reserve}
 }
 
-// Fresh accounts for a request that is no retry.
+// Fresh accounts for a request that is not a retry.
 func (b *Budget) Fresh() {
 	b.available = min(b.rules.Reserve, b.available+b.rules.Share)
 }
 
-// Available returns how many retries may be taken now.
+// Available returns the number of retries that may be taken now.
 func (b *Budget) Available() float64 { return b.available }
 
-// Decide says whether to try once more, and takes it from the budget if so.
+// Decide decides whether the request is retried, and takes a retry from the budget if so.
 func (b *Budget) Decide(now time.Time, a Attempt) Verdict {
 	if denied := b.denial(now, a); denied != "" {
 		return Verdict{Reason: denied}
@@ -120,7 +118,8 @@
 	return Verdict{Retry: true, Reason: retryReason(a.Result)}
 }
 
-// denial returns what speaks against one more try, budget apart.
+// denial returns the reason, other than the budget, for which the request is not retried, or "" if there
+// is none.
 func (b *Budget) denial(now time.Time, a Attempt) Reason {
 	switch {
 	case a.Result.Outcome == result.Ran:
@@ -139,7 +138,7 @@
 	return ""
 }
 
-// final reports whether the reason holds at every server of the service.
+// final reports whether the reason applies at every server of the service.
 func final(r result.Reason) bool {
 	switch r {
 	case result.NoClass, result.Expired, result.Gone, result.KeyBad, result.KeyReused, result.OwnerGone, result.Budget:
--- a/internal/load/retry/retry_test.go
+++ b/internal/load/retry/retry_test.go
@@ -12,7 +12,7 @@
 
 var now = time.Unix(1_000_000, 0)
 
-// shedAttempt is an attempt that may be made again.
+// shedAttempt is an attempt that may be retried.
 var shedAttempt = Attempt{
 	Result:      result.Result{Outcome: result.NotRun, Reason: result.ServerShed},
 	Tries:       1,
@@ -39,8 +39,8 @@
 	}
 }
 
-// After an outage every request of a second is refused once and would be tried
-// three times. The servers see a tenth more than the fresh work, not three times as much.
+// Guards against a retry storm after an outage: if every request is refused once and could be tried three
+// times, the servers receive a tenth more than the fresh requests, not three times as many.
 func TestRetriesStayAShareOfFreshWork(t *testing.T) {
 	b, retries := New(Default), 0
 	for range 10_000 {
@@ -54,7 +54,7 @@
 	assert.Equal(t, b.Decide(now, shedAttempt).Reason, NoBudget)
 }
 
-// Whatever the attempt: what ran, or may have run and must not run twice, is never tried again.
+// A request that ran, or may have run and must not run twice, is never retried.
 func TestNeverRunsTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := Attempt{
