--- a/internal/load/parts/parts.go
+++ b/internal/load/parts/parts.go
@@ -1,10 +1,11 @@
 // Package parts names the mechanisms that decide about opaque flows, so that each can be switched off.
 //
-// What a mechanism is worth shows only beside a run without it. Settings name those that are off in their section
-// [without], and the processes hand Off to whatever decides. Nothing is off in a deployment that serves anybody:
-// the section is for measurements (scripts/ablate), and each process says in its log what is off.
+// The effect of a mechanism can be determined only by comparison with a run without it. The settings list
+// the mechanisms that are off in their section [without], and the processes pass Off to the code that
+// decides. Everything is on in a deployment that serves callers: the section is for ablation experiments
+// (scripts/ablate), and each process logs which mechanisms are off.
 //
-// It is no place for tuning: a part is on or off.
+// Package parts is not for tuning: a mechanism is either on or off.
 //
 // # Usage
 //
@@ -14,25 +15,25 @@
 
 import "slices"
 
-// Off says which mechanisms are switched off.
+// Off holds the mechanisms that are switched off. The fields are named like the mechanisms in settings.
 type Off struct {
-	Reports  bool // choice of a server by what agents report (package steer)
-	Avoid    bool // servers that didn't answer or refused come last (steer)
-	Cold     bool // a server that has just started gets less (steer)
-	Distance bool // servers of the own failure domain first (steer)
-	Offers   bool // passing a flow on while no slot is free (package share)
-	Waiting  bool // flows wait at the agent for a slot (package hold)
-	Lag      bool // an opened flow without a request frees its slot soon (package owner)
-	Mute     bool // no flows for an own server that says nothing (package local)
-	Search   bool // asking all agents for a flow's owner, and resets of flows that nobody holds (local)
-	Reach    bool // an entry that hears no agent isn't ready (package edge)
-	Lost     bool // callers of an agent that answers nobody are told (edge)
-	Breaker  bool // no flows for a server that breaks off its requests, whose callers are told (package trip)
-	Quick    bool // few flows for a server that answers far too fast (package quick)
-	Bulk     bool // flows that fill the entry's link for long wait for their turn (package bulk)
+	Reports  bool // placement of flows by the reports of agents (package steer)
+	Avoid    bool // servers that did not answer or refused come last (steer)
+	Cold     bool // reduced load for a server that has just started (steer)
+	Distance bool // preference for servers of the own failure domain (steer)
+	Offers   bool // offering a flow to another agent while no slot is free (package share)
+	Waiting  bool // queueing of flows at the agent until a slot is free (package hold)
+	Lag      bool // early release of the slot of an open flow without a request (package owner)
+	Mute     bool // no new flows for an unresponsive own server (package local)
+	Search   bool // querying all agents for a flow's owner, and resets of flows without an owner (local)
+	Reach    bool // an entry that receives nothing from any agent is not ready (package edge)
+	Lost     bool // callers of a failed agent are notified (edge)
+	Breaker  bool // no new flows for a server that aborts requests, and notification of its callers (package trip)
+	Quick    bool // few new flows for a server that answers too fast (package quick)
+	Bulk     bool // queueing of flows that occupy the entry's link for a long time (package bulk)
 }
 
-// mechanism is one mechanism: its name in settings and its field.
+// mechanism is a mechanism with its name in settings and its field of Off.
 type mechanism struct {
 	name  string
 	field func(*Off) *bool
@@ -63,7 +64,7 @@
 	return names
 }
 
-// Parse returns what the names switch off, and the names that mean nothing.
+// Parse returns the mechanisms switched off by the names, and the unknown names.
 func Parse(names []string) (off Off, unknown []string) {
 	for _, n := range names {
 		i := slices.IndexFunc(mechanisms, func(p mechanism) bool { return p.name == n })
--- a/internal/load/parts/parts_test.go
+++ b/internal/load/parts/parts_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Each name switches off one mechanism, and each mechanism has a name.
-func TestNamesAndMechanismsPair(t *testing.T) {
+// Each name switches off exactly one mechanism, and each mechanism has a name.
+func TestEachMechanismHasOneName(t *testing.T) {
 	seen := map[Off]bool{}
 	for _, n := range Names() {
 		off, unknown := Parse([]string{n})
