--- a/internal/load/detect/detect_test.go
+++ b/internal/load/detect/detect_test.go
@@ -10,121 +10,123 @@
 
 const tick = 50 * time.Millisecond
 
-var bounds = Bounds{Doubt: 150 * time.Millisecond, Wait: 200 * time.Millisecond, Checks: 2}
+var config = Config{SuspectAfter: 150 * time.Millisecond, ProbeTimeout: 200 * time.Millisecond, Probes: 2}
 
-// world ticks a detector and answers its questions as long as answers says so.
-type world struct {
-	now     time.Time
-	d       *Detector
-	answers bool
-	lost    time.Time
+// harness ticks a detector and answers its probes while answering is set.
+type harness struct {
+	now       time.Time
+	d         *Detector
+	answering bool
+	failedAt  time.Time
 }
 
-func newWorld() *world {
-	w := &world{now: time.Unix(1_700_000_000, 0), d: New(bounds)}
+func newHarness() *harness {
+	w := &harness{now: time.Unix(1_700_000_000, 0), d: New(config)}
 	w.d.Tick(w.now, Open)
 	return w
 }
 
-func (w *world) run(d time.Duration) {
+func (w *harness) run(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.now = w.now.Add(tick)
 		switch w.d.Tick(w.now, Open) {
-		case Check:
-			if w.answers {
-				w.d.Heard()
+		case Probe:
+			if w.answering {
+				w.d.Received()
 			}
-		case Lost:
-			w.lost = w.now
-		case Fine:
+		case Failed:
+			w.failedAt = w.now
+		case None:
 		}
 	}
 }
 
-// A party falls silent. It is lost within the stated bound and not before, and its first word brings it back.
-func TestSilentPartyIsLostWithinTheBound(t *testing.T) {
-	w := newWorld()
+// A target that stops answering is declared failed within the documented bound and not earlier, and its
+// next message clears the failure.
+func TestUnresponsiveTargetFailsWithinTheBound(t *testing.T) {
+	w := newHarness()
 	began := w.now
-	w.d.Asked(w.now)
+	w.d.Sent(w.now)
 	w.run(2 * time.Second)
-	bound := bounds.Doubt + time.Duration(bounds.Checks)*bounds.Wait
-	took := w.lost.Sub(began)
+	bound := config.SuspectAfter + time.Duration(config.Probes)*config.ProbeTimeout
+	took := w.failedAt.Sub(began)
 	assert.Assert(t, took >= bound && took <= bound+tick, took)
-	assert.Assert(t, w.d.Lost())
-	assert.Assert(t, w.d.Heard())
-	assert.Assert(t, !w.d.Lost())
+	assert.Assert(t, w.d.Failed())
+	assert.Assert(t, w.d.Received())
+	assert.Assert(t, !w.d.Failed())
 }
 
-// Nothing was asked, so nothing is owed: a party without traffic is never in doubt.
-func TestPartyThatIsAskedNothingIsFine(t *testing.T) {
-	w := newWorld()
+// A target to which nothing was sent is never suspected.
+func TestTargetWithoutMessagesIsNotSuspected(t *testing.T) {
+	w := newHarness()
 	w.run(time.Minute)
-	assert.Assert(t, !w.d.Lost())
+	assert.Assert(t, !w.d.Failed())
 }
 
-// A message and its answer are lost, again and again, and the direct questions are answered.
-func TestPartyThatAnswersQuestionsIsFine(t *testing.T) {
-	w := newWorld()
-	w.answers = true
+// Guards against declaring a target failed that answers probes, if messages and their answers are lost
+// repeatedly.
+func TestTargetThatAnswersProbesDoesNotFail(t *testing.T) {
+	w := newHarness()
+	w.answering = true
 	for range 100 {
-		w.d.Asked(w.now)
+		w.d.Sent(w.now)
 		w.run(time.Second)
 	}
-	assert.Assert(t, w.lost.IsZero())
+	assert.Assert(t, w.failedAt.IsZero())
 }
 
-// The observer's instance is frozen for five seconds right after it has asked. The answer lies in its socket when it wakes up, and
-// the clock says that five seconds have gone; with the clock's time it would have taken everybody for lost before it
-// read a word.
-func TestFrozenObserverTakesNobodyForLost(t *testing.T) {
-	w := newWorld()
-	w.d.Asked(w.now)
+// Guards against an observer that was frozen for five seconds after sending a message and declares the target
+// failed before it reads the answer, which is in its socket. By the wall clock the timeout has passed.
+func TestFrozenObserverDeclaresNoTargetFailed(t *testing.T) {
+	w := newHarness()
+	w.d.Sent(w.now)
 	w.now = w.now.Add(5 * time.Second)
-	assert.Equal(t, w.d.Tick(w.now, Open), Fine)
+	assert.Equal(t, w.d.Tick(w.now, Open), None)
 	w.now = w.now.Add(tick)
 	verdict := w.d.Tick(w.now, Open)
-	assert.Assert(t, verdict != Lost)
-	w.d.Heard()
+	assert.Assert(t, verdict != Failed)
+	w.d.Received()
 	w.run(time.Second)
-	assert.Assert(t, w.lost.IsZero())
+	assert.Assert(t, w.failedAt.IsZero())
 }
 
-// Guards against a party that is lost by questions whose answers couldn't come, and against asking ever more often meanwhile.
-func TestQuestionsThatDoNotCountLoseNobody(t *testing.T) {
-	w := newWorld()
-	w.d.Asked(w.now)
+// Guards against declaring a target failed because of probes that could not be answered, and against
+// probing more and more often meanwhile.
+func TestProbesThatDoNotCountDeclareNoFailure(t *testing.T) {
+	w := newHarness()
+	w.d.Sent(w.now)
 	questions := 0
 	for range 200 {
 		w.now = w.now.Add(tick)
 		switch w.d.Tick(w.now, Blocked) {
-		case Check:
+		case Probe:
 			questions++
-		case Lost:
-			t.Fatal("lost")
-		case Fine:
+		case Failed:
+			t.Fatal("declared failed")
+		case None:
 		}
 	}
 	assert.Assert(t, questions > 0 && questions <= 10, questions)
-	w.run(bounds.Wait * time.Duration(bounds.Checks) * mostWaits)
-	assert.Assert(t, !w.lost.IsZero(), "the way is open again, and the party has answered nothing")
+	w.run(config.ProbeTimeout * time.Duration(config.Probes) * maxBackoff)
+	assert.Assert(t, !w.failedAt.IsZero(), "the path is open again and the target has not answered")
 }
 
-// Whatever pauses the observer has, a party that answers each question within two ticks is never lost.
-func TestPartyThatLivesIsNeverLost(t *testing.T) {
+// A target that answers each probe within two ticks is never declared failed, for any pauses of the observer.
+func TestResponsiveTargetNeverFails(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		w := newWorld()
+		w := newHarness()
 		due := -1
 		for i := range 200 {
 			w.now = w.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(r, "step")) * time.Millisecond)
 			if rapid.Bool().Draw(r, "ask") {
-				w.d.Asked(w.now)
+				w.d.Sent(w.now)
 			}
 			if i == due {
-				w.d.Heard()
+				w.d.Received()
 			}
 			verdict := w.d.Tick(w.now, Open)
-			assert.Assert(r, verdict != Lost)
-			if verdict == Check {
+			assert.Assert(r, verdict != Failed)
+			if verdict == Probe {
 				due = i + 2
 			}
 		}
--- a/internal/load/queue/ahead.go
+++ b/internal/load/queue/ahead.go
@@ -2,14 +2,15 @@
 
 import "slices"
 
-// Backlog is what one caller has waiting.
+// Backlog is the waiting work of one caller.
 type Backlog struct {
 	Caller  Caller  `json:"caller"`
 	Waiting int     `json:"waiting"`
-	Cost    float64 `json:"cost"` // seconds of a slot
+	Cost    float64 `json:"cost"` // in seconds of a slot
 }
 
-// Backlogs lists the callers that wait, in the order in which they came.
+// Backlogs returns the backlogs of the callers with waiting requests, in the order in which the callers
+// arrived.
 func (f *Fair) Backlogs() []Backlog {
 	var list []Backlog
 	for w := range f.all {
@@ -20,7 +21,7 @@
 	return list
 }
 
-func (w *flow) cost() float64 {
+func (w *callerQueue) cost() float64 {
 	sum := 0.0
 	for _, i := range w.items {
 		sum += i.Cost
@@ -31,49 +32,49 @@
 	return sum
 }
 
-// Ahead returns the work, in seconds of a slot, that would start before a new
-// request of the caller: all that the caller has waiting, and of every other
-// caller no more than its weight lets it start in the meantime.
+// Ahead returns the work, in seconds of a slot, that would start before a new request of the caller:
+// everything the caller already has waiting, and of every other caller at most what its weight lets it
+// start in the meantime.
 func (f *Fair) Ahead(c Caller) float64 {
-	key, inside := c, 0.0
+	key, within := c, 0.0
 	if c.Name == "" {
 		key = unnamed
-		if group := lookup(f.flows, unnamed); group != nil {
-			inside = overtaking(group.members, c, 1)
+		if group := lookup(f.queues, unnamed); group != nil {
+			within = workWithinGroup(group.members, c, 1)
 		}
 	}
-	own := lookup(f.flows, key)
+	own := lookup(f.queues, key)
 	if c.Name != "" && own != nil {
-		inside = own.cost()
+		within = own.cost()
 	}
-	return inside + others(f.flows, key, f.Weight(key), inside)
+	return within + rivalWork(f.queues, key, f.Weight(key), within)
 }
 
-// overtaking is the caller's own backlog and what its rivals start meanwhile.
-func overtaking(level []*flow, c Caller, weight float64) float64 {
+// workWithinGroup returns the caller's own backlog plus the work that its rivals in the group start in
+// the meantime.
+func workWithinGroup(level []*callerQueue, c Caller, weight float64) float64 {
 	cost := 0.0
 	if own := lookup(level, c); own != nil {
 		cost = own.cost()
 	}
-	return cost + others(level, c, weight, cost)
+	return cost + rivalWork(level, c, weight, cost)
 }
 
-// others is the work that the rivals of a caller start while it is served the
-// given cost. Each may start one request more than its exact share, since
-// requests are not cut into pieces.
-func others(level []*flow, c Caller, weight, cost float64) float64 {
+// rivalWork returns the work that the rivals of a caller start while the caller is served the given cost.
+// Each rival may start one request more than its exact share, since requests are not divisible.
+func rivalWork(level []*callerQueue, c Caller, weight, cost float64) float64 {
 	sum := 0.0
 	for _, w := range level {
 		if w.caller == c || w.waiting() == 0 {
 			continue
 		}
-		one := w.cost() / float64(w.waiting())
-		sum += min(w.cost(), cost*w.share.Weight/weight+one)
+		perRequest := w.cost() / float64(w.waiting())
+		sum += min(w.cost(), cost*w.share.Weight/weight+perRequest)
 	}
 	return sum
 }
 
-func lookup(level []*flow, c Caller) *flow {
+func lookup(level []*callerQueue, c Caller) *callerQueue {
 	for _, w := range level {
 		if w.caller == c {
 			return w
@@ -82,24 +83,23 @@
 	return nil
 }
 
-// Room reports whether a caller may have one more request of a class waiting,
-// of at most limit in all. Each caller may have as many as places are still free,
-// times its weight over the mean weight: one heavy caller fills half of the queue
-// at most, two a third each. So there is always room for a caller that has
-// nothing waiting, nobody has to be turned out again to make it, and a refusal is
-// said at once. Unnamed callers are bounded as the group they are, and in the
-// same way among each other.
-func (f *Fair) Room(class string, c Caller, limit int) bool {
+// HasRoom reports whether a caller may have one more waiting request of a class, with at most limit
+// requests of the class waiting in all. Each caller may have as many waiting requests as there are free
+// places, multiplied by the ratio of its weight to the mean weight: one heavy caller fills at most half
+// of the queue, two fill a third each. There is therefore always room for a caller without waiting
+// requests, no waiting request has to be evicted, and refusals are immediate. Unnamed callers are limited
+// as a group, and in the same way within the group.
+func (f *Fair) HasRoom(class string, c Caller, limit int) bool {
 	key := c
 	if c.Name == "" {
 		key = unnamed
 	}
 	free := float64(limit - f.Waiting(class))
-	top, n := lookup(f.flows, key), 0
+	top, n := lookup(f.queues, key), 0
 	if top != nil {
 		n = top.count(class)
 	}
-	bound := free * f.Weight(key) / f.mean
+	bound := free * f.Weight(key) / f.meanWeight
 	if free < 1 || float64(n) >= bound {
 		return false
 	}
@@ -110,7 +110,7 @@
 	return member == nil || float64(member.count(class)) < bound-float64(n)
 }
 
-func (w *flow) count(class string) int {
+func (w *callerQueue) count(class string) int {
 	n := 0
 	for _, i := range w.items {
 		if i.Class == class {
@@ -123,19 +123,19 @@
 	return n
 }
 
-// Waiting returns how many requests of a class wait.
+// Waiting returns the number of waiting requests of a class.
 func (f *Fair) Waiting(class string) int {
 	n := 0
-	for _, w := range f.flows {
+	for _, w := range f.queues {
 		n += w.count(class)
 	}
 	return n
 }
 
-// Clear takes out everything, oldest first.
+// Clear removes and returns all requests, oldest first.
 func (f *Fair) Clear() []Item {
 	items := slices.Collect(f.All)
 	slices.SortStableFunc(items, func(a, b Item) int { return a.Arrived.Compare(b.Arrived) })
-	f.flows, f.size = nil, 0
+	f.queues, f.size = nil, 0
 	return items
 }
--- a/internal/load/warm/warm_test.go
+++ b/internal/load/warm/warm_test.go
@@ -10,18 +10,18 @@
 
 var now = time.Unix(1_700_000_000, 0)
 
-// Guards against a cold server that gets more than it bears in some second, wherever that second begins.
-func TestNoSecondHasMoreThanStated(t *testing.T) {
+// Guards against a cold server that receives more flows than configured within any interval of one second.
+func TestNoSecondExceedsConfiguredRate(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		rate := rapid.Float64Range(0.2, 40).Draw(r, "rate")
 		var l Limiter
-		l.ColdFor(now, 10*time.Second)
+		l.SetCold(now, 10*time.Second)
 		var taken []time.Time
 		at := now
 		for range 200 {
 			at = at.Add(time.Duration(rapid.IntRange(0, 60).Draw(r, "ms")) * time.Millisecond)
 			if l.Allows(at, rate) {
-				l.Took(at)
+				l.Record(at)
 				taken = append(taken, at)
 			}
 		}
@@ -34,25 +34,25 @@
 	})
 }
 
-// Guards against a service without a stated rate, or a warm server, that is limited.
+// Guards against limiting a warm server or a service without a configured rate.
 func TestNothingIsLimitedWithoutARateOrWhenWarm(t *testing.T) {
 	var l Limiter
 	for range 100 {
 		assert.Assert(t, l.Allows(now, 5), "warm")
-		l.Took(now)
+		l.Record(now)
 	}
-	l.ColdFor(now, time.Second)
+	l.SetCold(now, time.Second)
 	assert.Assert(t, !l.Allows(now, 5))
 	assert.Assert(t, l.Allows(now, 0), "no rate")
 	assert.Assert(t, l.Allows(now.Add(time.Second), 5), "warm again")
 }
 
-// Guards against a server that is taken for warm because an older word said so.
-func TestColdAtLeast(t *testing.T) {
+// Guards against an earlier and shorter cold period that ends the current one.
+func TestExtendCold(t *testing.T) {
 	var l Limiter
-	l.AtLeast(now, 2*time.Second)
-	l.AtLeast(now, time.Second)
+	l.ExtendCold(now, 2*time.Second)
+	l.ExtendCold(now, time.Second)
 	assert.Assert(t, l.Cold(now.Add(1500*time.Millisecond)))
-	l.ColdFor(now, 0)
+	l.SetCold(now, 0)
 	assert.Assert(t, !l.Cold(now))
 }
