--- /dev/null
+++ b/internal/node/entry/names_test.go
@@ -0,0 +1,12 @@
+package entry
+
+import (
+	"testing"
+
+	"mangowinch/internal/stand/filled"
+)
+
+// Guards against names in /status that change, which operators' tools read.
+func TestStatusNames(t *testing.T) {
+	filled.Written(t, "status.golden", map[string]any{"services": &[]Service{}})
+}
--- a/internal/stand/filled/filled.go
+++ b/internal/stand/filled/filled.go
@@ -129,7 +129,7 @@
 	if !v.IsValid() || v.IsZero() || hasLen(v) && v.Len() == 0 {
 		return append(paths, path)
 	}
-	if _, opaque := v.Interface().(encoding.TextMarshaler); opaque {
+	if opaque(v) {
 		return paths
 	}
 	switch v.Kind() {
@@ -153,4 +153,14 @@
 	return paths
 }
 
+// opaque says whether a value is written as a whole, such as an address or a URL.
+func opaque(v reflect.Value) bool {
+	switch v.Interface().(type) {
+	case encoding.TextMarshaler, encoding.BinaryMarshaler:
+		return true
+	default:
+		return false
+	}
+}
+
 func hasLen(v reflect.Value) bool { return v.Kind() == reflect.Slice || v.Kind() == reflect.Map }
--- /dev/null
+++ b/internal/stand/filled/names.go
@@ -0,0 +1,44 @@
+package filled
+
+import (
+	"bytes"
+	"encoding/json"
+	"reflect"
+	"testing"
+
+	"gotest.tools/v3/assert"
+	"gotest.tools/v3/golden"
+)
+
+// Written compares the JSON of values, filled, with a golden file. Each value is a pointer; the names are those of the
+// values in the file.
+func Written(t *testing.T, file string, values map[string]any) {
+	t.Helper()
+	for _, v := range values {
+		Fill(v)
+	}
+	text, err := json.MarshalIndent(values, "", "  ")
+	assert.NilError(t, err)
+	golden.Assert(t, string(text)+"\n", file)
+}
+
+// Names is Written for values that are read as well: what the golden file holds must be read with no field left unset,
+// and give the same text again.
+func Names(t *testing.T, file string, values map[string]any) {
+	t.Helper()
+	Written(t, file, values)
+	var texts map[string]json.RawMessage
+	assert.NilError(t, json.Unmarshal(golden.Get(t, file), &texts))
+	assert.Equal(t, len(texts), len(values))
+	for name, v := range values {
+		again := reflect.New(reflect.TypeOf(v).Elem())
+		assert.NilError(t, json.Unmarshal(texts[name], again.Interface()), "%s", name)
+		missing := Unset(again.Interface())
+		assert.Equal(t, len(missing), 0, "%s lacks %v", name, missing)
+		text, err := json.Marshal(again.Interface())
+		assert.NilError(t, err)
+		var want bytes.Buffer
+		assert.NilError(t, json.Compact(&want, texts[name]))
+		assert.Equal(t, string(text), want.String(), "%s", name)
+	}
+}
