--- /dev/null
+++ b/internal/oper/verbs/flags_test.go
@@ -0,0 +1,18 @@
+package verbs
+
+import (
+	"testing"
+
+	"github.com/alecthomas/kong"
+	"gotest.tools/v3/assert"
+	"gotest.tools/v3/golden"
+
+	"mangowinch/internal/stand/described"
+)
+
+// Guards against commands and flags that change their names: scripts call the program with them.
+func TestNamesOfFlags(t *testing.T) {
+	text, err := described.CommandLine(&commands{}, kong.Vars{"version": "v1"})
+	assert.NilError(t, err)
+	golden.Assert(t, text, "flags.golden")
+}
--- a/internal/stand/described/described.go
+++ b/internal/stand/described/described.go
@@ -1,5 +1,5 @@
-// Package described lists what a protobuf file puts on the wire: names and numbers of fields, values of enums and the
-// paths of calls.
+// Package described lists names that leave a process and that a library makes of the code: what a protobuf file puts on the
+// wire (names and numbers of fields, values of enums, paths of calls), and what a command line takes.
 //
 // It exists because old and new processes run side by side during an update, and because protobuf and drpc each have a
 // set of names that both must know: a golden file of the list shows when one changes.
--- /dev/null
+++ b/internal/stand/described/flags.go
@@ -0,0 +1,33 @@
+package described
+
+import (
+	"fmt"
+	"strings"
+
+	"github.com/alecthomas/kong"
+)
+
+// CommandLine lists the commands, arguments and flags that a program takes. Kong makes their names of the names of Go fields
+// where no tag says otherwise.
+func CommandLine(commands any, options ...kong.Option) (string, error) {
+	k, err := kong.New(commands, append([]kong.Option{kong.Name("program")}, options...)...)
+	if err != nil {
+		return "", err
+	}
+	var b strings.Builder
+	command(&b, k.Model.Node)
+	return b.String(), nil
+}
+
+func command(b *strings.Builder, n *kong.Node) {
+	fmt.Fprintf(b, "command %s\n", n.Path())
+	for _, a := range n.Positional {
+		fmt.Fprintf(b, "  argument %s\n", a.Name)
+	}
+	for _, f := range n.Flags {
+		fmt.Fprintf(b, "  --%s choice %q variables %q\n", f.Name, f.Enum, f.Envs)
+	}
+	for _, c := range n.Children {
+		command(b, c)
+	}
+}
