--- a/internal/oper/pages/names_test.go
+++ b/internal/oper/pages/names_test.go
@@ -136,15 +136,11 @@
 	golden.Assert(t, sorted(lines), "lines.golden")
 }
 
-// namesOfMetrics are the texts with names of metrics, and with each the words that its function is called with.
+// namesOfMetrics are the texts with names of metrics, and with each the words that its functions are given.
 func namesOfMetrics(files []*ast.File) (lines []string) {
-	makers := map[string][]string{} // by name of the function, the texts in it
-	for _, f := range files {
-		for _, d := range f.Decls {
-			name := ""
-			if fn, ok := d.(*ast.FuncDecl); ok {
-				name = fn.Name.Name
-			}
+	makers := map[string][]string{} // by name of the function, the metrics that it counts
+	for name, bodies := range functions(files) {
+		for _, d := range bodies {
 			findMetrics(d, name, func(maker, metric string) {
 				lines = append(lines, metric)
 				makers[maker] = append(makers[maker], metric)
@@ -152,16 +148,122 @@
 		}
 	}
 	delete(makers, "") // of no function
+	passOn(files, makers)
+	tell := func(metrics []string, found []string) {
+		for _, metric := range metrics {
+			for _, word := range found {
+				lines = append(lines, fmt.Sprintf("%s word %q", metric, word))
+			}
+		}
+	}
+	for name, metrics := range makers {
+		for _, d := range functions(files)[name] {
+			tell(metrics, assigned(d))
+		}
+	}
 	eachCall(files, func(c *ast.CallExpr) {
-		for _, metric := range makers[called(c)] {
+		if metrics := makers[called(c)]; len(metrics) > 0 {
+			tell(metrics, given(files, c))
+		}
+	})
+	return lines
+}
+
+// functions returns the declarations of the files by the name of the function or method, others under no name.
+func functions(files []*ast.File) map[string][]ast.Decl {
+	byName := map[string][]ast.Decl{}
+	for _, f := range files {
+		for _, d := range f.Decls {
+			name := ""
+			if fn, ok := d.(*ast.FuncDecl); ok {
+				name = fn.Name.Name
+			}
+			byName[name] = append(byName[name], d)
+		}
+	}
+	return byName
+}
+
+// passOn adds the functions that hand a parameter of their own on to one that counts.
+func passOn(files []*ast.File, makers map[string][]string) {
+	for added := true; added; {
+		added = false
+		for _, f := range files {
+			for _, d := range f.Decls {
+				fn, ok := d.(*ast.FuncDecl)
+				if !ok || fn.Body == nil {
+					continue
+				}
+				for _, metric := range handedOn(fn, makers) {
+					if !slices.Contains(makers[fn.Name.Name], metric) {
+						makers[fn.Name.Name], added = append(makers[fn.Name.Name], metric), true
+					}
+				}
+			}
+		}
+	}
+}
+
+// handedOn returns the metrics of functions that get a text parameter of fn.
+func handedOn(fn *ast.FuncDecl, makers map[string][]string) (metrics []string) {
+	var parameters []string
+	for _, p := range fn.Type.Params.List {
+		if t, ok := p.Type.(*ast.Ident); ok && t.Name == "string" {
+			for _, n := range p.Names {
+				parameters = append(parameters, n.Name)
+			}
+		}
+	}
+	ast.Inspect(fn.Body, func(n ast.Node) bool {
+		if c, ok := n.(*ast.CallExpr); ok {
 			for _, a := range c.Args {
-				if word, ok := text(a); ok {
-					lines = append(lines, fmt.Sprintf("%s word %q", metric, word))
+				if i, ok := a.(*ast.Ident); ok && slices.Contains(parameters, i.Name) {
+					metrics = append(metrics, makers[called(c)]...)
 				}
 			}
 		}
+		return true
 	})
-	return lines
+	return metrics
+}
+
+// assigned returns the texts that a function gives to variables.
+func assigned(d ast.Decl) (found []string) {
+	ast.Inspect(d, func(n ast.Node) bool {
+		if a, ok := n.(*ast.AssignStmt); ok {
+			for _, v := range a.Rhs {
+				if word, ok := text(v); ok {
+					found = append(found, word)
+				}
+			}
+		}
+		return true
+	})
+	return found
+}
+
+// given returns the texts that a call is given: as they stand, or as what a function of the folder returns.
+func given(files []*ast.File, c *ast.CallExpr) (found []string) {
+	for _, a := range c.Args {
+		if word, ok := text(a); ok {
+			found = append(found, word)
+		}
+		inner, ok := a.(*ast.CallExpr)
+		if !ok {
+			continue
+		}
+		for _, d := range functions(files)[called(inner)] {
+			ast.Inspect(d, func(n ast.Node) bool {
+				if r, ok := n.(*ast.ReturnStmt); ok && len(r.Results) > 0 {
+					if word, ok := text(r.Results[0]); ok {
+						found = append(found, word)
+					}
+				}
+				return true
+			})
+		}
+	}
+	return found
 }
 
 // findMetrics tells each text with the name of a metric, and the innermost function with a name that holds it.
