--- a/internal/node/local/local.go
+++ b/internal/node/local/local.go
@@ -110,7 +110,7 @@
 	passed   map[segs.Flow]passing // as the home: packets on their way to owners in doubt
 	leaving  bool
 	breaker  trip.Breaker
-	quick    *quick.Watch
+	quick    *quick.Breaker
 	warmth   warm.Limiter
 	ending   []segs.Flow // that rest at a server that breaks off its requests
 	server   sight
