--- a/internal/node/local/caller.go
+++ b/internal/node/local/caller.go
@@ -13,16 +13,16 @@
 	"mangowinch/internal/oper/event"
 )
 
-// carried takes a caller's packet that an entry or another agent sent.
-func (a *Agent) carried(now time.Time, from netip.Addr, m msgs.Carry) {
+// handleCarry processes a caller's packet that was sent by an entry or another agent.
+func (a *Agent) handleCarry(now time.Time, from netip.Addr, m msgs.Carry) {
 	s, err := a.Codec.Decode(m.Packet, segs.CallerEnd)
 	if err != nil || s.Has(segs.Returned) {
-		dropped("malformed")
+		countDropped("malformed")
 		return
 	}
 	received.Inc()
 	if s.Opening() {
-		a.open(now, m, &s)
+		a.handleOpening(now, m, &s)
 		return
 	}
 	o := a.flows.Get(s.Flow)
@@ -35,51 +35,53 @@
 		a.flows.FromCaller(now, o, &s)
 		a.Wire.ToServer(m.Packet)
 		if m.Hops > 0 {
-			a.tellOwner(m.Origin, msgs.Owner{Flow: s.Flow, Open: true})
+			a.sendOwner(m.Origin, msgs.Owner{Flow: s.Flow, Open: true})
 		}
 		if m.Hops > 1 {
-			a.registerOne(now, o, s.Flow) // the home didn't know, or knew another
+			a.registerOne(now, o, s.Flow) // the home has no record of the owner, or an outdated one
 		}
 	case m.Probe:
 		a.probe(now, from, s.Flow, m.Packet)
 	default:
-		a.passOn(now, m, &s)
+		a.routePacket(now, m, &s)
 	}
 }
 
-// open takes an opening packet that an entry has placed here.
-func (a *Agent) open(now time.Time, m msgs.Carry, s *segs.Segment) {
-	a.offered(now, msgs.Offer{Head: m.Head, Origin: m.Origin, Insist: m.Insist, Packet: m.Packet}, s)
+// handleOpening processes an opening packet that an entry has placed at this agent.
+func (a *Agent) handleOpening(now time.Time, m msgs.Carry, s *segs.Segment) {
+	a.placeOpening(now, msgs.Offer{Head: m.Head, Origin: m.Origin, Insist: m.Insist, Packet: m.Packet}, s)
 }
 
-// offered gives an opening packet to the server, to a less busy one, or back to the entry.
-func (a *Agent) offered(now time.Time, m msgs.Offer, s *segs.Segment) {
+// placeOpening gives an opening packet to the local server, offers it to a less busy one, or returns it to the
+// entry.
+func (a *Agent) placeOpening(now time.Time, m msgs.Offer, s *segs.Segment) {
 	if o := a.flows.Get(s.Flow); o != nil {
 		o.Used = now
-		a.Wire.ToServer(m.Packet) // a copy: the server's answer was lost or is on its way
+		a.Wire.ToServer(m.Packet) // a retransmission: the server's answer was lost or is on its way
 		return
 	}
 	if a.waiting.Has(s.Flow) {
-		return // a copy: it waits in one place only, or two servers would open it
+		return // a retransmission: the flow must wait at one agent only, or two servers would open it
 	}
-	if why := a.closed(now, m, s); why != 0 {
-		a.handBack(now, m.Origin, s, m.Packet, why)
+	if reason := a.refusalReason(now, m, s); reason != 0 {
+		a.returnOpening(now, m.Origin, s, m.Packet, reason)
 		return
 	}
-	servers := a.others()
+	servers := a.peers()
 	if a.Off.Offers {
 		m.Final = true
 	}
-	next := share.Next(share.Server{Agent: a.Self, Work: a.work(now)}, m.Visited, m.Final, servers, a.Rand.IntN)
+	next := share.Next(share.Server{Agent: a.Self, Work: a.utilization(now)}, m.Visited, m.Final, servers, a.Rand.IntN)
 	if next.Agent != a.Self {
 		a.offer(m, next, s)
 		return
 	}
-	a.take(now, m, s)
+	a.enqueue(now, m, s)
 }
 
-// take lets a flow that is to be this server's wait for its turn, which may come at once.
-func (a *Agent) take(now time.Time, m msgs.Offer, s *segs.Segment) {
+// enqueue adds a flow that this server is to serve to the waiting queue, and admits it at once if a slot is
+// free.
+func (a *Agent) enqueue(now time.Time, m msgs.Offer, s *segs.Segment) {
 	w := &hold.Waiting{
 		Flow:   s.Flow,
 		Origin: m.Origin,
@@ -89,36 +91,37 @@
 	if r := a.Log.View().Route(s.Flow.Called()); r != nil {
 		w.Priority, w.Target = r.Priority, r.Target
 	}
-	if last := a.waiting.Add(now, w, a.waitingLimit(now)); last != nil {
-		a.handBackWaiting(now, last, msgs.WhyBusy)
-		if last == w {
+	if evicted := a.waiting.Add(now, w, a.waitingLimit(now)); evicted != nil {
+		a.returnWaitingFlow(now, evicted, msgs.WhyBusy)
+		if evicted == w {
 			return
 		}
 	}
 	a.admit(now)
 	if a.waiting.Has(s.Flow) {
-		held.Inc()
-		a.Events.Flow(event.Ordinary, "waits", s.Flow).Int("waiting", a.waiting.Len()).Uint16("work", a.work(now)).
+		queued.Inc()
+		a.Events.Flow(event.Ordinary, "waits", s.Flow).Int("waiting", a.waiting.Len()).Uint16("work", a.utilization(now)).
 			Int("priority", w.Priority).Stringer("revision", a.Log.Revision()).Send()
-		a.tellOwner(m.Origin, msgs.Owner{Flow: s.Flow}) // or the entry would place the caller's copy elsewhere
+		a.sendOwner(m.Origin, msgs.Owner{Flow: s.Flow}) // otherwise the entry would place a retransmission elsewhere
 	}
 }
 
-// waitingPerSlot bounds the flows that wait for each slot of the server: so many requests of 40 ms are served before their callers give
-// up. A caller that is refused comes again at once and looks new, so that too few cost more than too many.
+// waitingPerSlot bounds the flows that wait for each slot of the server. 30 requests of 40 ms can be served
+// before their callers give up. A refused caller retries at once and looks like a new one, so too low a limit
+// costs more than too high a limit.
 const waitingPerSlot = 30
 
-// waitingLimit is how many flows may wait: no more than the server can be given before their callers give up.
+// waitingLimit returns how many flows may wait: no more than the server can take before their callers give up.
 func (a *Agent) waitingLimit(now time.Time) int {
 	limit := a.slots() * waitingPerSlot
 	rate := a.Log.View().WarmUp(a.Service).Rate
-	if rate <= 0 || !a.warmth.Cold(now) {
+	if rate <= 0 || !a.warmUp.Cold(now) {
 		return limit
 	}
 	return min(limit, max(1, int(rate*a.Callers.Patience().Seconds())))
 }
 
-// admit gives the server the flows that it has room for.
+// admit gives waiting flows to the server while it has free slots.
 func (a *Agent) admit(now time.Time) {
 	for a.waiting.Len() > 0 && a.mayOpen(now) {
 		expected := a.flows.Expected(now)
@@ -131,28 +134,28 @@
 		}
 		o := a.flows.Add(now, w.Flow)
 		if o == nil {
-			a.handBackWaiting(now, w, msgs.WhyTable)
+			a.returnWaitingFlow(now, w, msgs.WhyTable)
 			continue
 		}
 		o.Origin = w.Origin
-		a.warmth.Took(now)
-		if a.unheard.IsZero() {
-			a.unheard = now
+		a.warmUp.Took(now)
+		if a.unansweredSince.IsZero() {
+			a.unansweredSince = now
 		}
 		a.Wire.ToServer(w.Packet)
 	}
 }
 
-// returnWaiting hands all waiting flows back to their entries.
-func (a *Agent) returnWaiting(now time.Time, why msgs.Why) {
+// returnAllWaiting returns all waiting flows to their entries.
+func (a *Agent) returnAllWaiting(now time.Time, why msgs.Why) {
 	for _, w := range a.waiting.Clear() {
-		a.handBackWaiting(now, w, why)
+		a.returnWaitingFlow(now, w, why)
 	}
 }
 
-func (a *Agent) handBackWaiting(now time.Time, w *hold.Waiting, why msgs.Why) {
+func (a *Agent) returnWaitingFlow(now time.Time, w *hold.Waiting, why msgs.Why) {
 	s := segs.Segment{Flow: w.Flow}
-	a.handBack(now, w.Origin, &s, w.Packet, why)
+	a.returnOpening(now, w.Origin, &s, w.Packet, why)
 }
 
 func (a *Agent) slots() int {
@@ -162,8 +165,9 @@
 	return 1
 }
 
-// work is how busy the own server is, in hundredths of its slots. One that is cold and has had its share counts as full.
-func (a *Agent) work(now time.Time) uint16 {
+// utilization returns the load of the local server in hundredths of its slots. A server that is warming up and
+// has used up its rate counts as full.
+func (a *Agent) utilization(now time.Time) uint16 {
 	requests := a.flows.Expected(now) + a.flows.Overdue(now)
 	if !a.mayOpen(now) {
 		requests = max(requests, a.slots())
@@ -171,8 +175,8 @@
 	return uint16(min((requests+a.waiting.Len())*100/a.slots(), 0xffff))
 }
 
-// others lists the agents of the service whose servers take new flows.
-func (a *Agent) others() (agents []share.Server) {
+// peers returns the other agents of the service whose servers accept new flows.
+func (a *Agent) peers() (agents []share.Server) {
 	v := a.Log.View()
 	self, _ := a.self(v)
 	for _, s := range v.Servers(a.Service) {
@@ -183,7 +187,7 @@
 	return agents
 }
 
-// offer passes an opening packet on to an agent.
+// offer sends an opening packet to another agent.
 func (a *Agent) offer(m msgs.Offer, next share.Choice, s *segs.Segment) {
 	m.Revision = a.Log.Revision()
 	m.Service = a.hash
@@ -196,26 +200,27 @@
 		Int("visited", len(next.Visited)).Uint16("work", next.Visited[len(next.Visited)-1].Work).Stringer("revision", m.Revision).Send()
 }
 
-// closed says why no new flow may go to the server, or 0.
-func (a *Agent) closed(now time.Time, m msgs.Offer, s *segs.Segment) msgs.Why {
+// refusalReason returns why no new flow may go to the server, or 0 if it may.
+func (a *Agent) refusalReason(now time.Time, m msgs.Offer, s *segs.Segment) msgs.Why {
 	v := a.Log.View()
 	switch {
 	case m.Service != 0 && m.Service != a.hash:
-		// The address was another service's server's until a moment ago, and the entry
-		// doesn't know yet. Without the check its flow would run on a foreign service.
+		// The address belonged to a server of another service until a moment ago, and the entry has not
+		// received the update yet. Without this check the flow would run on a server of the wrong service.
 		return msgs.WhyService
 	case v.Evacuated(a.Domain):
 		return msgs.WhyEvacuated
 	case a.leaving:
 		return msgs.WhyLeaving
-	case now.Sub(a.down) < downFor:
+	case now.Sub(a.lastDown) < downFor:
 		return msgs.WhyDown
-	case a.mute(now):
+	case a.unresponsive(now):
 		return msgs.WhyMute
 	case !m.Insist && (!a.breaker.Allows(now) || !a.quick.Allows(now)):
 		return msgs.WhyFails
 	case v.Revision > m.Revision && v.Config != nil && !v.Allows(s.Flow.Called(), a.Service):
-		// The entry is behind, or was frozen and has just woken up with an old route.
+		// The entry's configuration is outdated, for example because its process was frozen and has just
+		// resumed with an old route.
 		return msgs.WhyRoute
 	}
 	if self, ok := a.self(v); ok && self.State == belief.Draining {
@@ -225,63 +230,65 @@
 }
 
 const (
-	// muteAfter is how long a server may send nothing after an opening packet, which it answers within
-	// a millisecond, before it counts as mute.
-	muteAfter = 150 * time.Millisecond
-	// muteTry is how often a mute server gets an opening packet all the same, to see whether it is back.
-	muteTry = 400 * time.Millisecond
+	// unresponsiveAfter is how long a server may send nothing after an opening packet, which it normally
+	// answers within a millisecond, before it counts as unresponsive.
+	unresponsiveAfter = 150 * time.Millisecond
+	// unresponsiveRetry is the interval at which an unresponsive server still gets an opening packet, to detect
+	// its recovery.
+	unresponsiveRetry = 400 * time.Millisecond
 )
 
-// mute says whether the server has stopped answering: its instance is up, its process hangs
-// or is cut off. Without it every flow placed here would wait for its caller's first copy, 200 ms.
-func (a *Agent) mute(now time.Time) bool {
-	if a.Off.Mute || a.unheard.IsZero() || now.Sub(a.unheard) < muteAfter {
+// unresponsive reports whether the server has stopped answering: its instance is up, but its process hangs or
+// is cut off. Without this check every flow placed here would wait 200 ms for its caller's first
+// retransmission.
+func (a *Agent) unresponsive(now time.Time) bool {
+	if a.Off.Mute || a.unansweredSince.IsZero() || now.Sub(a.unansweredSince) < unresponsiveAfter {
 		return false
 	}
-	if now.Sub(a.tried) < muteTry {
+	if now.Sub(a.lastRetry) < unresponsiveRetry {
 		return true
 	}
-	a.tried = now
+	a.lastRetry = now
 	return false
 }
 
-// handBack returns an opening packet that no server has taken to the entry.
-func (a *Agent) handBack(now time.Time, origin netip.Addr, s *segs.Segment, packet []byte, why msgs.Why) {
+// returnOpening returns an opening packet that no server has taken to the entry.
+func (a *Agent) returnOpening(now time.Time, origin netip.Addr, s *segs.Segment, packet []byte, why msgs.Why) {
 	m := msgs.Refused{Head: a.head(), Why: why, Load: a.flows.Load(now), Packet: packet}
 	a.buf = m.AppendTo(a.buf[:0])
 	a.Wire.ToPeer(origin, a.buf)
-	handedBack(why.String())
+	countReturned(why.String())
 	a.Events.Flow(event.Failure, "handed-back", s.Flow).Stringer("why", why).Stringer("entry", origin).
 		Uint16("busy", m.Load.Busy).Uint16("flows", m.Load.Flows).Stringer("revision", m.Revision).Send()
 }
 
-// passOn sends on a packet of a flow that the own server doesn't hold: to the owner if this
-// agent is the flow's home, to the home otherwise.
-func (a *Agent) passOn(now time.Time, m msgs.Carry, s *segs.Segment) {
-	if m.Hops >= mostHops {
-		dropped("hops")
+// routePacket forwards a packet of a flow that the local server does not hold: to the owner if this agent is
+// the flow's home, to the home otherwise.
+func (a *Agent) routePacket(now time.Time, m msgs.Carry, s *segs.Segment) {
+	if m.Hops >= maxHops {
+		countDropped("hops")
 		a.Events.Flow(event.Failure, "circled", s.Flow).Uint8("hops", m.Hops).Stringer("revision", a.Log.Revision()).Send()
 		return
 	}
 	if m.Named {
-		// The home remembers this agent from before its restart, or the server has let the flow
-		// go. Sent back to the home, the packet would come again, and be dropped in the end.
-		a.searchFor(now, m, s)
+		// Either the home's record is from before this agent's restart, or the server has closed the flow. The
+		// home would only send the packet here again, until it is dropped.
+		a.startLookup(now, m, s)
 		return
 	}
 	if owner, ok := a.home.Find(s.Flow, s.Ack); ok && owner != a.Self {
-		if a.doubted.Lost(owner) {
-			a.searchFor(now, m, s)
+		if a.suspects.Lost(owner) {
+			a.startLookup(now, m, s)
 			return
 		}
-		a.keepPassed(now, owner, m, s)
+		a.keepForwarded(now, owner, m, s)
 		m.Named = true
 		a.forward(owner, m)
 		return
 	}
 	home, ok := a.Log.View().Homes.Of(s.Flow)
-	if !ok || home == a.Self || m.AsHome || m.Hops >= mostHops-1 {
-		a.searchFor(now, m, s)
+	if !ok || home == a.Self || m.AsHome || m.Hops >= maxHops-1 {
+		a.startLookup(now, m, s)
 		return
 	}
 	a.forward(home, m)
@@ -297,8 +304,8 @@
 	forwarded.Inc()
 }
 
-// tellOwner tells an entry where a flow is.
-func (a *Agent) tellOwner(entry netip.Addr, m msgs.Owner) {
+// sendOwner sends an entry the location of a flow.
+func (a *Agent) sendOwner(entry netip.Addr, m msgs.Owner) {
 	m.Head = a.head()
 	a.buf = m.AppendTo(a.buf[:0])
 	a.Wire.ToPeer(entry, a.buf)
--- a/internal/node/local/cold.go
+++ b/internal/node/local/cold.go
@@ -6,35 +6,37 @@
 	"mangowinch/internal/ctrl/belief"
 )
 
-// A server that has just started (package warm).
+// Warm-up of a server that has just started (package warm).
 //
-// The failure: a server comes back cold, all entries find it idle, and it gets more than it bears. The guard: its agent, which sees every
-// opening packet for it, counts them against the rate that the service states. Why it holds: the entry in the platform says how much longer
-// the server is cold, and before that entry is known the agent tells by itself, as a server whose address was closed, or that said
-// nothing, and that answers again may have started anew.
+// Failure: a server restarts cold, all entries see it idle, and it gets more flows than it can bear. Guard: the
+// server's agent, which sees every opening packet for it, limits them to the warm-up rate that the service
+// configures. This is sufficient because the server's record on the platform states how much longer the server
+// is cold, and until that record is received the agent assumes a cold start by itself whenever a server answers
+// again whose address was closed or that had been unresponsive, as it may have restarted.
 
-// unseen stands for an entry whose remaining time hasn't been read yet.
-const unseen = time.Duration(-1)
+// coldUnknown marks a server record whose remaining cold time has not been read yet.
+const coldUnknown = time.Duration(-1)
 
-// seeCold takes the entry's word. An entry that says the same as before hasn't been written again.
-func (a *Agent) seeCold(now time.Time, self belief.Server) {
+// updateWarmUp takes the remaining cold time from the server's record. A record with the same time as before is
+// an unchanged one, whose time must not be counted from now.
+func (a *Agent) updateWarmUp(now time.Time, self belief.Server) {
 	if self.Cold == a.server.cold {
 		return
 	}
 	a.server.cold = self.Cold
-	a.warmth.ColdFor(now, self.Cold)
+	a.warmUp.ColdFor(now, self.Cold)
 }
 
-// heardServer notes that the server has sent something.
-func (a *Agent) heardServer(now time.Time) {
-	away := !a.down.IsZero() || !a.unheard.IsZero() && now.Sub(a.unheard) >= muteAfter
-	if away {
-		a.warmth.AtLeast(now, a.Log.View().WarmUp(a.Service).Time)
+// serverResponded notes that the server has sent a packet.
+func (a *Agent) serverResponded(now time.Time) {
+	wasUnavailable := !a.lastDown.IsZero() || !a.unansweredSince.IsZero() && now.Sub(a.unansweredSince) >= unresponsiveAfter
+	if wasUnavailable {
+		a.warmUp.AtLeast(now, a.Log.View().WarmUp(a.Service).Time)
 	}
-	a.down, a.unheard = time.Time{}, time.Time{}
+	a.lastDown, a.unansweredSince = time.Time{}, time.Time{}
 }
 
-// mayOpen says whether the server may get a new flow as far as its warm-up goes.
+// mayOpen reports whether the warm-up rate allows the server a new flow.
 func (a *Agent) mayOpen(now time.Time) bool {
-	return a.warmth.Allows(now, a.Log.View().WarmUp(a.Service).Rate)
+	return a.warmUp.Allows(now, a.Log.View().WarmUp(a.Service).Rate)
 }
--- a/internal/node/local/evacuate.go
+++ b/internal/node/local/evacuate.go
@@ -7,24 +7,27 @@
 	"mangowinch/internal/flow/msgs"
 )
 
-// An evacuated failure domain.
+// Evacuation of the agent's failure domain.
 //
-// An operator empties a failure domain before work on it: its servers are to get no new flows, and flows that are open go on to their
-// end. The failure: an entry that doesn't know the order yet, or was cut off, goes on placing flows here, and the domain is never empty. The
-// guard: the agent beside the server refuses, whatever an entry believes. Why it holds: every opening packet for the server passes it, and it learns
-// order and taking back with everything else that it believes, so that neither an old belief nor a restart brings a domain back.
+// An operator evacuates a failure domain before maintenance: its servers get no new flows, and open flows
+// continue until they end. Failure: an entry that has not received the order yet, or is cut off, goes on
+// placing flows here, and the domain never becomes empty. Guard: the agent beside the server refuses new flows,
+// whatever an entry believes. This is sufficient because every opening packet for the server passes through its
+// agent, and because the order and its withdrawal are part of the belief, so that neither an old belief nor a
+// restart reopens the domain.
 
-// evacuate hands back what waits, if the agent's failure domain is evacuated.
+// evacuate returns the waiting flows if the agent's failure domain is evacuated.
 func (a *Agent) evacuate(now time.Time, v *belief.View) {
 	if !v.Evacuated(a.Domain) {
 		return
 	}
-	a.emptied = true
-	a.returnWaiting(now, msgs.WhyEvacuated)
+	a.wasEvacuated = true
+	a.returnAllWaiting(now, msgs.WhyEvacuated)
 }
 
-// countResting shows how many flows are still open in an evacuated domain, so that an operator sees when it is empty.
-func (a *Agent) countResting() {
+// updateEvacuatedFlows sets the metric of flows that are still open in an evacuated domain, so that an operator
+// sees when the domain is empty.
+func (a *Agent) updateEvacuatedFlows() {
 	open := 0
 	if a.Log.View().Evacuated(a.Domain) {
 		open = a.flows.Len()
--- a/internal/node/local/fails.go
+++ b/internal/node/local/fails.go
@@ -6,61 +6,61 @@
 	"mangowinch/internal/flow/segs"
 )
 
-// A server that breaks off its requests (package trip).
+// Circuit breaker for a server that aborts its requests (package trip).
 //
-// The failure: a server goes down and up by turns, or crashes under a process that goes on accepting flows. Callers who wait for an
-// answer come again and are placed at the same idle server; callers whose flows rest there learn it by their next
-// request, which is lost if it must not run twice.
+// Failure: a server flaps, or crashes behind a process that goes on accepting flows. Callers that wait for an
+// answer retry and are placed at the same server, as it is idle; callers with idle flows at this server notice
+// only with their next request, which is lost if it must not run twice.
 //
-// The guard: while the breaker is open, new flows are handed back, each once: a service all of whose servers fail keeps
-// them in use. The callers of flows that rest are told, so that their next request comes on a new flow elsewhere. Flows with
-// a request under way are left alone.
+// Guard: while the breaker is open, each new flow is returned once; if it is placed here again, it is accepted,
+// so that a service whose servers all fail keeps using them. Idle flows are reset, so that their callers send
+// the next request on a new flow elsewhere. Flows with a request in progress are left alone.
 //
-// Why it holds: a healthy server answers, also by an error; five requests in a row that it breaks off are a fault of its own,
-// and a flow that rests costs its caller one round trip.
+// This is sufficient because a healthy server answers, even if with an error: five aborted requests in a row
+// are a fault of the server. The reset of an idle flow costs its caller one round trip.
 
-// endingsPerTick paces the resets of resting flows: 2,000 a second, so that those callers' next flows don't come all at
-// once to the servers that are left.
-const endingsPerTick = 100
+// resetsPerTick limits the resets of idle flows to 2,000 a second, so that the callers' next flows do not reach
+// the remaining servers all at once.
+const resetsPerTick = 100
 
-// brokeOff notes that the server has broken off a request.
-func (a *Agent) brokeOff(now time.Time) {
+// requestAborted notes that the server has aborted a request.
+func (a *Agent) requestAborted(now time.Time) {
 	if a.Off.Breaker || !a.breaker.Failed(now) {
 		return
 	}
 	for f, o := range a.flows.All {
 		if o.Resting() {
-			a.ending = append(a.ending, f)
+			a.pendingResets = append(a.pendingResets, f)
 		}
 	}
-	a.Events.State("server-fails").Stringer("server", a.Backend).Int("flows", len(a.ending)).Send()
+	a.Events.State("server-fails").Stringer("server", a.Backend).Int("flows", len(a.pendingResets)).Send()
 }
 
-// answered notes that the server has answered a request.
-func (a *Agent) answered() {
+// requestAnswered notes that the server has answered a request.
+func (a *Agent) requestAnswered() {
 	if a.breaker.Open() {
 		a.Events.State("server-answers").Stringer("server", a.Backend).Send()
 	}
 	a.breaker.Answered()
-	a.ending = nil
+	a.pendingResets = nil
 }
 
-// tellResting tells some callers whose flows still rest.
-func (a *Agent) tellResting(now time.Time) {
-	n := min(len(a.ending), endingsPerTick)
-	for _, f := range a.ending[:n] {
+// resetIdleFlows resets some of the pending flows that are still idle.
+func (a *Agent) resetIdleFlows(now time.Time) {
+	n := min(len(a.pendingResets), resetsPerTick)
+	for _, f := range a.pendingResets[:n] {
 		if o := a.flows.Get(f); o != nil && o.Resting() {
-			a.end(now, o, &segs.Segment{Flow: f, Flags: segs.Ack, Ack: o.Ack}, "fails")
+			a.endFlow(now, o, &segs.Segment{Flow: f, Flags: segs.Ack, Ack: o.Ack}, "fails")
 		}
 	}
-	a.ending = a.ending[n:]
+	a.pendingResets = a.pendingResets[n:]
 }
 
-// judge notes how long an answer took. A server that answers far too fast fails its requests (package quick), and is given few flows; what
-// is open there goes on, as some of its answers may be good.
-func (a *Agent) judge(now time.Time, f segs.Flow, took time.Duration) {
-	if a.Off.Quick || !a.quick.Answered(now, f.Called(), took) {
+// checkResponseTime records how long an answer took. A server that answers far too fast fails its requests
+// (package quick) and gets few new flows; its open flows continue, as some of its answers may be valid.
+func (a *Agent) checkResponseTime(now time.Time, f segs.Flow, elapsed time.Duration) {
+	if a.Off.Quick || !a.quick.Answered(now, f.Called(), elapsed) {
 		return
 	}
-	a.Events.State("server-too-fast").Stringer("server", a.Backend).Bool("failing", a.quick.Open()).Dur("took", took).Send()
+	a.Events.State("server-too-fast").Stringer("server", a.Backend).Bool("failing", a.quick.Open()).Dur("took", elapsed).Send()
 }
--- a/internal/node/local/lead.go
+++ b/internal/node/local/lead.go
@@ -11,20 +11,21 @@
 	"mangowinch/internal/oper/event"
 )
 
-// The lead of searches: it asks all agents about the flows that homes look for (package seek), and any agent answers a lead.
+// The lead of owner lookups. A lead asks all agents about the flows whose owners homes look for (package seek).
+// Any agent can be the lead, and any agent answers one.
 
-// want takes a home's question.
-func (a *Agent) want(now time.Time, home netip.Addr, q msgs.Question) {
+// enqueueQuestion adds a home's question to the next round.
+func (a *Agent) enqueueQuestion(now time.Time, home netip.Addr, q msgs.Question) {
 	if !a.rounds.Want(home, q) {
-		dropped("searches")
+		countDropped("searches")
 		return
 	}
-	a.askAll(now)
+	a.sendQuestions(now)
 }
 
-// askAll sends the questions that are due.
-func (a *Agent) askAll(now time.Time) {
-	for _, ask := range a.rounds.Next(now, a.present()) {
+// sendQuestions sends the questions that are due.
+func (a *Agent) sendQuestions(now time.Time) {
+	for _, ask := range a.rounds.Next(now, a.expectedAgents()) {
 		find := msgs.Find{Head: a.head(), Round: ask.Round, Questions: ask.Questions}
 		a.buf = find.AppendTo(a.buf[:0])
 		for _, to := range ask.To {
@@ -37,27 +38,27 @@
 			rounds.Inc()
 		}
 		if ask.Repeats >= seek.Slow {
-			a.doubtAll(now, ask.To)
+			a.suspectAll(now, ask.To)
 		}
 		if ask.Repeats == seek.Slow {
-			a.sayUnheard(ask)
-			a.tellHomes(now, a.rounds.SoFar(ask.Round))
+			a.logUnresponsive(ask)
+			a.sendResults(now, a.rounds.SoFar(ask.Round))
 		}
 		if slices.Contains(ask.To, a.Self) {
-			a.found(now, a.Self, msgs.Found{Round: ask.Round, Verdicts: a.verdicts(now, ask.Questions)})
+			a.handleAnswer(now, a.Self, msgs.Found{Round: ask.Round, Verdicts: a.verdicts(now, ask.Questions)})
 		}
 	}
 }
 
-// sayUnheard writes why searches take long: some agents have missed a repeated question too.
-func (a *Agent) sayUnheard(ask seek.Ask) {
+// logUnresponsive logs why lookups take long: some agents have not answered a repeated question either.
+func (a *Agent) logUnresponsive(ask seek.Ask) {
 	for _, q := range ask.Questions {
 		a.Events.Flow(event.Failure, "unheard", q.Flow).Int("agents", len(ask.To)).Stringer("agent", ask.To[0]).
 			Stringer("revision", a.Log.Revision()).Send()
 	}
 }
 
-// verdict is what the agent knows of a flow from its own table.
+// verdict returns what the agent knows of a flow from its own table.
 func (a *Agent) verdict(now time.Time, f segs.Flow, ack uint32) msgs.Verdict {
 	if o := a.flows.Get(f); o != nil && o.Fits(ack) {
 		return msgs.Held
@@ -65,7 +66,8 @@
 	if a.complete(now) {
 		return msgs.NotHeld
 	}
-	// Whatever the flow's route says now: flows stay at the service to which it sent them when they were opened.
+	// The flow's current route doesn't matter: a flow stays at the service that it was routed to when it was
+	// opened.
 	return msgs.Unsure
 }
 
@@ -76,24 +78,24 @@
 	return list
 }
 
-// complete says whether the agent has seen all flows that its server can hold: it has
-// run since before the server started, or longer than any flow lives.
-func (a *Agent) complete(now time.Time) bool { return a.server.whole || now.Sub(a.Started) > a.Life }
+// complete reports whether the agent has seen all flows that its server can hold: it has run since before the
+// server started, or for longer than any flow lasts.
+func (a *Agent) complete(now time.Time) bool { return a.server.newer || now.Sub(a.Started) > a.MaxLife }
 
-// find answers a lead.
-func (a *Agent) find(now time.Time, from netip.Addr, m msgs.Find) {
+// answerQuestions answers a lead's questions.
+func (a *Agent) answerQuestions(now time.Time, from netip.Addr, m msgs.Find) {
 	answer := msgs.Found{Head: a.head(), Round: m.Round, Verdicts: a.verdicts(now, m.Questions)}
 	a.buf = answer.AppendTo(a.buf[:0])
 	a.Wire.ToPeer(from, a.buf)
 }
 
-// found takes an agent's answer in.
-func (a *Agent) found(now time.Time, from netip.Addr, m msgs.Found) {
-	a.tellHomes(now, a.rounds.Answer(from, m.Round, m.Verdicts, a.present()))
+// handleAnswer records an agent's answer to a round of this lead.
+func (a *Agent) handleAnswer(now time.Time, from netip.Addr, m msgs.Found) {
+	a.sendResults(now, a.rounds.Answer(from, m.Round, m.Verdicts, a.expectedAgents()))
 }
 
-// tellHomes tells homes what rounds have shown.
-func (a *Agent) tellHomes(now time.Time, results []seek.Result) {
+// sendResults sends the results of rounds to the homes that asked.
+func (a *Agent) sendResults(now time.Time, results []seek.Result) {
 	for _, r := range results {
 		m := msgs.Sought{Head: a.head(), Flow: r.Flow, Owner: r.Owner, Unsure: r.Unsure, Partial: r.Partial}
 		if len(m.Unsure) > msgs.MaxUnsure {
@@ -101,24 +103,24 @@
 		}
 		for _, home := range r.Homes {
 			if home == a.Self {
-				a.sought(now, m)
+				a.handleResult(now, m)
 				continue
 			}
 			a.buf = m.AppendTo(a.buf[:0])
 			a.Wire.ToPeer(home, a.buf)
-			a.tellLost(now, home)
+			a.sendFailed(now, home)
 		}
 	}
 }
 
-// tickRounds asks again whoever hasn't answered, begins rounds, and ends those that wait for nobody.
+// tickRounds repeats unanswered questions, starts new rounds, and ends those that wait for no more answers.
 func (a *Agent) tickRounds(now time.Time) {
-	results, unheard := a.rounds.Expire(now, a.present())
-	a.tellHomes(now, results)
-	for _, u := range unheard {
+	results, unanswered := a.rounds.Expire(now, a.expectedAgents())
+	a.sendResults(now, results)
+	for _, u := range unanswered {
 		for _, f := range u.Flows {
 			a.Events.Flow(event.Failure, "unfound", f).Str("why", "no answer").Int("agents", len(u.Silent)).Send()
 		}
 	}
-	a.askAll(now)
+	a.sendQuestions(now)
 }
--- a/internal/node/local/local.go
+++ b/internal/node/local/local.go
@@ -1,14 +1,16 @@
-// Package local is the agent for opaque flows: it stands beside one backend server, gives it the
-// packets of its flows, and sends what the server sends straight to the callers.
+// Package local is the agent for opaque flows. It runs beside one backend server, gives it the packets of its
+// flows, and sends the server's packets directly to the callers.
 //
-// It is the only authority on which flows its server holds: it sees every packet of both
-// directions. It tells the flow's home (package homes) and the entry that sent the
-// opening packet, hands back what the server doesn't take, and as a home passes on
-// packets of flows that an entry doesn't know. If even the home doesn't know, it asks all
-// agents (search.go).
+// The agent is the only authority on which flows its server holds, because it sees every packet of both
+// directions. Each flow also has a home: an agent, determined by the flow's addresses (package homes), that
+// keeps the record of which agent owns the flow. An agent registers its flows with their homes, reports each to
+// the entry that sent the opening packet, and returns the opening packets that its server does not take. As a
+// home it forwards the packets of flows that an entry has no record of. If the home has no record either, it
+// asks all agents (search.go).
 //
-// It ends no flow that may be open: the only resets it sends are for flows that the
-// server itself, or every agent, has said it doesn't hold.
+// The package never ends a flow that may be open: it sends resets only for flows that the server itself, or
+// every agent, has reported as not held, and for idle flows of a server whose circuit breaker is open
+// (fails.go).
 //
 // # Usage
 //
@@ -39,7 +41,7 @@
 	"mangowinch/internal/oper/event"
 )
 
-// Wire sends datagrams. It keeps no reference to them.
+// Wire sends datagrams. It does not retain them.
 type Wire interface {
 	ToPeer(peer netip.Addr, message []byte)
 	ToCaller(caller [4]byte, packet []byte)
@@ -52,170 +54,171 @@
 	Leaving(agent netip.Addr) bool
 }
 
-// Config is what an Agent is made of.
+// Config holds the settings and dependencies of an Agent.
 type Config struct {
-	Self    netip.Addr
-	Domain  string // failure domain
-	Service string
-	Backend netip.AddrPort
-	Log     *belief.Log
-	Ctrl    Control
-	Vouch   doubt.Voucher // its answers come to Agent.Heard
-	Codec   segs.Codec
-	Callers segs.Callers
-	Wire    Wire
-	Events  *event.Log
-	Bound   time.Duration // a change is in force within it
-	Life    time.Duration // no flow lives longer
-	Started time.Time     // of the process
-	Rand    *rand.Rand    // used under the agent's lock
-	Off     parts.Off
+	Self             netip.Addr
+	Domain           string // failure domain
+	Service          string
+	Backend          netip.AddrPort
+	Log              *belief.Log
+	Control          Control
+	Prober           doubt.Voucher // its answers are reported to Agent.MarkAlive
+	Codec            segs.Codec
+	Callers          segs.Callers
+	Wire             Wire
+	Events           *event.Log
+	PropagationBound time.Duration // within which a change is in force everywhere
+	MaxLife          time.Duration // upper bound of a flow's duration
+	Started          time.Time     // start time of the process
+	Rand             *rand.Rand    // used with the agent's lock held
+	Off              parts.Off
 }
 
 const (
-	// flowLimit bounds the flows of the own server, which holds some 2,000 itself. A flow takes some 300 bytes.
+	// flowLimit bounds the flows of the local server, which holds about 2,000 itself. A flow takes about 300
+	// bytes.
 	flowLimit = 8192
-	// homeLimit bounds the flows that the agent is the home of: 9.7 million over 6,800 agents
-	// are 1,430; a small fleet's share is less.
+	// homeLimit bounds the flows that the agent is the home of. 9.7 million flows over 6,800 agents are 1,430
+	// each; a small fleet's share is less.
 	homeLimit = 16384
-	// mostHops bounds how often a packet is passed on: home, owner, and twice more when
-	// lists of agents differ.
-	mostHops = 4
-	// idleLeast is how long a flow without packets is remembered at least.
-	idleLeast = 5 * time.Second
-	// overFor is how long a flow is remembered after both ends have closed, for late packets.
-	overFor = 3 * time.Second
-	// openingAfter is how long after its caller has given up an unanswered flow is remembered: the server's answer
-	// may still come, and nobody is to search for its flow.
-	openingAfter = 600 * time.Millisecond
-	// learnedBack is put before the first sequence number that is seen of a flow learned
-	// in its middle, so that acknowledgements of what was sent before still fit.
-	learnedBack = 1 << 20
+	// maxHops bounds how often a packet is forwarded: to the home, to the owner, and twice more where lists of
+	// agents differ.
+	maxHops = 4
+	// minIdle is the minimum time that a flow without packets is remembered.
+	minIdle = 5 * time.Second
+	// closedRetention is how long a flow is remembered after both ends have closed it, for late packets.
+	closedRetention = 3 * time.Second
+	// openingRetention is how long an unanswered flow is remembered after its caller has given up: the server's
+	// answer may still arrive, and must not cause a lookup of the flow.
+	openingRetention = 600 * time.Millisecond
+	// learnedWindow is subtracted from the first sequence number that is seen of a flow learned in its middle,
+	// so that acknowledgements of data sent before still fit.
+	learnedWindow = 1 << 20
 )
 
-// Agent is one running agent's state.
+// Agent is the state of one running agent.
 type Agent struct {
 	Config
-	hash uint32 // of the service
+	hash uint32 // hash of the service's name
 
-	// mu guards what follows.
-	mu       sync.Mutex
-	flows    *owner.Agent
-	home     *owner.Home
-	waiting  *hold.Queue
-	probes   map[segs.Flow]probe
-	searches map[segs.Flow]*search // as the home of flows
-	rounds   *seek.Rounds          // as a lead
-	doubted  *doubt.Watch          // agents that have left something unanswered
-	passed   map[segs.Flow]passing // as the home: packets on their way to owners in doubt
-	leaving  bool
-	breaker  trip.Breaker
-	quick    *quick.Watch
-	warmth   warm.Limiter
-	ending   []segs.Flow // that rest at a server that breaks off its requests
-	server   sight
-	down     time.Time // when the server's address was last found closed
-	emptied  bool      // the agent has believed its failure domain evacuated
-	unheard  time.Time // when the first packet went to the server that it has sent nothing after
-	tried    time.Time // when a mute server last got an opening packet
-	buf      []byte
-	packet   []byte
+	// mu guards the fields below.
+	mu               sync.Mutex
+	flows            *owner.Agent
+	home             *owner.Home
+	waiting          *hold.Queue
+	probes           map[segs.Flow]probe
+	lookups          map[segs.Flow]*lookup         // lookups by this agent as a home
+	rounds           *seek.Rounds                  // rounds of this agent as a lead
+	suspects         *doubt.Watch                  // agents that have left a message unanswered
+	forwardedPackets map[segs.Flow]forwardedPacket // as a home: packets sent to suspected owners
+	leaving          bool
+	breaker          trip.Breaker
+	quick            *quick.Watch
+	warmUp           warm.Limiter
+	pendingResets    []segs.Flow // idle flows to reset while the breaker is open
+	server           serverState
+	lastDown         time.Time // when the server's address last refused a packet
+	wasEvacuated     bool      // the failure domain was evacuated at some time since the agent's start
+	unansweredSince  time.Time // when the first opening packet was sent since the server's last packet; zero if none
+	lastRetry        time.Time // when an unresponsive server last got an opening packet
+	buf              []byte
+	packet           []byte
 }
 
-// New returns an agent that knows no flow.
+// New returns an agent without any flows.
 func New(c Config) *Agent {
 	return &Agent{
-		Config:   c,
-		hash:     belief.Hash(c.Service),
-		flows:    owner.NewAgent(flowLimit, c.Off),
-		home:     owner.NewHome(homeLimit),
-		waiting:  hold.New(c.Callers.Patience()),
-		probes:   map[segs.Flow]probe{},
-		searches: map[segs.Flow]*search{},
-		rounds:   seek.New(rand.Uint32()),
-		doubted:  doubt.New(c.Self, c.Vouch, c.Rand),
-		passed:   map[segs.Flow]passing{},
-		quick:    quick.New(),
+		Config:           c,
+		hash:             belief.Hash(c.Service),
+		flows:            owner.NewAgent(flowLimit, c.Off),
+		home:             owner.NewHome(homeLimit),
+		waiting:          hold.New(c.Callers.Patience()),
+		probes:           map[segs.Flow]probe{},
+		lookups:          map[segs.Flow]*lookup{},
+		rounds:           seek.New(rand.Uint32()),
+		suspects:         doubt.New(c.Self, c.Prober, c.Rand),
+		forwardedPackets: map[segs.Flow]forwardedPacket{},
+		quick:            quick.New(),
 	}
 }
 
-// Load is how busy the server is.
+// Load returns the server's load.
 func (a *Agent) Load(now time.Time) msgs.Load {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.flows.Load(now)
 }
 
-// SetService says to which service the server belongs from now on. Flows of another one are handed back.
+// SetService sets the service that the server belongs to from now on. New flows of any other service are
+// returned.
 func (a *Agent) SetService(service string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.Service, a.hash = service, belief.Hash(service)
 }
 
-// Waiting is how many flows wait for the server.
+// Waiting returns the number of flows that wait for the server.
 func (a *Agent) Waiting() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.waiting.Len()
 }
 
-// Leave makes the agent hand new flows back from now on; those that are open go on.
+// Leave makes the agent return new flows from now on. Open flows continue.
 func (a *Agent) Leave(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.leaving = true
-	a.returnWaiting(now, msgs.WhyLeaving)
+	a.returnAllWaiting(now, msgs.WhyLeaving)
 }
 
-// downFor is how long the server counts as down after its address was found closed, if nothing
-// comes from it.
+// downFor is how long the server counts as down after its address refused a packet, unless it sends something.
 const downFor = 500 * time.Millisecond
 
-// ServerDown says that a packet to the server found nobody listening.
+// ServerDown notes that a packet to the server found no listener.
 func (a *Agent) ServerDown(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if now.Sub(a.down) > downFor {
+	if now.Sub(a.lastDown) > downFor {
 		a.Events.State("server-down").Stringer("server", a.Backend).Send()
 	}
-	a.down = now
+	a.lastDown = now
 }
 
-// Tick forgets what is over and registers flows whose home has changed.
+// Tick expires flows, lookups and probes, repeats what has had no answer, and admits waiting flows.
 func (a *Agent) Tick(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	idle := a.idle()
-	a.flows.Expire(now, owner.Lives{Idle: idle, Life: a.Life + overFor, Over: overFor, Opening: a.Callers.GiveUp + openingAfter})
+	a.flows.Expire(now, owner.Lives{Idle: idle, Life: a.MaxLife + closedRetention, Over: closedRetention, Opening: a.Callers.GiveUp + openingRetention})
 	a.admit(now)
-	a.home.Expire(now, a.Life+overFor)
-	a.tellResting(now)
+	a.home.Expire(now, a.MaxLife+closedRetention)
+	a.resetIdleFlows(now)
 	a.expireProbes(now)
-	a.tickSearches(now)
-	a.watchDoubted(now)
+	a.tickLookups(now)
+	a.checkSuspects(now)
 	a.tickRounds(now)
-	a.countResting()
+	a.updateEvacuatedFlows()
 }
 
 func (a *Agent) idle() time.Duration {
 	if c := a.Log.View().Config; c != nil {
-		return max(idleLeast, c.Idle)
+		return max(minIdle, c.Idle)
 	}
-	return a.Life
+	return a.MaxLife
 }
 
-// Changed is to be called after the view has changed: homes may have.
+// Changed must be called after the view has changed. It registers flows whose home has changed.
 func (a *Agent) Changed(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	v := a.Log.View()
 	a.evacuate(now, v)
 	if self, ok := a.self(v); ok {
-		a.see(v, self)
-		a.seeCold(now, self)
-	} else if a.server.first == 0 {
-		a.server.first = v.Revision
+		a.updateServer(v, self)
+		a.updateWarmUp(now, self)
+	} else if a.server.firstRevision == 0 {
+		a.server.firstRevision = v.Revision
 	}
 	moved := map[netip.Addr][]msgs.Place{}
 	for f, o := range a.flows.All {
@@ -234,36 +237,36 @@
 	}
 }
 
-// sight is what the agent has seen of its server's entries.
-type sight struct {
-	first order.Revision // of the agent's first belief
-	id    string
-	born  int64
-	cold  time.Duration // how much longer it was to be cold by the last entry
-	whole bool          // the agent has run since before the server started
+// serverState is what the agent knows of its server from the server's records on the platform.
+type serverState struct {
+	firstRevision order.Revision // of the first belief after the agent's start
+	id            string
+	born          int64
+	cold          time.Duration // remaining cold time by the last record
+	newer         bool          // the server started while the agent was running
 }
 
-// firstWriting is the number of a server's first writing since its start.
-const firstWriting = 1
+// firstSeq is the sequence number of the first record that a server writes after its start.
+const firstSeq = 1
 
-// see notes which start of the server is there now. One whose first writing came after the
-// agent's first belief, and that is still cold, has started beside a running agent, which so
-// sees all of its flows. An entry that lapsed, or that the platform's store lost, and that is back is no new start: its server has
-// written before, and it isn't cold, unless an evacuation has made servers cold that are there all the while.
-func (a *Agent) see(v *belief.View, self belief.Server) {
-	if a.server.first == 0 {
-		a.server.first = v.Revision
+// updateServer detects a new start of the server from its record. A server whose first record came after the
+// agent's first belief, and that is still cold, has started beside a running agent, which therefore sees all of
+// its flows. A record that is back after it expired, or after the platform's store lost it, is no new start:
+// its server has written before and is not cold, unless an evacuation has made running servers cold.
+func (a *Agent) updateServer(v *belief.View, self belief.Server) {
+	if a.server.firstRevision == 0 {
+		a.server.firstRevision = v.Revision
 	}
 	if self.ID == a.server.id && self.Born == a.server.born {
 		return
 	}
-	a.server.id, a.server.born, a.server.cold = self.ID, self.Born, unseen
-	a.server.whole = self.Created > a.server.first && self.Seq <= firstWriting && self.Cold > 0 && !a.emptied
+	a.server.id, a.server.born, a.server.cold = self.ID, self.Born, coldUnknown
+	a.server.newer = self.Created > a.server.firstRevision && self.Seq <= firstSeq && self.Cold > 0 && !a.wasEvacuated
 	a.Events.State("server").Str("id", self.ID).Stringer("created", self.Created).Uint64("seq", self.Seq).Dur("cold", self.Cold).
-		Bool("whole", a.server.whole).Send()
+		Bool("whole", a.server.newer).Send()
 }
 
-// register tells a home which flows the agent owns.
+// register sends a home the flows of its share that this agent owns.
 func (a *Agent) register(now time.Time, home netip.Addr, places []msgs.Place) {
 	if home == a.Self {
 		for _, p := range places {
@@ -281,7 +284,7 @@
 	}
 }
 
-// registerOne tells a flow's home that the agent owns it.
+// registerOne registers one flow with its home.
 func (a *Agent) registerOne(now time.Time, o *owner.Own, f segs.Flow) {
 	home, ok := a.Log.View().Homes.Of(f)
 	if !ok {
@@ -295,7 +298,7 @@
 	return msgs.Head{Revision: a.Log.Revision(), Service: a.hash}
 }
 
-// self returns the platform's entry for the own server.
+// self returns the platform's record of the local server.
 func (a *Agent) self(v *belief.View) (s belief.Server, ok bool) {
 	s, ok = v.Server(a.Self)
 	return s, ok && s.Service == a.Service
--- a/internal/node/local/lost.go
+++ b/internal/node/local/lost.go
@@ -9,26 +9,28 @@
 	"mangowinch/internal/flow/segs"
 )
 
-// Agents that are lost while flows are looked for.
+// Failed agents during owner lookups.
 //
-// The failure: a failure domain loses power, or an instance is cut off. Its agents answer no question, so that no search ends, of
-// whatever flow, and callers of flows that nobody holds wait until their deadlines: those of the lost servers, whose
-// packets now come by entries that don't know them.
+// Failure: a failure domain loses power, or an instance is cut off. Its agents answer no question, so no lookup
+// of any flow ends. Callers of flows that no server holds any more wait until their deadlines: those are the
+// flows of the failed servers, whose packets now arrive through entries that have no record of them.
 //
-// The guard: an agent that has left a lead's questions unanswered, or to which a home has passed on a packet and that hasn't been heard
-// lately, is in doubt (package doubt). When it is lost, rounds don't wait for it, and its flows are looked for, as another server may hold
-// them. Who knows of lost agents tells whom it asks or answers: an entry the homes, a home the lead, a lead the homes.
+// Guard: an agent is suspected (package doubt) if it has left a lead's questions unanswered, or if a home has
+// forwarded a packet to it and has received nothing from it lately. Once it has failed, rounds do not wait for
+// it, and its flows are looked up, as another server may hold them. Processes that know of failed agents notify
+// those that they ask or answer: entries notify homes, homes leads, and leads homes.
 //
-// Why it holds: nothing that a lost agent's server sends reaches a caller, since it goes by the agent. If half of all agents or more are
-// lost, it may be the lead that is cut off, with some others: then nobody is left out.
+// This is sufficient because nothing that a failed agent's server sends can reach a caller, as it would pass
+// through that agent. If half of all agents or more seem to have failed, it may be the lead that is cut off,
+// together with some others: then rounds wait for every agent.
 
-// present returns the agents whose answers a lead waits for.
-func (a *Agent) present() []netip.Addr {
+// expectedAgents returns the agents whose answers a lead waits for.
+func (a *Agent) expectedAgents() []netip.Addr {
 	all := a.Log.View().Homes.Agents()
-	if a.doubted.None() {
+	if a.suspects.None() {
 		return all
 	}
-	present := slices.DeleteFunc(slices.Clone(all), a.doubted.Lost)
+	present := slices.DeleteFunc(slices.Clone(all), a.suspects.Lost)
 	if 2*len(present) <= len(all) {
 		return all
 	}
@@ -36,52 +38,55 @@
 }
 
 const (
-	// passedFor is how long a packet is kept that was passed on to a flow's owner: an owner that doesn't answer is lost by then.
-	passedFor = 1500 * time.Millisecond
-	// mostPassed bounds the memory for it, one packet of 1.2 KB each.
-	mostPassed = 1024
+	// forwardedRetention is how long a packet that was forwarded to a flow's owner is kept. An owner that does
+	// not answer has been declared failed by then.
+	forwardedRetention = 1500 * time.Millisecond
+	// maxForwarded bounds the memory for these packets, which take up to 1.2 KB each.
+	maxForwarded = 1024
 )
 
-// passing is a packet that a home has passed on to a flow's owner.
-type passing struct {
+// forwardedPacket is a packet that a home has forwarded to a flow's owner.
+type forwardedPacket struct {
 	owner  netip.Addr
 	carry  msgs.Carry
 	packet []byte
 	at     time.Time
 }
 
-// keepPassed keeps a packet that goes to an owner which hasn't been heard lately, and puts the owner in doubt.
-func (a *Agent) keepPassed(now time.Time, owner netip.Addr, m msgs.Carry, s *segs.Segment) {
-	if a.Off.Lost || a.Ctrl.Leaving(owner) {
+// keepForwarded keeps a packet that is forwarded to an owner from which nothing has been received lately, and
+// suspects the owner.
+func (a *Agent) keepForwarded(now time.Time, owner netip.Addr, m msgs.Carry, s *segs.Segment) {
+	if a.Off.Lost || a.Control.Leaving(owner) {
 		return
 	}
-	a.doubted.DoubtUnheard(now, owner)
-	if s.Len == 0 || len(a.passed) >= mostPassed || !a.doubted.InDoubt(owner) {
+	a.suspects.DoubtUnheard(now, owner)
+	if s.Len == 0 || len(a.forwardedPackets) >= maxForwarded || !a.suspects.InDoubt(owner) {
 		return
 	}
-	p := passing{owner: owner, carry: m, packet: slices.Clone(m.Packet), at: now}
+	p := forwardedPacket{owner: owner, carry: m, packet: slices.Clone(m.Packet), at: now}
 	p.carry.Packet = p.packet
-	a.passed[s.Flow] = p
+	a.forwardedPackets[s.Flow] = p
 }
 
-// seekPassed looks for the flows whose owners are lost, by the packets that were passed on to them, and forgets those that have come.
-func (a *Agent) seekPassed(now time.Time) {
-	for f, p := range a.passed {
+// lookUpForwarded starts a lookup of the flows whose owners have failed, with the packets that were forwarded
+// to these owners. It drops the packets whose owners are no longer suspected.
+func (a *Agent) lookUpForwarded(now time.Time) {
+	for f, p := range a.forwardedPackets {
 		switch {
-		case a.doubted.Lost(p.owner):
-			delete(a.passed, f)
+		case a.suspects.Lost(p.owner):
+			delete(a.forwardedPackets, f)
 			if s, err := a.Codec.Decode(p.packet, segs.CallerEnd); err == nil {
-				a.searchFor(now, p.carry, &s)
+				a.startLookup(now, p.carry, &s)
 			}
-		case !a.doubted.InDoubt(p.owner) || now.Sub(p.at) > passedFor:
-			delete(a.passed, f)
+		case !a.suspects.InDoubt(p.owner) || now.Sub(p.at) > forwardedRetention:
+			delete(a.forwardedPackets, f)
 		}
 	}
 }
 
-// tellLost tells a process whom this agent knows to be lost, so that it needn't find out by itself.
-func (a *Agent) tellLost(now time.Time, to netip.Addr) {
-	list := a.doubted.Tell(now, to)
+// sendFailed notifies a process of the failed agents, so that it need not detect them by itself.
+func (a *Agent) sendFailed(now time.Time, to netip.Addr) {
+	list := a.suspects.Tell(now, to)
 	if len(list) == 0 {
 		return
 	}
@@ -90,39 +95,40 @@
 	a.Wire.ToPeer(to, a.buf)
 }
 
-// doubtAll notes that agents have left a question unanswered.
-func (a *Agent) doubtAll(now time.Time, agents []netip.Addr) {
+// suspectAll notes that agents have left a question unanswered.
+func (a *Agent) suspectAll(now time.Time, agents []netip.Addr) {
 	if a.Off.Lost {
 		return
 	}
 	for _, other := range agents {
-		if other != a.Self && !a.Ctrl.Leaving(other) {
-			a.doubted.Doubt(now, other)
+		if other != a.Self && !a.Control.Leaving(other) {
+			a.suspects.Doubt(now, other)
 		}
 	}
 }
 
-// watchDoubted asks the agents in doubt, and notes who is lost.
-func (a *Agent) watchDoubted(now time.Time) {
+// checkSuspects probes the suspected agents and logs those that have failed.
+func (a *Agent) checkSuspects(now time.Time) {
 	v := a.Log.View()
-	for _, other := range a.doubted.Tick(now, v.Homes.Agents(), a.Ctrl.Leaving) {
+	for _, other := range a.suspects.Tick(now, v.Homes.Agents(), a.Control.Leaving) {
 		a.Events.State("agent-lost").Stringer("agent", other).Stringer("revision", v.Revision).Send()
 	}
-	a.seekPassed(now)
+	a.lookUpForwarded(now)
 }
 
-// Heard notes that another process is alive: a message has come from it, or from one that has heard it.
-func (a *Agent) Heard(now time.Time, from netip.Addr) {
+// MarkAlive notes that another process is alive: a message has arrived from it, or an acknowledgement of an
+// indirect probe of it.
+func (a *Agent) MarkAlive(now time.Time, from netip.Addr) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.doubted.Heard(now, from) {
+	if a.suspects.Heard(now, from) {
 		a.Events.State("agent-back").Stringer("agent", from).Send()
 	}
 }
 
-// Answered notes that another process has answered a question of a round.
-func (a *Agent) Answered(now time.Time, from netip.Addr, round uint32) {
+// ProbeAnswered notes that another process has answered a question of a probe round.
+func (a *Agent) ProbeAnswered(now time.Time, from netip.Addr, round uint32) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.doubted.Answered(now, from, round)
+	a.suspects.Answered(now, from, round)
 }
--- a/internal/node/local/peer.go
+++ b/internal/node/local/peer.go
@@ -8,56 +8,57 @@
 	"mangowinch/internal/flow/segs"
 )
 
-// FromPeer takes a message about flows. It says whether the message was one.
+// FromPeer processes a message about flows from another process. It reports whether the message was of such a
+// kind.
 func (a *Agent) FromPeer(now time.Time, from netip.Addr, h msgs.Head, rest []byte) bool {
 	var err error
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch h.Kind {
 	case msgs.KindCarry:
-		err = msgs.Take(h, rest, msgs.ReadCarry, func(m msgs.Carry) { a.carried(now, from, m) })
+		err = msgs.Take(h, rest, msgs.ReadCarry, func(m msgs.Carry) { a.handleCarry(now, from, m) })
 	case msgs.KindOffer:
-		err = msgs.Take(h, rest, msgs.ReadOffer, func(m msgs.Offer) { a.offerCame(now, m) })
+		err = msgs.Take(h, rest, msgs.ReadOffer, func(m msgs.Offer) { a.handleOffer(now, m) })
 	case msgs.KindRegister:
-		err = msgs.Take(h, rest, msgs.ReadRegister, func(m msgs.Register) { a.registers(now, from, m) })
+		err = msgs.Take(h, rest, msgs.ReadRegister, func(m msgs.Register) { a.handleRegister(now, from, m) })
 	case msgs.KindSeek:
-		err = msgs.Take(h, rest, msgs.ReadSeek, func(m msgs.Seek) { a.want(now, from, m.Question) })
+		err = msgs.Take(h, rest, msgs.ReadSeek, func(m msgs.Seek) { a.enqueueQuestion(now, from, m.Question) })
 	case msgs.KindSought:
-		err = msgs.Take(h, rest, msgs.ReadSought, func(m msgs.Sought) { a.sought(now, m) })
+		err = msgs.Take(h, rest, msgs.ReadSought, func(m msgs.Sought) { a.handleResult(now, m) })
 	case msgs.KindTried:
-		err = msgs.Take(h, rest, msgs.ReadTried, func(m msgs.Tried) { a.triedAt(now, from, m) })
+		err = msgs.Take(h, rest, msgs.ReadTried, func(m msgs.Tried) { a.handleProbeResult(now, from, m) })
 	case msgs.KindFind:
-		err = msgs.Take(h, rest, msgs.ReadFind, func(m msgs.Find) { a.find(now, from, m) })
+		err = msgs.Take(h, rest, msgs.ReadFind, func(m msgs.Find) { a.answerQuestions(now, from, m) })
 	case msgs.KindFound:
-		err = msgs.Take(h, rest, msgs.ReadFound, func(m msgs.Found) { a.found(now, from, m) })
+		err = msgs.Take(h, rest, msgs.ReadFound, func(m msgs.Found) { a.handleAnswer(now, from, m) })
 	case msgs.KindLost:
-		err = msgs.Take(h, rest, msgs.ReadLost, func(m msgs.Lost) { a.doubted.Told(now, m.Agents) })
+		err = msgs.Take(h, rest, msgs.ReadLost, func(m msgs.Lost) { a.suspects.Told(now, m.Agents) })
 	default:
 		return false
 	}
 	if err != nil {
-		dropped("malformed")
+		countDropped("malformed")
 	}
 	return true
 }
 
-// offerCame takes an opening packet that another agent has passed on.
-func (a *Agent) offerCame(now time.Time, m msgs.Offer) {
+// handleOffer processes an opening packet that another agent has offered.
+func (a *Agent) handleOffer(now time.Time, m msgs.Offer) {
 	s, err := a.Codec.Decode(m.Packet, segs.CallerEnd)
 	if err != nil || !s.Opening() {
-		dropped("malformed")
+		countDropped("malformed")
 		return
 	}
 	received.Inc()
-	a.offered(now, m, &s)
+	a.placeOpening(now, m, &s)
 }
 
-// registers remembers which flows another agent owns.
-func (a *Agent) registers(now time.Time, from netip.Addr, m msgs.Register) {
+// handleRegister records which flows another agent owns.
+func (a *Agent) handleRegister(now time.Time, from netip.Addr, m msgs.Register) {
 	for _, p := range m.Places {
 		a.home.Register(now, from, p)
-		if q := a.searches[p.Flow]; q != nil && q.ended.IsZero() {
-			a.foundAt(now, from, q)
+		if q := a.lookups[p.Flow]; q != nil && q.ended.IsZero() {
+			a.ownerFound(now, from, q)
 		}
 	}
 }
--- a/internal/node/local/probe.go
+++ b/internal/node/local/probe.go
@@ -8,38 +8,38 @@
 	"mangowinch/internal/flow/segs"
 )
 
-// probeFor is how long a try at the own server is remembered.
-const probeFor = time.Second
+// probeRetention is how long a probe of the local server is remembered.
+const probeRetention = time.Second
 
-// probe is a packet that the own server was tried with.
+// probe is a packet sent to the local server to find out whether the server holds the flow.
 type probe struct {
 	home netip.Addr
 	at   time.Time
 }
 
-// probe tries the own server with a packet of a flow that the agent doesn't know. Whoever
-// doesn't hold the flow returns the packet.
+// probe sends the local server a packet of a flow that the agent does not know. A server that does not hold the
+// flow returns the packet.
 func (a *Agent) probe(now time.Time, home netip.Addr, f segs.Flow, packet []byte) {
 	a.probes[f] = probe{home: home, at: now}
 	a.Wire.ToServer(packet)
 	probes.Inc()
 }
 
-// probed takes a packet that the server returned. It says whether the packet was a try.
-func (a *Agent) probed(now time.Time, s *segs.Segment) bool {
+// handleReturnedProbe processes a packet that the server returned. It reports whether the packet was a probe.
+func (a *Agent) handleReturnedProbe(now time.Time, s *segs.Segment) bool {
 	p, ok := a.probes[s.Flow]
 	if !ok {
 		return false
 	}
 	delete(a.probes, s.Flow)
-	a.tellTried(now, p.home, msgs.Tried{Flow: s.Flow})
+	a.sendProbeResult(now, p.home, msgs.Tried{Flow: s.Flow})
 	return true
 }
 
-// tellTried tells the home that searches for a flow whether the own server holds it.
-func (a *Agent) tellTried(now time.Time, home netip.Addr, m msgs.Tried) {
+// sendProbeResult notifies the home that looks for a flow whether the local server holds it.
+func (a *Agent) sendProbeResult(now time.Time, home netip.Addr, m msgs.Tried) {
 	if home == a.Self {
-		a.triedAt(now, a.Self, m)
+		a.handleProbeResult(now, a.Self, m)
 		return
 	}
 	m.Head = a.head()
@@ -49,7 +49,7 @@
 
 func (a *Agent) expireProbes(now time.Time) {
 	for f, p := range a.probes {
-		if now.Sub(p.at) > probeFor {
+		if now.Sub(p.at) > probeRetention {
 			delete(a.probes, f)
 		}
 	}
--- a/internal/node/local/search.go
+++ b/internal/node/local/search.go
@@ -10,127 +10,131 @@
 	"mangowinch/internal/oper/event"
 )
 
-// The search for a flow that its home doesn't know.
+// Lookup of the owner of a flow that its home has no record of.
 //
-// It is needed after agents have restarted, with flows that their servers still hold. The home hands the question to a lead (lead.go),
-// which asks all agents. One that has seen every flow of its server answers from its table;
-// one that has not says that it is unsure, and gets the packet itself to try its server: whoever
-// doesn't hold the flow returns the packet. After a loss of power most agents are unsure, as their servers were up first. So
-// several try at a time, and one that doesn't answer gets the packet again while others go on: given up, it would leave the whole
-// search without a result. A packet of an open flow that keeps reaching other servers but not its own is a broken flow; no unsure
-// agent is left out, so its own gets it too.
+// The lookup is needed after agents have restarted, for flows that their servers still hold. The home sends the
+// question to a lead (lead.go), which asks all agents. An agent that has seen every flow of its server answers
+// from its table. Any other agent answers that it is unsure, and gets the packet itself to probe its server,
+// which returns the packet if it does not hold the flow. After a loss of power most agents are unsure, as their
+// servers were up first. So several agents probe at a time, and one that does not answer gets the packet again
+// while others go on: to give up on it early would leave the whole lookup without a result. A flow whose
+// packets keep reaching other servers but not its own is broken; as no unsure agent is left out, its own server
+// gets the packet too.
 //
-// If all agents answer that they don't hold it, nobody does: the flow is over, and the
-// caller is told by a reset, so that it doesn't wait for its deadline. As long as one agent doesn't answer,
-// the flow may be its server's, and nothing is said.
+// If all agents answer that they do not hold the flow, it is over, and the caller gets a reset, so that it does
+// not wait for its deadline. As long as one agent has not answered, that agent's server may hold the flow, and
+// no reset is sent.
 
 const (
-	// leadWithin is when a lead that hasn't answered is asked again. A round takes 5 ms, and some 40 if a datagram is lost.
-	leadWithin = 100 * time.Millisecond
-	// triesOfLead is how often a lead is asked before the next one is, and leads is how many are asked in turn.
-	triesOfLead = 2
-	leads       = 3
-	// tryWithin is how long an agent has for trying its server, and triesOfServer how often it gets the packet. Either datagram
-	// may be lost, and with hundreds of agents three losses in a row are no rare thing.
-	tryWithin     = 40 * time.Millisecond
-	triesOfServer = 10
-	// triesAtOnce is how many agents have the packet at a time.
-	triesAtOnce = 16
-	// farAfter is how long agents of other failure domains wait for those of the caller's to answer. Who holds the flow says so
-	// when its server answers the request, after its work; all others say at once that they don't.
-	farAfter = 60 * time.Millisecond
-	// searchAgain is how long a search that ended without certainty is not repeated.
-	searchAgain = 250 * time.Millisecond
-	// searchMost ends a search; the caller's next packet begins another one.
-	searchMost = 4 * time.Second
-	// mostSearches bounds memory: each keeps one packet of 1.2 KB.
-	mostSearches = 1024
+	// leadTimeout is when an unresponsive lead is asked again. A round takes 5 ms, and about 40 ms if a
+	// datagram is lost.
+	leadTimeout = 100 * time.Millisecond
+	// leadAttempts is how often a lead is asked before the next one is, and maxLeads is how many are asked in
+	// turn.
+	leadAttempts = 2
+	maxLeads     = 3
+	// probeTimeout is how long an agent has to probe its server, and probeAttempts is how often it gets the
+	// packet. Either datagram may be lost, and with hundreds of agents three losses in a row are not rare.
+	probeTimeout  = 40 * time.Millisecond
+	probeAttempts = 10
+	// maxParallelProbes is how many agents may have the packet at a time.
+	maxParallelProbes = 16
+	// farDelay is how long the agents of the caller's failure domain have to answer before those of other
+	// domains are probed. The owner reports the flow only when its server has processed the request and
+	// answers; all others return the packet at once.
+	farDelay = 60 * time.Millisecond
+	// lookupRetryAfter is how long a lookup that ended without a definite result is not repeated.
+	lookupRetryAfter = 250 * time.Millisecond
+	// lookupTimeout ends a lookup; the caller's next packet starts another one.
+	lookupTimeout = 4 * time.Second
+	// maxLookups bounds memory: each lookup keeps one packet of up to 1.2 KB.
+	maxLookups = 1024
 )
 
-// search is one search under way, or the memory of one that ended without certainty.
-type search struct {
-	began    time.Time
-	ended    time.Time // zero: it is under way
-	question msgs.Question
-	carry    msgs.Carry // the newest packet
-	packet   []byte
-	asked    time.Time              // when a lead was asked last
-	asks     int                    // how often leads were asked
-	lead     netip.Addr             // asked last
-	answered bool                   // a lead has heard all agents
-	near     []netip.Addr           // unsure agents to be tried, of the failure domain by which the caller comes
-	far      []netip.Addr           // others
-	nearAt   time.Time              // when the last of the near ones got the packet
-	tries    map[netip.Addr]attempt // of unsure agents that got the packet
-	trying   int                    // agents that have it and haven't said what became of it
-	absent   int                    // agents that never said so
+// lookup is a lookup in progress, or the record of one that ended without a definite result.
+type lookup struct {
+	began        time.Time
+	ended        time.Time // zero while the lookup is in progress
+	question     msgs.Question
+	carry        msgs.Carry // header of the newest packet
+	packet       []byte
+	askedAt      time.Time              // when a lead was last asked
+	leadRequests int                    // number of questions sent to leads
+	lead         netip.Addr             // the lead that was last asked
+	answered     bool                   // a lead has answers from all agents
+	near         []netip.Addr           // unsure agents to be probed, of the failure domain of the caller's entry
+	far          []netip.Addr           // unsure agents to be probed, of other failure domains
+	lastNear     time.Time              // when the last near agent got the packet
+	attempts     map[netip.Addr]attempt // by unsure agents that got the packet
+	pending      int                    // agents that have the packet and have not answered
+	unanswered   int                    // agents that were given up without an answer
 }
 
-// attempt is an agent's try of its server.
+// attempt is the state of an agent's probe of its server.
 type attempt struct {
-	sent  time.Time // when the agent got the packet last
-	times int
-	over  bool // it has said that its server doesn't hold the flow, or was given up
+	sent  time.Time // when the agent last got the packet
+	count int
+	done  bool // the agent has answered that its server does not hold the flow, or was given up
 }
 
-// searchFor begins a search for a flow's owner.
-func (a *Agent) searchFor(now time.Time, m msgs.Carry, s *segs.Segment) {
+// startLookup starts a lookup of a flow's owner.
+func (a *Agent) startLookup(now time.Time, m msgs.Carry, s *segs.Segment) {
 	if a.Off.Search {
-		dropped("searches")
+		countDropped("searches")
 		return
 	}
-	if q := a.searches[s.Flow]; q != nil {
-		q.keep(m)
+	if q := a.lookups[s.Flow]; q != nil {
+		q.keepPacket(m)
 		return
 	}
-	if len(a.searches) >= mostSearches {
-		dropped("searches")
+	if len(a.lookups) >= maxLookups {
+		countDropped("searches")
 		return
 	}
-	q := &search{began: now, question: msgs.Question{Flow: s.Flow, Ack: s.Ack}, tries: map[netip.Addr]attempt{}}
-	q.keep(m)
-	a.searches[s.Flow] = q
-	searched.Inc()
+	q := &lookup{began: now, question: msgs.Question{Flow: s.Flow, Ack: s.Ack}, attempts: map[netip.Addr]attempt{}}
+	q.keepPacket(m)
+	a.lookups[s.Flow] = q
+	lookupsStarted.Inc()
 	a.askLead(now, q)
 }
 
-func (q *search) keep(m msgs.Carry) {
+func (q *lookup) keepPacket(m msgs.Carry) {
 	q.packet = append(q.packet[:0], m.Packet...)
 	q.carry = m
 	q.carry.Packet = nil
 }
 
-// askLead hands the question to a lead, each time to the next one after a few tries.
-func (a *Agent) askLead(now time.Time, q *search) {
-	rank := q.asks / triesOfLead % leads
-	q.asks++
-	q.asked = now
+// askLead sends the question to a lead, and moves on to the next lead after leadAttempts questions.
+func (a *Agent) askLead(now time.Time, q *lookup) {
+	rank := q.leadRequests / leadAttempts % maxLeads
+	q.leadRequests++
+	q.askedAt = now
 	lead, ok := a.Log.View().Homes.Lead(a.Self, rank)
 	if !ok {
-		return // no agent is known yet
+		return // no agents are known yet
 	}
 	if lead != q.lead {
 		q.lead = lead
 		a.Events.Flow(event.Failure, "search", q.question.Flow).Stringer("lead", lead).Stringer("revision", a.Log.Revision()).Send()
 	}
 	if lead == a.Self {
-		a.want(now, a.Self, q.question)
+		a.enqueueQuestion(now, a.Self, q.question)
 		return
 	}
-	a.tellLost(now, lead)
+	a.sendFailed(now, lead)
 	m := msgs.Seek{Head: a.head(), Question: q.question}
 	a.buf = m.AppendTo(a.buf[:0])
 	a.Wire.ToPeer(lead, a.buf)
 }
 
-// sought takes a lead's answer in.
-func (a *Agent) sought(now time.Time, m msgs.Sought) {
-	q := a.searches[m.Flow]
+// handleResult processes a lead's answer.
+func (a *Agent) handleResult(now time.Time, m msgs.Sought) {
+	q := a.lookups[m.Flow]
 	if q == nil || !q.ended.IsZero() || q.answered {
 		return
 	}
 	if m.Owner.IsValid() {
-		a.foundAt(now, m.Owner, q)
+		a.ownerFound(now, m.Owner, q)
 		return
 	}
 	q.answered = !m.Partial
@@ -138,13 +142,14 @@
 	if m.All {
 		m.Unsure = v.Homes.Agents()
 	}
-	q.near, q.far = split(v, m.Unsure, q.carry.Domain)
-	a.tryNext(now, q)
+	q.near, q.far = splitByDomain(v, m.Unsure, q.carry.Domain)
+	a.probeNext(now, q)
 }
 
-// split tells agents of a failure domain from all others. A flow mostly lives in the domain of the entry by which its
-// caller comes, as new flows are placed near; tried in any order, half of all agents get its packet in vain.
-func split(v *belief.View, agents []netip.Addr, domain uint8) (near, far []netip.Addr) {
+// splitByDomain separates the agents of a failure domain from all others. A flow is mostly in the domain of the
+// entry that its caller uses, as new flows are placed near. If agents were probed in any order, half of them
+// would get the packet in vain.
+func splitByDomain(v *belief.View, agents []netip.Addr, domain uint8) (near, far []netip.Addr) {
 	for _, a := range agents {
 		if s, ok := v.Server(a); ok && belief.DomainHash(s.Domain) == domain {
 			near = append(near, a)
@@ -155,17 +160,17 @@
 	return near, far
 }
 
-// foundAt ends a search: an agent has said that its server holds the flow.
-func (a *Agent) foundAt(now time.Time, agent netip.Addr, q *search) {
+// ownerFound ends a lookup because an agent has reported that its server holds the flow.
+func (a *Agent) ownerFound(now time.Time, agent netip.Addr, q *lookup) {
 	f := q.question.Flow
-	delete(a.searches, f)
+	delete(a.lookups, f)
 	if agent == a.Self {
-		a.tellOwner(q.carry.Origin, msgs.Owner{Flow: f, Open: true})
+		a.sendOwner(q.carry.Origin, msgs.Owner{Flow: f, Open: true})
 		return
 	}
 	a.home.Register(now, agent, msgs.Place{Flow: f})
-	if _, tried := q.tries[agent]; tried {
-		return // it has the packet
+	if _, tried := q.attempts[agent]; tried {
+		return // the agent has the packet already
 	}
 	m := q.carry
 	m.Packet = q.packet
@@ -173,31 +178,31 @@
 	a.forward(agent, m)
 }
 
-// tryNext gives the packet to unsure agents that haven't had it, or ends the search.
-func (a *Agent) tryNext(now time.Time, q *search) {
-	for q.trying < triesAtOnce {
+// probeNext sends the packet to unsure agents that have not had it, or ends the lookup if none is left.
+func (a *Agent) probeNext(now time.Time, q *lookup) {
+	for q.pending < maxParallelProbes {
 		agent, ok := q.next(now)
 		if !ok {
 			break
 		}
-		if _, tried := q.tries[agent]; !tried {
-			q.trying++
-			a.try(now, q, agent)
+		if _, tried := q.attempts[agent]; !tried {
+			q.pending++
+			a.probeAgent(now, q, agent)
 		}
 	}
-	if q.trying == 0 && q.answered {
+	if q.pending == 0 && q.answered {
 		a.conclude(now, q)
 	}
 }
 
-// next returns the agent that is to be tried next.
-func (q *search) next(now time.Time) (agent netip.Addr, ok bool) {
+// next returns the agent to be probed next.
+func (q *lookup) next(now time.Time) (agent netip.Addr, ok bool) {
 	switch {
 	case len(q.near) > 0:
 		agent, q.near = q.near[0], q.near[1:]
-		q.nearAt = now
+		q.lastNear = now
 		return agent, true
-	case len(q.far) > 0 && (q.trying == 0 || now.Sub(q.nearAt) >= farAfter):
+	case len(q.far) > 0 && (q.pending == 0 || now.Sub(q.lastNear) >= farDelay):
 		agent, q.far = q.far[0], q.far[1:]
 		return agent, true
 	default:
@@ -205,9 +210,9 @@
 	}
 }
 
-// try gives the packet to an agent, which tries its server.
-func (a *Agent) try(now time.Time, q *search, agent netip.Addr) {
-	q.tries[agent] = attempt{sent: now, times: q.tries[agent].times + 1}
+// probeAgent sends the packet to an agent, which probes its server with it.
+func (a *Agent) probeAgent(now time.Time, q *lookup, agent netip.Addr) {
+	q.attempts[agent] = attempt{sent: now, count: q.attempts[agent].count + 1}
 	if agent == a.Self {
 		a.probe(now, a.Self, q.question.Flow, q.packet)
 		return
@@ -218,82 +223,83 @@
 	a.forward(agent, m)
 }
 
-// triedAt takes an agent's word on whether its server holds a flow.
-func (a *Agent) triedAt(now time.Time, from netip.Addr, m msgs.Tried) {
-	q := a.searches[m.Flow]
+// handleProbeResult processes an agent's report on whether its server holds a flow.
+func (a *Agent) handleProbeResult(now time.Time, from netip.Addr, m msgs.Tried) {
+	q := a.lookups[m.Flow]
 	if q == nil || !q.ended.IsZero() {
 		return
 	}
 	if m.Held {
-		a.foundAt(now, from, q)
+		a.ownerFound(now, from, q)
 		return
 	}
-	if t, tried := q.tries[from]; tried && !t.over {
-		q.tryOver(from)
-		a.tryNext(now, q)
+	if t, tried := q.attempts[from]; tried && !t.done {
+		q.endAttempt(from)
+		a.probeNext(now, q)
 	}
 }
 
-// tryOver notes that an agent's try has ended.
-func (q *search) tryOver(agent netip.Addr) {
-	q.tries[agent] = attempt{over: true}
-	q.trying--
+// endAttempt notes that an agent's probe has ended.
+func (q *lookup) endAttempt(agent netip.Addr) {
+	q.attempts[agent] = attempt{done: true}
+	q.pending--
 }
 
-// conclude ends a search in which nobody held the flow.
-func (a *Agent) conclude(now time.Time, q *search) {
+// conclude ends a lookup in which no agent has reported the flow as held.
+func (a *Agent) conclude(now time.Time, q *lookup) {
 	q.ended = now
 	f := q.question.Flow
 	s, err := a.Codec.Decode(q.packet, segs.CallerEnd)
 	if err != nil {
 		return
 	}
-	if q.absent > 0 {
-		a.Events.Flow(event.Failure, "unfound", f).Str("why", "no answer").Int("agents", q.absent).Send()
+	if q.unanswered > 0 {
+		a.Events.Flow(event.Failure, "unfound", f).Str("why", "no answer").Int("agents", q.unanswered).Send()
 		return
 	}
-	age, known := a.Ctrl.Age(now)
-	if !known || age > a.Bound {
+	age, known := a.Control.Age(now)
+	if !known || age > a.PropagationBound {
 		a.Events.Flow(event.Failure, "unfound", f).Str("why", "belief too old").Dur("age", age).Send()
 		return
 	}
-	delete(a.searches, f)
-	searchTime.Update(now.Sub(q.began).Seconds())
+	delete(a.lookups, f)
+	lookupTime.Update(now.Sub(q.began).Seconds())
 	a.reset(now, &s, "unheld")
-	a.tellOwner(q.carry.Origin, msgs.Owner{Flow: f, Gone: true})
+	a.sendOwner(q.carry.Origin, msgs.Owner{Flow: f, Gone: true})
 }
 
-// tickSearches repeats what had no answer, and forgets what is over.
-func (a *Agent) tickSearches(now time.Time) {
-	for f, q := range a.searches {
+// tickLookups repeats unanswered questions and probes, and deletes lookups that are over.
+func (a *Agent) tickLookups(now time.Time) {
+	for f, q := range a.lookups {
 		switch {
 		case !q.ended.IsZero():
-			if now.Sub(q.ended) > searchAgain {
-				delete(a.searches, f)
+			if now.Sub(q.ended) > lookupRetryAfter {
+				delete(a.lookups, f)
 			}
-		case now.Sub(q.began) > searchMost:
-			delete(a.searches, f)
+		case now.Sub(q.began) > lookupTimeout:
+			delete(a.lookups, f)
 			a.Events.Flow(event.Failure, "unfound", f).Str("why", "gave up").Bool("answered", q.answered).Send()
 		default:
-			if !q.answered && now.Sub(q.asked) > leadWithin {
+			if !q.answered && now.Sub(q.askedAt) > leadTimeout {
 				a.askLead(now, q)
 			}
-			a.tryAgain(now, q)
+			a.retryProbes(now, q)
 		}
 	}
 }
 
-// tryAgain gives the packet once more to agents that didn't say what became of it, or goes on without them.
-func (a *Agent) tryAgain(now time.Time, q *search) {
-	for agent, t := range q.tries {
+// retryProbes sends the packet again to agents that have not answered, and gives up on an agent after
+// probeAttempts.
+func (a *Agent) retryProbes(now time.Time, q *lookup) {
+	for agent, t := range q.attempts {
 		switch {
-		case t.over || now.Sub(t.sent) < tryWithin:
-		case t.times < triesOfServer:
-			a.try(now, q, agent)
+		case t.done || now.Sub(t.sent) < probeTimeout:
+		case t.count < probeAttempts:
+			a.probeAgent(now, q, agent)
 		default:
-			q.absent++
-			q.tryOver(agent)
+			q.unanswered++
+			q.endAttempt(agent)
 		}
 	}
-	a.tryNext(now, q)
+	a.probeNext(now, q)
 }
--- a/internal/node/local/search_test.go
+++ b/internal/node/local/search_test.go
@@ -13,8 +13,9 @@
 	"mangowinch/internal/flow/order"
 )
 
-// All processes of a hundred instances have been killed. Each caller's packet went to fifty servers on average before its own had it, and
-// half a day's bytes between failure domains were spent in four seconds.
+// Guards against probing agents in an arbitrary order. After all processes of a hundred instances had been
+// killed, each caller's packet reached fifty servers on average before its own one, and half a day's byte
+// budget between failure domains was spent in four seconds.
 func TestNearServersAreTriedFirst(t *testing.T) {
 	log := belief.New()
 	change := belief.Change{To: 10, Full: true}
@@ -28,23 +29,23 @@
 	}
 	log.Apply(time.Unix(1_700_000_000, 0), change)
 	gone := netip.AddrFrom4([4]byte{10, 0, 1, 99})
-	near, far := split(log.View(), append(agents, gone), belief.DomainHash("zg-b"))
+	near, far := splitByDomain(log.View(), append(agents, gone), belief.DomainHash("zg-b"))
 	addresses := cmpopts.EquateComparable(netip.Addr{})
 	assert.DeepEqual(t, near, []netip.Addr{agents[1], agents[4]}, addresses)
 	assert.DeepEqual(t, far, []netip.Addr{agents[0], agents[2], agents[3], agents[5], gone}, addresses)
 
-	q := &search{near: near, far: far, tries: map[netip.Addr]attempt{}}
+	q := &lookup{near: near, far: far, attempts: map[netip.Addr]attempt{}}
 	now := time.Unix(1_700_000_000, 0)
 	for _, want := range near {
 		got, ok := q.next(now)
 		assert.Assert(t, ok && got == want)
-		q.trying++
+		q.pending++
 	}
-	_, ok := q.next(now.Add(farAfter / 2))
-	assert.Assert(t, !ok, "one of the near ones may be at work on it")
-	got, ok := q.next(now.Add(farAfter))
+	_, ok := q.next(now.Add(farDelay / 2))
+	assert.Assert(t, !ok, "a far agent is probed although a near server may still be processing the request")
+	got, ok := q.next(now.Add(farDelay))
 	assert.Assert(t, ok && got == far[0])
-	q.trying = 0
+	q.pending = 0
 	got, ok = q.next(now)
-	assert.Assert(t, ok && got == far[1], "all near ones have said that they don't hold it")
+	assert.Assert(t, ok && got == far[1], "no far agent is probed although all near agents have reported that they don't hold the flow")
 }
--- a/internal/node/local/server.go
+++ b/internal/node/local/server.go
@@ -9,45 +9,45 @@
 	"mangowinch/internal/oper/event"
 )
 
-// FromServer takes a datagram that the own server sent.
+// FromServer processes a datagram that the local server sent.
 func (a *Agent) FromServer(now time.Time, datagram []byte) {
 	s, err := a.Codec.Decode(datagram, segs.ServerEnd)
 	if err != nil {
-		dropped("malformed")
+		countDropped("malformed")
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.heardServer(now)
+	a.serverResponded(now)
 	if s.Has(segs.Returned) {
 		a.Codec.Restore(datagram)
 		s.Flags &^= segs.Returned
-		a.returned(now, &s, datagram)
+		a.handleReturned(now, &s, datagram)
 		return
 	}
 	if !s.FromServer {
-		dropped("malformed")
+		countDropped("malformed")
 		return
 	}
-	a.sent(now, &s)
+	a.recordSent(now, &s)
 	a.Wire.ToCaller(s.Flow.Caller, datagram)
 	sent.Inc()
 }
 
-// sent notes a packet of the server.
-func (a *Agent) sent(now time.Time, s *segs.Segment) {
+// recordSent updates the flow of a packet that the server sent.
+func (a *Agent) recordSent(now time.Time, s *segs.Segment) {
 	o := a.flows.Get(s.Flow)
 	if o == nil {
 		if s.Flags&(segs.Fin|segs.Rst) != 0 {
-			return // the end of a flow is nothing to learn
+			return // an ending flow need not be learned
 		}
 		if o = a.flows.Add(now, s.Flow); o == nil {
-			return // found by asking all, as long as the server answers
+			return // the table is full; the flow can still be found by asking all agents while the server answers
 		}
 		learned.Inc()
 		if p, tried := a.probes[s.Flow]; tried {
 			delete(a.probes, s.Flow)
-			a.tellTried(now, p.home, msgs.Tried{Flow: s.Flow, Held: true})
+			a.sendProbeResult(now, p.home, msgs.Tried{Flow: s.Flow, Held: true})
 		}
 		a.Events.Flow(event.Ordinary, "learned", s.Flow).Stringer("revision", a.Log.Revision()).Send()
 	}
@@ -56,11 +56,11 @@
 		a.accept(now, o, s)
 	}
 	if s.Has(segs.Rst) && o.Busy() {
-		a.brokeOff(now)
+		a.requestAborted(now)
 	}
 	if took := a.flows.FromServer(now, o, s); took > 0 {
-		a.answered()
-		a.judge(now, s.Flow, took)
+		a.requestAnswered()
+		a.checkResponseTime(now, s.Flow, took)
 		answerTime.Update(took.Seconds())
 		defer a.admit(now)
 	}
@@ -72,14 +72,14 @@
 // accept notes that the server holds a flow.
 func (a *Agent) accept(now time.Time, o *owner.Own, s *segs.Segment) {
 	if !s.Accepting() {
-		a.flows.Learn(o, s.Seq-learnedBack) // in its middle, after the agent's own restart
+		a.flows.Learn(o, s.Seq-learnedWindow) // in mid-flow, after a restart of the agent
 		return
 	}
 	a.flows.Accept(now, o, s.Seq)
 	openTime.Update(now.Sub(o.Began).Seconds())
 }
 
-// announce tells the flow's home, and the entry, that the agent owns it.
+// announce notifies the flow's home and the entry that the agent owns the flow.
 func (a *Agent) announce(now time.Time, o *owner.Own, s *segs.Segment) {
 	a.registerOne(now, o, s.Flow)
 	if !o.Origin.IsValid() {
@@ -92,46 +92,47 @@
 		Uint16("flows", m.Load.Flows).Dur("took", now.Sub(o.Began)).Send()
 }
 
-// returned takes a caller's packet that the server handed back. The datagram is again what
-// the caller wrote.
-func (a *Agent) returned(now time.Time, s *segs.Segment, datagram []byte) {
+// handleReturned processes a caller's packet that the server returned. The datagram has been restored to what
+// the caller sent.
+func (a *Agent) handleReturned(now time.Time, s *segs.Segment, datagram []byte) {
 	o := a.flows.Get(s.Flow)
 	switch {
 	case s.Opening():
 		if o != nil && !o.Accepted {
 			a.flows.Delete(s.Flow)
-			a.handBack(now, o.Origin, s, datagram, msgs.WhyServer)
+			a.returnOpening(now, o.Origin, s, datagram, msgs.WhyServer)
 		}
-	case a.probed(now, s):
+	case a.handleReturnedProbe(now, s):
 	case o != nil && o.Over():
-		dropped("over")
+		countDropped("over")
 	case o != nil && !o.Proved:
-		// The server accepted the flow and so did another one, which the caller chose.
+		// This server accepted the flow, and so did another one, which the caller has chosen.
 		a.flows.Delete(s.Flow)
-		a.passOn(now, msgs.Carry{Origin: o.Origin, Packet: datagram}, s)
+		a.routePacket(now, msgs.Carry{Origin: o.Origin, Packet: datagram}, s)
 	case o != nil:
-		// The server held the flow and doesn't any more: it was started anew, or has
-		// let go of an old flow. Nobody else can hold it, so the caller waits for nothing.
-		a.end(now, o, s, "forgotten")
+		// The server held the flow and no longer does: it was restarted, or has dropped an old flow. No other
+		// server can hold it, so the caller would wait in vain.
+		a.endFlow(now, o, s, "forgotten")
 	default:
-		dropped("returned")
+		countDropped("returned")
 	}
 }
 
-// end forgets a flow that nobody holds and tells the caller, who may try again at once.
-func (a *Agent) end(now time.Time, o *owner.Own, s *segs.Segment, why string) {
+// endFlow deletes a flow and resets it, so that its caller can retry at once. The flow is one that no server
+// holds, or an idle flow of a server that aborts its requests.
+func (a *Agent) endFlow(now time.Time, o *owner.Own, s *segs.Segment, why string) {
 	a.flows.Delete(s.Flow)
 	a.home.Delete(s.Flow, a.Self)
 	a.reset(now, s, why)
 	if o.Origin.IsValid() {
-		a.tellOwner(o.Origin, msgs.Owner{Flow: s.Flow, Gone: true})
+		a.sendOwner(o.Origin, msgs.Owner{Flow: s.Flow, Gone: true})
 	}
 }
 
 func (a *Agent) reset(now time.Time, s *segs.Segment, why string) {
 	a.packet = a.Codec.Reset(a.packet[:0], *s)
 	a.Wire.ToCaller(s.Flow.Caller, a.packet)
-	resets(why)
-	age, _ := a.Ctrl.Age(now)
+	countReset(why)
+	age, _ := a.Control.Age(now)
 	a.Events.Flow(event.Failure, "reset", s.Flow).Str("why", why).Stringer("revision", a.Log.Revision()).Dur("age", age).Send()
 }
