--- a/internal/node/agent/agent.go
+++ b/internal/node/agent/agent.go
@@ -1,13 +1,15 @@
-// Package agent is the process beside a backend server. It terminates its
-// callers' QUIC connections, decides about their requests, and runs them on its own
-// server or hands them to another agent of the service.
+// Package agent is the process beside a backend server. It terminates its callers' QUIC
+// connections, decides about their requests, and runs them on its own server or hands
+// them over to another agent of the service.
 //
-// It is the only authority on its server: what it holds of flows, requests and
-// outcomes is asked of nobody else and dies with it. What entries and other agents
-// believe of it decides which way work takes, never whether it runs.
+// The agent is the only authority on its server. It asks no other process about the
+// flows, requests and outcomes that the server holds, and this state is lost with the
+// process. What entries and other agents believe of the server decides which path a
+// request takes, never whether it runs.
 //
-// The decisions are in pure packages (table, paths, admit, place, memo); this one
-// carries them out. Requests pass a chain of filters, each in a file named after it.
+// The decisions are made in packages without side effects (table, paths, admit, place,
+// memo); this package carries them out. Requests pass through a chain of filters, each in
+// a file named after it. Agents of opaque flows are in package local.
 //
 // # Usage
 //
@@ -15,7 +17,7 @@
 //	if err != nil {
 //		return err
 //	}
-//	return a.Run(ctx) // until ctx ends; then until the streams in progress have ended
+//	return a.Run(ctx) // until ctx ends and the streams in progress have ended
 package agent
 
 import (
@@ -43,48 +45,48 @@
 	"mangowinch/internal/node/stamp"
 )
 
-// Agent is one running agent.
+// Agent is the state of one running agent.
 type Agent struct {
 	settings    *prefs.Settings
 	store       *store.Store
 	log         zerolog.Logger
-	incarnation uint64 // tells this run of the process from earlier ones
+	incarnation uint64 // distinguishes this run of the process from earlier ones
 	started     time.Time
-	share
-	now        atomic.Pointer[snapshot]
-	standing   standing
-	gate       *gate.Gate
-	opened     opened
-	handshakes *rate.Limiter
-	link       *link
-	transport  *quic.Transport
-	server     *http3.Server
-	backend    *backend
-	handler    Handler
-	requests   atomic.Int64 // in progress
-	nonce      atomic.Uint64
-	hooks      Hooks
-	hinted     stamp.Time // the last call of Hooks.Newer
-	demand     demand
-	load       atomic.Uint32 // demand as frames carry it
-	count      counters
+	workSharing
+	current      atomic.Pointer[snapshot]
+	availability availability
+	gate         *gate.Gate
+	connections  connCounter
+	handshakes   *rate.Limiter
+	link         *link
+	transport    *quic.Transport
+	server       *http3.Server
+	backend      *backend
+	handler      Handler
+	requests     atomic.Int64 // in progress
+	nonce        atomic.Uint64
+	hooks        Hooks
+	lastHint     stamp.Time // last call of Hooks.Newer
+	demand       demand
+	load         atomic.Uint32 // current demand in the unit that frames carry
+	count        counters
 }
 
-// Hooks connect the agent to whoever keeps its documents. Both may be nil.
+// Hooks connect the agent to the component that keeps its documents. Both may be nil.
 type Hooks struct {
-	// Newer is called when a frame shows that the process at link has a newer
-	// document of the own service. It must not block.
+	// Newer is called when a frame shows that the process at link has a newer document of
+	// the agent's service. It must not block.
 	Newer func(link netip.AddrPort, service string, revision order.Revision)
-	// Refresh asks for the newest document after a pause. It returns when it has
-	// asked somebody, or with ctx.
+	// Refresh requests the newest document after a pause of the process. It returns when
+	// the request has been answered or has failed, or when ctx ends.
 	Refresh func(ctx context.Context)
 }
 
-// SetHooks is to be called before Run.
+// SetHooks sets the hooks. It must be called before Run.
 func (a *Agent) SetHooks(h Hooks) { a.hooks = h }
 
-// New returns an agent that serves once a document is in force; its sockets are
-// opened then.
+// New returns an agent that starts to serve, and opens its sockets, once a document is in
+// force.
 func New(settings *prefs.Settings, documents *store.Store, certificates *tls.Config, log zerolog.Logger) (a *Agent, err error) {
 	defer func() { err = errors.Wrap(err, "start agent") }()
 	if settings.Agent == nil {
@@ -101,9 +103,9 @@
 		gate:        gate.New(admit.Limits{}),
 		handshakes:  rate.NewLimiter(handshakeRate, handshakeBurst),
 	}
-	a.standing = standing{log: log, changed: a.standingChanged}
+	a.availability = availability{log: log, changed: a.availabilityChanged}
 	a.nonce.Store(rand.Uint64())
-	if err := a.registerHand(); err != nil {
+	if err := a.registerHandServer(); err != nil {
 		return nil, err
 	}
 	a.link = newLink(a)
@@ -111,24 +113,24 @@
 	a.server = &http3.Server{
 		Handler:     http.HandlerFunc(a.serveHTTP),
 		TLSConfig:   http3.ConfigureTLSConfig(certificates),
-		IdleTimeout: unusedTime,
+		IdleTimeout: requestIdleTimeout,
 	}
 	return a, nil
 }
 
-// Run serves until ctx ends and then makes a planned stop: it takes nothing new and
-// waits for what is in progress.
+// Run serves until ctx ends and then shuts down gracefully: it accepts nothing new and
+// waits for the requests in progress.
 func (a *Agent) Run(ctx context.Context) (err error) {
 	defer func() { err = errors.Wrap(err, "run agent") }()
 	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	if err := a.awaitDocument(ctx); err != nil {
-		return nil // stopped before it began
+		return nil // stopped before the first document
 	}
 	if err := a.link.open(ctx); err != nil {
 		return err
 	}
-	a.link.greet(a.now.Load()) // before anything is read
+	a.link.sendHeartbeat(a.current.Load()) // before any datagram is read
 	listener, err := a.listenQUIC()
 	if err != nil {
 		return err
@@ -150,7 +152,7 @@
 		return nil
 	})
 	g.Go(func() error {
-		a.keepDocument(inner)
+		a.watchDocument(inner)
 		return nil
 	})
 	g.Go(func() error {
@@ -161,11 +163,11 @@
 		return err
 	})
 	g.Go(func() error {
-		a.keepHealth(inner)
+		a.watchHealth(inner)
 		return nil
 	})
 	g.Go(func() error {
-		awake.Watch(inner, func(pause time.Duration) { a.woken(inner, pause) })
+		awake.Watch(inner, func(pause time.Duration) { a.resumed(inner, pause) })
 		return nil
 	})
 	g.Go(func() error {
--- a/internal/node/agent/backend.go
+++ b/internal/node/agent/backend.go
@@ -17,50 +17,50 @@
 	"mangowinch/internal/work/result"
 )
 
-// Headers towards the backend server.
+// Headers of requests to and answers from the backend server.
 const (
 	headerID     = "Request-Id"
 	headerNotRun = "Not-Run"
 )
 
 const (
-	// dialTime bounds connecting to the own server, which is on the same
-	// instance or beside it: longer means that it is down.
-	dialTime = time.Second
-	// copySize is the buffer for answers, in bytes.
-	copySize = 32 << 10
+	// dialTimeout bounds connecting to the agent's server, which is on the same instance
+	// or next to it: a longer delay means that it is down.
+	dialTimeout = time.Second
+	// copyBufferSize is the size of the buffer for answers, in bytes.
+	copyBufferSize = 32 << 10
 )
 
-// errDeadline ends a request whose deadline has passed.
+// errDeadline is the cancellation cause of a request whose deadline has passed.
 var errDeadline = errors.New("deadline passed")
 
-// backend talks HTTP/1.1 to the agent's own server.
+// backend is the HTTP/1.1 client of the agent's server.
 type backend struct {
 	address *url.URL
 	client  *http.Transport
 }
 
 func newBackend(address *url.URL) *backend {
-	d := net.Dialer{Timeout: dialTime}
+	d := net.Dialer{Timeout: dialTimeout}
 	return &backend{
 		address: address,
 		client: &http.Transport{
 			DialContext: d.DialContext,
-			// The library sends a request again by itself when a reused connection
-			// breaks before the answer; a GET that the server had begun would
-			// then run twice. Only a fresh connection is never tried again.
+			// The library repeats a request by itself when a reused connection breaks
+			// before the answer, so that a GET that the server had started would run
+			// twice. It never repeats a request on a fresh connection.
 			DisableKeepAlives:  true,
 			DisableCompression: true,
 		},
 	}
 }
 
-// run sends an exchange to the own server and streams the answer to the caller.
-// Its outcome is not run only if no byte of the request can have reached the server,
-// or on the server's own word.
+// run sends an exchange to the server and streams the answer to the caller. The outcome
+// is NotRun only if no byte of the request can have reached the server, or if the server
+// itself says so.
 func (b *backend) run(ctx context.Context, x *Exchange) result.Result {
-	// A process that was paused while this waited wakes with its timers due and
-	// unfired; whoever waits for this has been answered long ago.
+	// After a pause of the process, timers may be due but not have fired yet. The
+	// requester has long been answered by then.
 	if !time.Now().Before(x.Deadline) {
 		return refuse(result.Expired, 0)
 	}
@@ -76,17 +76,17 @@
 	}
 	answer, err := b.client.RoundTrip(r)
 	if err != nil {
-		return failed(ctx, sent.Load())
+		return failureResult(ctx, sent.Load())
 	}
 	defer answer.Body.Close()
 	if answer.StatusCode == http.StatusServiceUnavailable && answer.Header.Get(headerNotRun) != "" {
 		return refuse(result.ServerShed, retryAfter(answer))
 	}
 	if x.Class.Kind == docs.Feed {
-		late.Stop() // the deadline was for the first byte, and so was the slot
+		late.Stop() // the deadline and the slot cover only the time to the first byte
 		x.FirstByte()
 	}
-	return deliver(ctx, x, answer)
+	return streamAnswer(ctx, x, answer)
 }
 
 func (b *backend) request(ctx context.Context, x *Exchange) (*http.Request, error) {
@@ -107,7 +107,7 @@
 	return r, nil
 }
 
-// copyHeader leaves out what belongs to one connection.
+// copyHeader copies all headers except those of a single connection.
 func copyHeader(to, from http.Header) {
 	for k, v := range from {
 		switch k {
@@ -118,9 +118,9 @@
 	}
 }
 
-// failed is the result of a request without an answer. A connection was never
-// handed to the request if it is not sent, so no byte left.
-func failed(ctx context.Context, sent bool) result.Result {
+// failureResult returns the result of a request without an answer. If sent is false, the
+// request never got a connection, so no byte of it has left.
+func failureResult(ctx context.Context, sent bool) result.Result {
 	reason := result.ServerLost
 	switch {
 	case errors.Is(context.Cause(ctx), errDeadline):
@@ -144,14 +144,14 @@
 	return time.Duration(n) * time.Second
 }
 
-// deliver streams the server's answer. What is cut short is unknown to the caller:
-// it ran, but the whole answer is not at hand.
-func deliver(ctx context.Context, x *Exchange, answer *http.Response) result.Result {
+// streamAnswer streams the server's answer to the caller. The outcome of a truncated
+// answer is Unknown: the request ran, but the caller does not have the whole answer.
+func streamAnswer(ctx context.Context, x *Exchange, answer *http.Response) result.Result {
 	copyHeader(x.Answer.Header(), answer.Header)
 	x.Answer.Header().Set(headerOutcome, result.Ran.String())
 	x.Answer.WriteHeader(answer.StatusCode)
 	x.Answer.Flush()
-	buffer := make([]byte, copySize)
+	buffer := make([]byte, copyBufferSize)
 	for {
 		n, err := answer.Body.Read(buffer)
 		if n > 0 {
@@ -164,7 +164,7 @@
 			return result.Result{Outcome: result.Ran}
 		}
 		if err != nil {
-			return failed(ctx, true)
+			return failureResult(ctx, true)
 		}
 	}
 }
--- a/internal/node/agent/backend_test.go
+++ b/internal/node/agent/backend_test.go
@@ -15,9 +15,10 @@
 	"mangowinch/internal/work/result"
 )
 
-// Story: an agent is stopped while a claim has just been given a slot. It wakes after the
-// deadline; the timer that should end the claim is due, but has not fired yet. The claim's
-// caller has been told long ago that nobody knows; it must not run now.
+// Guards against running a claim after its caller was told that its outcome is unknown.
+// An agent is stopped (SIGSTOP) when a claim has just been given a slot, and resumes
+// after the deadline. The timer that should cancel the claim is due, but has not fired
+// yet.
 func TestClaimIsNotSentAfterItsDeadline(t *testing.T) {
 	dials := 0
 	b := newBackend(&url.URL{Scheme: "http", Host: "127.0.0.1:80"})
@@ -25,7 +26,7 @@
 		dials++
 		return nil, net.ErrClosed
 	}
-	for range 1000 { // without the look at the clock the timer loses once in some 30 tries
+	for range 1000 { // without the check of the clock, about one in 30 runs dials before the timer fires
 		x := &Exchange{
 			Class:    &docs.Class{Kind: docs.Lookup},
 			Deadline: time.Now(),
@@ -37,9 +38,10 @@
 	assert.Equal(t, dials, 0)
 }
 
-// Story: a server runs a claim, and its answer, which it got from a third system, happens
-// to carry the header Not-Run. Taken for the server's own word, the claim would be placed
-// elsewhere and open a second case. Only a 503 with the header says that it did not run.
+// Guards against running a claim twice because of a stray header. A server runs a claim,
+// and its answer, which it got from a third system, carries the header Not-Run. If the
+// agent trusted the header, the claim would be placed elsewhere and open a second case.
+// Only a 503 with the header means that the claim did not run.
 func TestNotRunIsSaidByRefusalsOnly(t *testing.T) {
 	for status, want := range map[int]result.Result{
 		http.StatusOK:                 {Outcome: result.Ran},
--- a/internal/node/agent/chain.go
+++ b/internal/node/agent/chain.go
@@ -13,32 +13,32 @@
 
 // Exchange is one request on its way through the filters.
 type Exchange struct {
-	ID       string // unique in the service
-	Service  *docs.Service
-	Class    *docs.Class
-	OwnFlow  bool         // came by a flow of this agent, not from another agent
-	Source   netip.Addr   // where it comes from
-	Caller   queue.Caller // who shares the service fairly with others
-	Key      string       // request key, if it has one
-	Hops     int          // hand-overs so far
-	Placed   bool         // another agent chose this one for it
-	Decided  bool         // its key was looked at: "not run" holds for the key
-	Deadline time.Time
-	Request  *http.Request
-	Answer   *Answer
-	// FirstByte is called when the server's answer begins; a feed then gives its
-	// slot back. It is set by the filter enter.
+	ID         string // unique in the service
+	Service    *docs.Service
+	Class      *docs.Class
+	OwnFlow    bool         // arrived on a flow of this agent, not from another agent
+	Source     netip.Addr   // address of the caller
+	Caller     queue.Caller // party that fair sharing counts the request for
+	Key        string       // request key, if any
+	Hops       int          // number of hand-overs so far
+	Placed     bool         // another agent has placed the request here
+	KeyDecided bool         // the filter once has checked the key, so NotRun holds for the key
+	Deadline   time.Time
+	Request    *http.Request
+	Answer     *Answer
+	// FirstByte is called when the server's answer begins, which releases a feed's slot.
+	// The filter enter sets it.
 	FirstByte func()
 }
 
-// Handler runs an exchange or a part of it. A result other than ran is answered
-// by serveHTTP, if nothing of an answer has left yet.
+// Handler runs an exchange or a part of it. serveHTTP answers for any outcome other than
+// Ran, unless a part of an answer has already been sent.
 type Handler func(ctx context.Context, x *Exchange) result.Result
 
 // Filter wraps a handler.
 type Filter func(next Handler) Handler
 
-// chain puts filters before a handler, the first outermost.
+// chain wraps a handler in filters, the first outermost.
 func chain(h Handler, filters ...Filter) Handler {
 	for i := len(filters) - 1; i >= 0; i-- {
 		h = filters[i](h)
@@ -46,7 +46,7 @@
 	return h
 }
 
-// refuse is the result of a request that did not run.
+// refuse returns the result of a request that did not run.
 func refuse(r result.Reason, after time.Duration) result.Result {
 	return result.Result{Outcome: result.NotRun, Reason: r, After: after}
 }
--- a/internal/node/agent/classify.go
+++ b/internal/node/agent/classify.go
@@ -6,8 +6,8 @@
 	"mangowinch/internal/work/result"
 )
 
-// classify finds the request's class in the service's document. A path of no class
-// is refused: what a team has not declared, it has not said how to treat.
+// classify sets the request's class from the service's document. A path without a class
+// is refused, as the document does not say how to treat it.
 func (a *Agent) classify(next Handler) Handler {
 	return func(ctx context.Context, x *Exchange) result.Result {
 		c, ok := x.Service.ClassFor(x.Request.URL.Path)
--- a/internal/node/agent/counts.go
+++ b/internal/node/agent/counts.go
@@ -11,17 +11,17 @@
 	"mangowinch/internal/work/result"
 )
 
-// counters are those of the agent's service.
+// counters are the metrics of the agent's service.
 type counters struct {
 	service string
 
 	kept, passed, sided, returned, probes, woken, hints *metrics.Counter
 
-	short, forged, stray, kind *metrics.Counter // unreadable, not authentic, of another service, of no use here
-	foreign, hops, owner       *metrics.Counter // ID of nobody, passed on too often, server not in the document
-	backlog, unsent, noPath    *metrics.Counter // QUIC is behind, the kernel refused it, no entry known
-	unusable, broken           *metrics.Counter // documents, answers broken off
-	connections                *metrics.Counter // refused over the document's limit
+	short, forged, wrongService, kind *metrics.Counter // unreadable, not authentic, of another service, of an unexpected kind
+	foreign, hops, owner              *metrics.Counter // unknown connection ID, forwarded too often, server not in the document
+	backlog, unsent, noPath           *metrics.Counter // QUIC's queue is full, sending failed, no entry known
+	unusable, broken                  *metrics.Counter // rejected documents, aborted answers
+	connections                       *metrics.Counter // refused because of the document's limit
 }
 
 func newCounters(service string) counters {
@@ -32,36 +32,36 @@
 		return metrics.GetOrCreateCounter(fmt.Sprintf(`mangowinch_agent_dropped_total{service=%q,reason=%q}`, service, reason))
 	}
 	return counters{
-		service:  service,
-		kept:     event("kept"),
-		passed:   event("passed"),
-		sided:    event("sided"),
-		returned: event("returned"),
-		probes:   event("probes"),
-		woken:    event("woken"),
-		hints:    event("hints"),
-		short:    dropped("short"),
-		forged:   dropped("forged"),
-		stray:    dropped("service"),
-		kind:     dropped("kind"),
-		foreign:  dropped("foreign"),
-		hops:     dropped(string(table.Hops)),
-		owner:    dropped(string(table.Owner)),
-		backlog:  dropped("backlog"),
-		unsent:   dropped("unsent"),
-		noPath:   dropped("path"),
-		unusable: event("unusable"),
-		broken:   event("broken"),
+		service:      service,
+		kept:         event("kept"),
+		passed:       event("passed"),
+		sided:        event("sided"),
+		returned:     event("returned"),
+		probes:       event("probes"),
+		woken:        event("woken"),
+		hints:        event("hints"),
+		short:        dropped("short"),
+		forged:       dropped("forged"),
+		wrongService: dropped("service"),
+		kind:         dropped("kind"),
+		foreign:      dropped("foreign"),
+		hops:         dropped(string(table.Hops)),
+		owner:        dropped(string(table.Owner)),
+		backlog:      dropped("backlog"),
+		unsent:       dropped("unsent"),
+		noPath:       dropped("path"),
+		unusable:     event("unusable"),
+		broken:       event("broken"),
 
 		connections: dropped("connections"),
 	}
 }
 
-// refuse counts a frame that cannot be read.
-func (c *counters) refuse(err error) {
+// countUnreadable counts a frame that cannot be read.
+func (c *counters) countUnreadable(err error) {
 	switch {
 	case errors.Is(err, frame.ErrService):
-		c.stray.Inc()
+		c.wrongService.Inc()
 	case errors.Is(err, frame.ErrForged):
 		c.forged.Inc()
 	default:
@@ -69,7 +69,7 @@
 	}
 }
 
-func (c *counters) drop(r table.Reason) {
+func (c *counters) countDropped(r table.Reason) {
 	if r == table.Hops {
 		c.hops.Inc()
 		return
@@ -77,8 +77,8 @@
 	c.owner.Inc()
 }
 
-// end counts a request by outcome and reason.
-func (c *counters) end(r result.Result) {
+// countResult counts a request by outcome and reason.
+func (c *counters) countResult(r result.Result) {
 	name := fmt.Sprintf(`mangowinch_requests_total{service=%q,outcome=%q,reason=%q}`, c.service, r.Outcome, r.Reason)
 	metrics.GetOrCreateCounter(name).Inc()
 }
--- a/internal/node/agent/demand.go
+++ b/internal/node/agent/demand.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// demandTime is the time constant of the demand told to entries. They move
-	// weights each second; a shorter one would show them single requests.
+	// demandTime is the time constant of the demand that entries receive. They adjust
+	// weights each second; a shorter constant would show them single requests.
 	demandTime = 2 * time.Second
-	// loadScale is the demand that frames carry for slots that are all in use.
+	// loadScale is the value in frames for a demand that takes all slots all the time.
 	loadScale = 1000
 )
 
-// demand measures the slot time that requests on the agent's own flows ask for,
-// wherever they run, as a share of its slots' time. Entries move new flows by it.
-// The slots in use would mislead them: a full server's requests run elsewhere, so
-// that all servers look alike while one has too many flows.
+// demand measures the slot time that requests on the agent's own flows take, wherever
+// they run, as a share of the time of its server's slots. Entries shift new flows by it.
+// The number of slots in use would mislead them: requests of a full server run elsewhere,
+// so that all servers look alike while one has too many flows.
 type demand struct {
 	mu    sync.Mutex // guards all below
 	sum   time.Duration
@@ -25,14 +25,14 @@
 	last  time.Time
 }
 
-// add notes the slot time of one request.
+// add adds the slot time of one request.
 func (d *demand) add(took time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.sum += took
 }
 
-// measure moves the mean on and returns it in thousandths.
+// measure updates the mean and returns it in units of 1/loadScale.
 func (d *demand) measure(now time.Time, slots int) uint32 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -41,9 +41,9 @@
 		d.last = now
 		return 0
 	}
-	lately := d.sum.Seconds() / (step.Seconds() * float64(slots))
-	part := 1 - math.Exp(-step.Seconds()/demandTime.Seconds())
-	d.share += part * (lately - d.share)
+	recent := d.sum.Seconds() / (step.Seconds() * float64(slots))
+	weight := 1 - math.Exp(-step.Seconds()/demandTime.Seconds())
+	d.share += weight * (recent - d.share)
 	d.sum, d.last = 0, now
 	return uint32(min(d.share*loadScale, math.MaxUint16))
 }
--- a/internal/node/agent/enter.go
+++ b/internal/node/agent/enter.go
@@ -11,13 +11,13 @@
 	"mangowinch/internal/work/result"
 )
 
-// enter lets a request in to the own server, keeps it waiting for a slot, or
-// refuses it as not run. It comes right before the server, so that whatever is
-// refused here has provably not reached it.
+// enter admits a request to the agent's server, keeps it waiting for a slot, or refuses
+// it as not run. It is the last filter before the server, so that a request that it
+// refuses has provably not reached the server.
 func (a *Agent) enter(next Handler) Handler {
 	return func(ctx context.Context, x *Exchange) result.Result {
-		if !a.standing.accepting() {
-			return refuse(a.standing.reason(), comeBack)
+		if !a.availability.accepting() {
+			return refuse(a.availability.reason(), leavingRetryAfter)
 		}
 		pass, refused := a.gate.Enter(ctx, gate.Request{
 			Class:    x.Class.Name,
@@ -28,7 +28,7 @@
 			return refused
 		}
 		began := time.Now()
-		leave := sync.OnceFunc(func() {
+		release := sync.OnceFunc(func() {
 			if x.Answer.Failed() {
 				pass.Fail()
 			}
@@ -37,8 +37,8 @@
 				a.demand.add(time.Since(began))
 			}
 		})
-		defer leave()
-		x.FirstByte = leave
+		defer release()
+		x.FirstByte = release
 		end := next(ctx, x)
 		if end.Outcome != result.Ran {
 			pass.Fail()
@@ -47,16 +47,16 @@
 	}
 }
 
-// callerOf names the party that a request counts for.
+// callerOf returns the party that fair sharing counts a request for.
 func callerOf(x *Exchange) queue.Caller {
 	return queue.Identify(x.Service.Callers, x.Source)
 }
 
-// opened counts the connections of an agent.
-type opened struct{ count atomic.Int64 }
+// connCounter counts the connections of an agent.
+type connCounter struct{ count atomic.Int64 }
 
-// enter takes one in, up to a limit.
-func (o *opened) enter(limit int) bool {
+// enter counts a new connection and reports whether it is within the limit.
+func (o *connCounter) enter(limit int) bool {
 	if o.count.Add(1) <= int64(limit) {
 		return true
 	}
@@ -64,4 +64,4 @@
 	return false
 }
 
-func (o *opened) leave() { o.count.Add(-1) }
+func (o *connCounter) leave() { o.count.Add(-1) }
--- a/internal/node/agent/exchange.go
+++ b/internal/node/agent/exchange.go
@@ -14,10 +14,10 @@
 	"mangowinch/internal/work/result"
 )
 
-// headerKey carries a request key, both ways.
+// headerKey carries a request key, in requests and in answers.
 const headerKey = "Request-Key"
 
-// asRequest gives an exchange in the form in which work is shared between agents.
+// asRequest converts an exchange to a request that agents hand over.
 func (x *Exchange) asRequest() *hand.Request {
 	r := &hand.Request{
 		Service:    x.Service.Name,
@@ -42,10 +42,10 @@
 	return r
 }
 
-// asRunner gives a handler in the form that takes shared work. Each run gets a copy of
-// the exchange, with the body and the answer that it is to use.
+// asRunner adapts a handler to hand.Runner. Each run gets a copy of the exchange with its
+// own body and answer.
 func (x *Exchange) asRunner(next Handler) hand.Runner {
-	return runner(func(ctx context.Context, r *hand.Request, a hand.Answer) result.Result {
+	return runnerFunc(func(ctx context.Context, r *hand.Request, a hand.Answer) result.Result {
 		y := *x
 		y.Key = r.Key
 		request := *x.Request
@@ -54,23 +54,23 @@
 			request.Body = io.NopCloser(r.Body)
 		}
 		y.Request = &request
-		y.Answer = &Answer{ResponseWriter: &inner{answer: a, header: http.Header{}}}
+		y.Answer = &Answer{ResponseWriter: &writerAdapter{answer: a, header: http.Header{}}}
 		return next(ctx, &y)
 	})
 }
 
-type runner func(ctx context.Context, r *hand.Request, a hand.Answer) result.Result
+type runnerFunc func(ctx context.Context, r *hand.Request, a hand.Answer) result.Result
 
 // Run implements hand.Runner.
-func (f runner) Run(ctx context.Context, r *hand.Request, a hand.Answer) result.Result {
+func (f runnerFunc) Run(ctx context.Context, r *hand.Request, a hand.Answer) result.Result {
 	return f(ctx, r, a)
 }
 
-// outer passes a shared answer on to an exchange's own.
-type outer struct{ answer *Answer }
+// answerAdapter adapts an exchange's Answer to hand.Answer.
+type answerAdapter struct{ answer *Answer }
 
 // Start implements hand.Answer.
-func (o outer) Start(status int, header http.Header) error {
+func (o answerAdapter) Start(status int, header http.Header) error {
 	copyHeader(o.answer.Header(), header)
 	o.answer.Header().Set(headerOutcome, result.Ran.String())
 	o.answer.WriteHeader(status)
@@ -79,36 +79,36 @@
 }
 
 // Write implements hand.Answer.
-func (o outer) Write(p []byte) (int, error) {
+func (o answerAdapter) Write(p []byte) (int, error) {
 	n, err := o.answer.Write(p)
 	o.answer.Flush()
 	return n, err
 }
 
-// inner lets a handler write to a shared answer.
-type inner struct {
+// writerAdapter adapts a hand.Answer to http.ResponseWriter.
+type writerAdapter struct {
 	answer hand.Answer
 	header http.Header
-	err    error // of the start
+	err    error // error of answer.Start
 }
 
 // Header implements http.ResponseWriter.
-func (w *inner) Header() http.Header { return w.header }
+func (w *writerAdapter) Header() http.Header { return w.header }
 
 // WriteHeader implements http.ResponseWriter.
-func (w *inner) WriteHeader(status int) { w.err = w.answer.Start(status, w.header) }
+func (w *writerAdapter) WriteHeader(status int) { w.err = w.answer.Start(status, w.header) }
 
 // Write implements http.ResponseWriter.
-func (w *inner) Write(p []byte) (int, error) {
+func (w *writerAdapter) Write(p []byte) (int, error) {
 	if w.err != nil {
 		return 0, w.err
 	}
 	return w.answer.Write(p)
 }
 
-// asExchange gives a request that another agent handed over.
-func asExchange(r *hand.Request, a hand.Answer, service *docs.Service) (x *Exchange, err error) {
-	defer func() { err = errors.Wrap(err, "handed request") }()
+// newExchange returns the exchange of a request that another agent has handed over.
+func newExchange(r *hand.Request, a hand.Answer, service *docs.Service) (x *Exchange, err error) {
+	defer func() { err = errors.Wrap(err, "parse handed-over request") }()
 	u, err := url.ParseRequestURI(r.Path)
 	if err != nil {
 		return nil, err
@@ -117,7 +117,7 @@
 	if r.Length != 0 {
 		body = io.NopCloser(r.Body)
 	}
-	source, _ := netip.ParseAddr(r.Caller) // not valid if the agent at the caller knew none
+	source, _ := netip.ParseAddr(r.Caller) // invalid if the caller's agent did not know the address
 	return &Exchange{
 		ID:       r.Header.Get(headerID),
 		Service:  service,
@@ -127,6 +127,6 @@
 		Placed:   r.Placed,
 		Deadline: r.Deadline,
 		Request:  &http.Request{Method: r.Method, URL: u, Header: r.Header, Body: body, ContentLength: r.Length},
-		Answer:   &Answer{ResponseWriter: &inner{answer: a, header: http.Header{}}},
+		Answer:   &Answer{ResponseWriter: &writerAdapter{answer: a, header: http.Header{}}},
 	}, nil
 }
--- a/internal/node/agent/health.go
+++ b/internal/node/agent/health.go
@@ -12,22 +12,23 @@
 )
 
 const (
-	// healthEvery is how often the own server is asked. It decides how soon a
-	// draining server gets no new work: two intervals at most, of 3 s allowed.
-	healthEvery = 250 * time.Millisecond
-	// healthTime bounds one question.
-	healthTime = time.Second
-	// downAfter is how many questions in a row must fail to reach the server, so
-	// that one lost connection does not empty it. A request that meets the
-	// server down is refused as not run in any case.
+	// healthInterval is how often the server is checked. It bounds how soon a draining
+	// server gets no new work: two intervals at most, of the 3 s allowed.
+	healthInterval = 250 * time.Millisecond
+	// healthTimeout bounds one check.
+	healthTimeout = time.Second
+	// downAfter is how many consecutive checks must fail before the server counts as
+	// down, so that one lost connection does not take away its work. A request that finds
+	// the server down is refused as not run in any case.
 	downAfter = 3
-	// maxReport bounds the answer read, in bytes.
-	maxReport = 4 << 10
+	// maxReportSize bounds the answer to a check, in bytes.
+	maxReportSize = 4 << 10
 )
 
-// report is the server's answer to /load. It lags and may mislead, so that its
-// numbers are not used for admission, where the own count is exact. That the server
-// drains or cannot be reached is believed: refusing work by mistake costs a hop.
+// report is the server's answer to /load. Its numbers lag and may be wrong, so they are
+// not used for admission, for which the agent's own count is exact. That the server
+// drains or cannot be reached is trusted, because refusing work by mistake costs only a
+// hop.
 type report struct {
 	Busy     int  `json:"busy"`
 	Slots    int  `json:"slots"`
@@ -35,7 +36,7 @@
 	Draining bool `json:"draining"`
 }
 
-// health asks the own server how it does.
+// health checks the agent's server.
 type health struct {
 	client  http.Client
 	address string
@@ -44,18 +45,18 @@
 
 func newHealth(server *url.URL) *health {
 	return &health{
-		client:  http.Client{Timeout: healthTime},
+		client:  http.Client{Timeout: healthTimeout},
 		address: server.JoinPath("load").String(),
 	}
 }
 
-// keepHealth asks until ctx ends.
-func (a *Agent) keepHealth(ctx context.Context) {
+// watchHealth checks the server until ctx ends.
+func (a *Agent) watchHealth(ctx context.Context) {
 	h := newHealth(a.settings.Agent.Backend)
-	t := time.NewTicker(healthEvery)
+	t := time.NewTicker(healthInterval)
 	defer t.Stop()
 	for {
-		h.ask(ctx, &a.standing)
+		h.check(ctx, &a.availability)
 		select {
 		case <-ctx.Done():
 			return
@@ -64,7 +65,7 @@
 	}
 }
 
-func (h *health) ask(ctx context.Context, s *standing) {
+func (h *health) check(ctx context.Context, s *availability) {
 	r, err := h.get(ctx)
 	if err != nil {
 		h.failed++
@@ -91,6 +92,6 @@
 	if answer.StatusCode != http.StatusOK {
 		return report{}, errors.Newf("status %d", answer.StatusCode)
 	}
-	err = json.NewDecoder(io.LimitReader(answer.Body, maxReport)).Decode(&r)
+	err = json.NewDecoder(io.LimitReader(answer.Body, maxReportSize)).Decode(&r)
 	return r, err
 }
--- a/internal/node/agent/inforce.go
+++ b/internal/node/agent/inforce.go
@@ -14,7 +14,7 @@
 	"mangowinch/internal/work/once"
 )
 
-// snapshot is what the document in force says; it is immutable.
+// snapshot is the state derived from the document in force. It is immutable.
 type snapshot struct {
 	document *docs.Service
 	revision order.Revision
@@ -23,12 +23,12 @@
 	keys     *once.View
 }
 
-// awaitDocument waits for the first usable document of the own service.
+// awaitDocument waits for the first usable document of the agent's service.
 func (a *Agent) awaitDocument(ctx context.Context) error {
-	for a.now.Load() == nil {
+	for a.current.Load() == nil {
 		changed := a.store.Changed()
 		a.apply(a.store.View())
-		if a.now.Load() != nil {
+		if a.current.Load() != nil {
 			return nil
 		}
 		select {
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// keepDocument is the controller that takes new documents into force.
-func (a *Agent) keepDocument(ctx context.Context) {
+// watchDocument applies new documents until ctx ends.
+func (a *Agent) watchDocument(ctx context.Context) {
 	for {
 		changed := a.store.Changed()
 		a.apply(a.store.View())
@@ -55,32 +55,32 @@
 
 func (a *Agent) apply(v *store.View) {
 	d := v.Entries[a.settings.Agent.Service]
-	old := a.now.Load()
+	old := a.current.Load()
 	if d == nil || old != nil && old.revision == d.Revision {
 		return
 	}
 	next, err := a.snapshot(d)
 	if err != nil {
 		a.count.unusable.Inc()
-		a.log.Error().Err(err).Stringer("revision", d.Revision).Msg("document cannot be used here; the last good one stays")
+		a.log.Error().Err(err).Stringer("revision", d.Revision).Msg("document rejected; keeping the last valid one")
 		return
 	}
 	if next.own == nil {
-		// The server is no longer in the document: it leaves, under its last settings.
-		a.standing.set(byDocument, true)
+		// The server is no longer in the document: it leaves, with its last settings.
+		a.availability.set(byDocument, true)
 		return
 	}
 	if old == nil {
-		a.newShare(next)
+		a.initWorkSharing(next)
 	}
-	a.now.Store(next)
+	a.current.Store(next)
 	a.setPeers(d.Service, a.settings.Agent.Sides)
 	a.gate.SetLimits(admit.LimitsOf(d.Service, *next.own))
 	a.log.Info().Str("service", d.Name).Stringer("revision", d.Revision).Str("source", d.Source).Msg("document in force")
-	a.standing.set(byDocument, next.own.State == docs.Leaving)
+	a.availability.set(byDocument, next.own.State == docs.Leaving)
 }
 
-// snapshot reads what a document says of this agent. Its own is nil when the
+// snapshot derives the agent's state from a document. Its field own is nil if the
 // document does not have the server.
 func (a *Agent) snapshot(d *store.Entry) (s *snapshot, err error) {
 	ring, err := rings.New(a.settings.Keys, d.Service)
@@ -94,11 +94,11 @@
 			continue
 		}
 		if o.Agent != a.settings.Agent.Listen {
-			return nil, errors.Newf("server %q has agent %s in the document and listens at %s by the settings", o.Name, o.Agent, a.settings.Agent.Listen)
+			return nil, errors.Newf("server %q: agent address is %s in the document, but %s in the settings", o.Name, o.Agent, a.settings.Agent.Listen)
 		}
 		s.own = o
 	}
-	old := a.now.Load()
+	old := a.current.Load()
 	if s.own == nil {
 		if old == nil {
 			return nil, errors.Newf("the document has no server %q", a.settings.Agent.Server)
@@ -109,6 +109,6 @@
 	if old != nil {
 		before = old.keys
 	}
-	s.keys, err = a.keysOf(d.Service, s.own, before)
+	s.keys, err = a.keyView(d.Service, s.own, before)
 	return s, err
 }
--- a/internal/node/agent/leave.go
+++ b/internal/node/agent/leave.go
@@ -12,36 +12,36 @@
 	"mangowinch/internal/work/result"
 )
 
-// comeBack is when a caller is to try again that met a server which leaves: other
-// servers take its flows as soon as entries know, within 3 s.
-const comeBack = time.Second
+// leavingRetryAfter is when a caller is to retry that was refused by a leaving server:
+// other servers take its flows as soon as entries have received the state, within 3 s.
+const leavingRetryAfter = time.Second
 
-// cause is who says that the server takes no new work.
+// cause is a reason why the server takes no new work.
 type cause string
 
 // The causes.
 const (
-	byDocument cause = "document"   // the document gives the state leaving, or has no such server any more
+	byDocument cause = "document"   // the document has the server as leaving, or no longer has it
 	byList     cause = "list"       // the platform's list of instances
 	byServer   cause = "server"     // the backend server drains
 	byDown     cause = "down"       // the backend server cannot be reached
 	bySignal   cause = "signal"     // this process is being stopped
-	byWaking   cause = "woken late" // this process was paused and its beliefs are stale
+	byPause    cause = "woken late" // this process was paused and its beliefs are stale
 )
 
-// standing is whether the server takes new work. The agent knows it first and acts
-// on it itself; what entries believe only spares callers a hop.
-type standing struct {
+// availability is whether the server takes new work. The agent has the first knowledge of
+// it and acts on it itself; what entries believe only saves callers a hop.
+type availability struct {
 	log     zerolog.Logger
-	changed func(accepting bool) // called in order, under mu
+	changed func(accepting bool) // called in order, with mu held
 
 	mu     sync.Mutex // guards causes
 	causes []cause
-	closed atomic.Bool // whether there is any cause; read for each datagram
+	closed atomic.Bool // true if there is any cause; read for each datagram
 }
 
-// set notes or withdraws a cause.
-func (s *standing) set(c cause, holds bool) {
+// set adds or removes a cause.
+func (s *availability) set(c cause, holds bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if slices.Contains(s.causes, c) == holds {
@@ -59,21 +59,21 @@
 	}
 }
 
-// accepting says whether the server takes new work.
-func (s *standing) accepting() bool { return !s.closed.Load() }
+// accepting reports whether the server takes new work.
+func (s *availability) accepting() bool { return !s.closed.Load() }
 
-// only says whether a cause is the only one.
-func (s *standing) only(c cause) bool {
+// onlyCause reports whether c is the only cause.
+func (s *availability) onlyCause(c cause) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.causes) == 1 && s.causes[0] == c
 }
 
-// reason is what a request is told that is not taken.
-func (s *standing) reason() result.Reason {
+// reason returns the reason to give for a request that is refused.
+func (s *availability) reason() result.Reason {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.causes) == 1 && s.causes[0] == byWaking {
+	if len(s.causes) == 1 && s.causes[0] == byPause {
 		return result.StaleView
 	}
 	if slices.Contains(s.causes, byDown) {
@@ -82,8 +82,8 @@
 	return result.LeavingServer
 }
 
-// why lists the causes for operators; empty while the server takes new work.
-func (s *standing) why() string {
+// describe returns the causes for operators, or "" while the server takes new work.
+func (s *availability) describe() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var words []string
@@ -93,6 +93,6 @@
 	return strings.Join(words, ", ")
 }
 
-// LeaveByList makes the agent take nothing new: the platform's list says that its
-// server leaves. Nobody takes that back within the life of a process.
-func (a *Agent) LeaveByList() { a.standing.set(byList, true) }
+// LeaveByList makes the agent refuse new work, because the platform's list of instances
+// says that its server leaves. This cannot be undone within the run of a process.
+func (a *Agent) LeaveByList() { a.availability.set(byList, true) }
--- a/internal/node/agent/limit.go
+++ b/internal/node/agent/limit.go
@@ -8,24 +8,25 @@
 	"mangowinch/internal/work/result"
 )
 
-// headerDeadline gives the time a request has left, in milliseconds. A duration
-// rather than a point in time, since clocks of two instances may differ by seconds.
+// headerDeadline carries the time that a request has left, in milliseconds. It is a
+// duration rather than a point in time, since the clocks of two instances may differ by
+// seconds.
 const headerDeadline = "Deadline-Ms"
 
-// limitTime sets the request's deadline: the class's, or a shorter one of the caller's.
-// The context itself ends only with the caller, because a feed's deadline is for
-// its first byte; whoever waits for something compares with Exchange.Deadline.
+// limitTime sets the request's deadline: that of its class, or a shorter one that the
+// caller asks for. The context ends only with the caller, because a feed's deadline is
+// for its first byte; code that waits compares the clock with Exchange.Deadline.
 func (a *Agent) limitTime(next Handler) Handler {
 	return func(ctx context.Context, x *Exchange) result.Result {
-		if !x.Deadline.IsZero() { // handed over, with what the first agent left
+		if !x.Deadline.IsZero() { // handed over, with the remaining time of the first agent's deadline
 			return next(ctx, x)
 		}
-		left := x.Class.Deadline
+		remaining := x.Class.Deadline
 		if ms, err := strconv.ParseInt(x.Request.Header.Get(headerDeadline), 10, 64); err == nil && ms >= 0 {
-			left = min(left, time.Duration(ms)*time.Millisecond)
+			remaining = min(remaining, time.Duration(ms)*time.Millisecond)
 		}
-		x.Deadline = time.Now().Add(left)
-		if left <= 0 {
+		x.Deadline = time.Now().Add(remaining)
+		if remaining <= 0 {
 			return refuse(result.Expired, 0)
 		}
 		return next(ctx, x)
--- a/internal/node/agent/link.go
+++ b/internal/node/agent/link.go
@@ -20,23 +20,23 @@
 const (
 	// readSize is the largest frame read, in bytes.
 	readSize = 2048
-	// maxOpening bounds the flows remembered while they open: ten times the
-	// connections an agent may hold.
+	// maxOpening bounds the flows that are remembered while they open: ten times the
+	// connections that an agent may hold.
 	maxOpening = 20_000
-	// maxCallers bounds the callers whose way back is remembered, likewise.
+	// maxCallers bounds the callers whose return path is remembered, likewise.
 	maxCallers = 20_000
 )
 
-// link is the agent's UDP socket towards entries and other agents.
+// link is the agent's UDP socket for frames of entries and other agents.
 type link struct {
-	agent *Agent
-	conn  *net.UDPConn
-	side  *side // nil without sides in the settings
-	peers *sock.Retiring
-	wire  *wire
+	agent      *Agent
+	conn       *net.UDPConn
+	side       *side // nil if the settings have no sides
+	peers      *sock.Retiring
+	packetConn *packetConn
 
-	// mu guards table and paths, which decide for the readers, the probes and
-	// every connection's sender.
+	// mu guards table and paths, which are used by the readers, the probes and the sender
+	// of every connection.
 	mu    sync.Mutex
 	table *table.Table
 	paths *paths.Book
@@ -44,30 +44,31 @@
 
 func newLink(a *Agent) *link {
 	l := &link{agent: a, paths: paths.New(maxCallers)}
-	l.wire = newWire(l)
+	l.packetConn = newPacketConn(l)
 	return l
 }
 
-// open opens the sockets. From this moment on the kernel gives the agent datagrams,
-// so that a successor must not open them before it has a document to read them by.
+// open opens the sockets. From then on the kernel delivers datagrams to this process, so
+// a successor must not open them before it has a document with the keys to read them.
 func (l *link) open(ctx context.Context) (err error) {
-	l.mu.Lock() // /status may look already
+	l.mu.Lock() // /status may read the fields already
 	defer l.mu.Unlock()
 	settings := l.agent.settings.Agent
-	l.table = table.New(l.agent.now.Load().own.ID, maxOpening, frame.MaxHops)
+	l.table = table.New(l.agent.current.Load().own.ID, maxOpening, frame.MaxHops)
 	if len(settings.Sides) > 0 {
 		if l.side, err = openSide(ctx, settings.Sides); err != nil {
 			return err
 		}
 	}
-	l.conn, err = sock.UDP(ctx, settings.Listen, l.use())
+	l.conn, err = sock.UDP(ctx, settings.Listen, l.addressUse())
 	return err
 }
 
-// use says whether a successor may open the agent's address beside this process.
-func (l *link) use() sock.Use { return sock.Use(len(l.agent.settings.Agent.Sides) > 0) }
+// addressUse returns whether a successor may open the agent's address while this process
+// holds it.
+func (l *link) addressUse() sock.Use { return sock.Use(len(l.agent.settings.Agent.Sides) > 0) }
 
-// close ends the readers.
+// close closes the sockets, which ends their readers.
 func (l *link) close() error {
 	err := l.conn.Close()
 	if l.side != nil {
@@ -76,11 +77,11 @@
 	return err
 }
 
-// read takes the frames of one socket until ctx ends.
+// read processes the frames of one socket until ctx ends.
 func (l *link) read(ctx context.Context, conn *net.UDPConn) (err error) {
 	defer func() { err = errors.Wrap(err, "read link") }()
 	buffer := make([]byte, readSize)
-	r := reader{link: l, bySide: conn != l.conn}
+	r := reader{link: l, fromSide: conn != l.conn}
 	for {
 		n, from, err := conn.ReadFromUDPAddrPort(buffer)
 		if err != nil {
@@ -89,29 +90,29 @@
 			}
 			return err
 		}
-		r.take(time.Now(), buffer[:n], from)
+		r.handleFrame(time.Now(), buffer[:n], from)
 	}
 }
 
-// reader takes the frames of one socket. It belongs to one goroutine.
+// reader processes the frames of one socket. It belongs to one goroutine.
 type reader struct {
-	link   *link
-	bySide bool // frames come from the other side, or answer what was sent by it
-	header frame.Header
+	link     *link
+	fromSide bool // conn is the side's own socket, for the other side and for echoes
+	header   frame.Header
 }
 
-// take decides what becomes of one frame.
-func (r *reader) take(now time.Time, b []byte, from netip.AddrPort) {
+// handleFrame processes one frame.
+func (r *reader) handleFrame(now time.Time, b []byte, from netip.AddrPort) {
 	l, h := r.link, &r.header
 	a := l.agent
-	v := a.now.Load()
+	v := a.current.Load()
 	payload, err := frame.Parse(b, v.ring, h)
 	if err != nil {
-		a.count.refuse(err)
+		a.count.countUnreadable(err)
 		return
 	}
 	if h.Revision > v.revision {
-		a.hint(now, h.Entry, h.Revision)
+		a.hintNewer(now, h.Entry, h.Revision)
 	}
 	switch h.Kind {
 	case frame.Echo:
@@ -119,11 +120,11 @@
 		l.paths.Sign(now, h.Entry, h.Flags&frame.Leaving != 0)
 		l.mu.Unlock()
 	case frame.Forward:
-		r.takeDatagram(now, v, b, payload)
+		r.handleDatagram(now, v, b, payload)
 	case frame.Probe:
-		if r.bySide && from == l.side.other {
+		if r.fromSide && from == l.side.other {
 			l.side.incarnation.Store(h.Nonce)
-			l.side.heard.Set(now)
+			l.side.lastSeen.Set(now)
 			return
 		}
 		a.count.kind.Inc()
@@ -132,8 +133,8 @@
 	}
 }
 
-// takeDatagram decides what becomes of a caller's datagram; b is its whole frame.
-func (r *reader) takeDatagram(now time.Time, v *snapshot, b, payload []byte) {
+// handleDatagram delivers, forwards or drops a caller's datagram; b is its whole frame.
+func (r *reader) handleDatagram(now time.Time, v *snapshot, b, payload []byte) {
 	l, h := r.link, &r.header
 	a := l.agent
 	p, err := packet.Parse(payload)
@@ -148,8 +149,8 @@
 		return
 	}
 	key := route.Key(p.Destination)
-	if !r.bySide && l.isOther(now, owner, named, key) {
-		l.giveOther(b)
+	if !r.fromSide && l.belongsToOther(now, owner, named, key) {
+		l.forwardToOther(b)
 		return
 	}
 	d := table.Datagram{
@@ -163,15 +164,15 @@
 	}
 	l.mu.Lock()
 	l.paths.Heard(now, h.Entry, h.Caller, h.Flags&frame.Leaving != 0)
-	decision := l.table.Decide(now, d, a.standing.accepting())
+	decision := l.table.Decide(now, d, a.availability.accepting())
 	l.mu.Unlock()
 	switch decision.Verdict {
 	case table.Keep:
-		l.wire.deliver(payload, h.Caller)
+		l.packetConn.deliver(payload, h.Caller)
 	case table.Pass:
-		l.pass(v, h, decision, payload)
+		l.forward(v, h, decision, payload)
 	case table.Drop:
-		a.count.drop(decision.Reason)
+		a.count.countDropped(decision.Reason)
 	}
 }
 
@@ -186,12 +187,12 @@
 	}
 }
 
-// pass sends a datagram on to another agent of the service.
-func (l *link) pass(v *snapshot, h *frame.Header, d table.Decision, payload []byte) {
+// forward sends a datagram to another agent of the service.
+func (l *link) forward(v *snapshot, h *frame.Header, d table.Decision, payload []byte) {
 	a := l.agent
 	to, ok := v.document.Server(d.Server)
 	if !ok {
-		a.count.drop(table.Owner)
+		a.count.countDropped(table.Owner)
 		return
 	}
 	next := *h
@@ -214,7 +215,7 @@
 	a.count.passed.Inc()
 }
 
-// send gives a datagram of this agent to an entry for the caller.
+// send sends a datagram for the caller to an entry.
 func (l *link) send(payload []byte, caller netip.AddrPort) {
 	a := l.agent
 	l.mu.Lock()
@@ -224,8 +225,8 @@
 		a.count.noPath.Inc()
 		return
 	}
-	v := a.now.Load()
-	h := l.own(v, frame.Return)
+	v := a.current.Load()
+	h := l.ownHeader(v, frame.Return)
 	h.Caller = caller
 	h.Entry = via
 	b := make([]byte, 0, frame.MaxSize+len(payload))
@@ -238,8 +239,8 @@
 	a.count.returned.Inc()
 }
 
-// own is the header of a frame in which this agent speaks of itself.
-func (l *link) own(v *snapshot, kind frame.Kind) frame.Header {
+// ownHeader returns the header of a frame that this agent originates.
+func (l *link) ownHeader(v *snapshot, kind frame.Kind) frame.Header {
 	h := frame.Header{
 		Kind:     kind,
 		Service:  v.ring.Service,
@@ -248,45 +249,47 @@
 		Nonce:    l.agent.incarnation,
 		Load:     uint16(l.agent.load.Load()),
 	}
-	if l.leaves(time.Now()) {
+	if l.reportsLeaving(time.Now()) {
 		h.Flags |= frame.Leaving
 	}
 	return h
 }
 
-// keepPaths probes the entries in use that have fallen quiet, until ctx ends.
+// keepPaths probes the entries in use that have become idle, updates the demand, and
+// sends heartbeats to the other side, until ctx ends.
 func (l *link) keepPaths(ctx context.Context) {
 	t := time.NewTicker(paths.ProbeEvery)
 	defer t.Stop()
-	var greeted time.Time
+	var lastHeartbeat time.Time
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-t.C:
-			l.agent.load.Store(l.agent.demand.measure(now, l.agent.now.Load().own.Slots))
+			l.agent.load.Store(l.agent.demand.measure(now, l.agent.current.Load().own.Slots))
 			l.probe(now)
-			if now.Sub(greeted) >= sideEvery {
-				greeted = now
-				l.greet(l.agent.now.Load())
+			if now.Sub(lastHeartbeat) >= heartbeatInterval {
+				lastHeartbeat = now
+				l.sendHeartbeat(l.agent.current.Load())
 			}
 		}
 	}
 }
 
+// probe probes the idle entries.
 func (l *link) probe(now time.Time) {
 	l.mu.Lock()
-	quiet := l.paths.Probes(now)
+	idle := l.paths.Probes(now)
 	l.mu.Unlock()
-	// An entry echoes to where the probe came from. Of a shared socket the other
-	// side might get the echo; the side's own socket is not shared.
+	// An entry sends its echo to the source of the probe. On a socket that both sides
+	// share, the other side might receive the echo; the side's own socket is not shared.
 	conn := l.conn
 	if l.side != nil {
 		conn = l.side.conn
 	}
-	v := l.agent.now.Load()
-	for _, e := range quiet {
-		h := l.own(v, frame.Probe)
+	v := l.agent.current.Load()
+	for _, e := range idle {
+		h := l.ownHeader(v, frame.Probe)
 		h.Entry = e
 		b := frame.Append(nil, v.ring.Current(), &h)
 		if _, err := conn.WriteToUDPAddrPort(b, e); err != nil {
--- a/internal/node/agent/once.go
+++ b/internal/node/agent/once.go
@@ -11,57 +11,58 @@
 	"mangowinch/internal/work/token"
 )
 
-// keyPath is where a caller gets a request key before its first request. With any
-// answer it gets one for its next.
+// keyPath is where a caller gets a request key before its first request. Answers to other
+// requests carry a key for the next one.
 const keyPath = "/.well-known/request-key"
 
-// once decides about requests with a key, so that a repeat is never run a second time.
-// It comes before everything that may refuse a request as not run.
+// once handles requests with a key, so that a repeated request is never run a second
+// time. It precedes all filters that may refuse a request as not run.
 func (a *Agent) once(next Handler) Handler {
 	return func(ctx context.Context, x *Exchange) result.Result {
 		r := x.asRequest()
 		if !once.Applies(r) {
 			return next(ctx, x)
 		}
-		x.Decided = true
-		return a.guard.Run(ctx, r, outer{x.Answer}, x.asRunner(next))
+		x.KeyDecided = true
+		return a.guard.Run(ctx, r, answerAdapter{x.Answer}, x.asRunner(next))
 	}
 }
 
-// settle corrects the end of a request with a key that was refused before the filter
-// once: that this try did not run says nothing of an earlier one under the key.
-func settle(x *Exchange, end result.Result) result.Result {
+// finalResult corrects the result of a request with a key that was refused before the
+// filter once: this attempt did not run, but an earlier one with the same key may have.
+func finalResult(x *Exchange, end result.Result) result.Result {
 	idempotent := x.Class != nil && x.Class.Idempotent
-	if x.Key != "" && !x.Decided && !idempotent && end.Outcome == result.NotRun {
+	if x.Key != "" && !x.KeyDecided && !idempotent && end.Outcome == result.NotRun {
 		end.Outcome = result.Unknown
 	}
 	return end
 }
 
-// giveKey puts a fresh key into an answer. A leaving agent gives none: it would soon be
-// unable to tell what became of the key.
-func (a *Agent) giveKey(h http.Header) bool {
-	if !a.standing.accepting() {
+// issueKey adds a new key to an answer and reports whether it did. A leaving agent issues
+// none, as it could soon no longer report the outcome of the key.
+func (a *Agent) issueKey(h http.Header) bool {
+	if !a.availability.accepting() {
 		return false
 	}
-	v := a.now.Load().keys
+	v := a.current.Load().keys
 	h.Set(headerKey, v.Ring.Seal(v.Owner.Issue(time.Now(), a.nonce.Add(1))))
 	return true
 }
 
-// serveKey answers a caller that wants a key before its first request.
+// serveKey answers a caller that requests a key before its first request.
 func (a *Agent) serveKey(w http.ResponseWriter) {
 	answer := &Answer{ResponseWriter: w}
-	if !a.giveKey(w.Header()) {
-		writeResult(answer, refuse(a.standing.reason(), comeBack))
+	if !a.issueKey(w.Header()) {
+		writeResult(answer, refuse(a.availability.reason(), leavingRetryAfter))
 		return
 	}
 	w.Header().Set(headerOutcome, result.Ran.String())
 	answer.WriteHeader(http.StatusNoContent)
 }
 
-// keysOf gives what the document in force says of request keys, old being the view before.
-func (a *Agent) keysOf(d *docs.Service, own *docs.Server, old *once.View) (v *once.View, err error) {
+// keyView returns the view of request keys that follows from a document; old is the
+// previous view.
+func (a *Agent) keyView(d *docs.Service, own *docs.Server, old *once.View) (v *once.View, err error) {
 	current, former := a.settings.Keys[d.Current], [][]byte(nil)
 	for _, name := range d.Former {
 		if k, ok := a.settings.Keys[name]; ok {
@@ -77,11 +78,13 @@
 	}}
 	v.Servers = append(v.Servers, d.Servers...)
 	if old != nil {
-		// A server that has just left the document may still run and remember.
-		v.Servers = append(v.Servers, old.Servers[:min(len(old.Servers), maxFormer)]...)
+		// A server that has just been removed from the document may still run and
+		// remember outcomes.
+		v.Servers = append(v.Servers, old.Servers[:min(len(old.Servers), maxFormerServers)]...)
 	}
 	return v, nil
 }
 
-// maxFormer bounds the servers of earlier documents that owners are looked for among.
-const maxFormer = 256
+// maxFormerServers bounds the servers of earlier documents that are kept in the view,
+// among which owners of keys are looked up.
+const maxFormerServers = 256
--- a/internal/node/agent/place.go
+++ b/internal/node/agent/place.go
@@ -25,28 +25,29 @@
 )
 
 const (
-	// maxPeers bounds the connections that other processes hold to this one: each
-	// of some tens of agents has one per request that it has handed over.
+	// maxPeers bounds the connections that other processes hold to this one: each of some
+	// tens of agents has one per request that it has handed over.
 	maxPeers = 1024
-	// maxMessage bounds one message from another process, in bytes; control's are
-	// the largest, with a whole document.
+	// maxMessage bounds one message from another process, in bytes. The largest are those
+	// of control, with a whole document.
 	maxMessage = 1 << 20
-	// usageWindow is the time over which the own server's use is averaged for others.
+	// usageWindow is the time over which the use of the agent's server is averaged for
+	// other agents.
 	usageWindow = time.Second
 )
 
-// place runs a request on the own server or at another agent, and places elsewhere
-// what the own server refuses as not run.
+// place runs a request on the agent's server or at another agent. A request that the
+// agent's server refuses as not run is placed elsewhere.
 func (a *Agent) place(next Handler) Handler {
 	return func(ctx context.Context, x *Exchange) result.Result {
-		return a.later(a.spreader.Run(ctx, x.asRequest(), outer{x.Answer}, x.asRunner(next)))
+		return a.withRetryAfter(a.spreader.Run(ctx, x.asRequest(), answerAdapter{x.Answer}, x.asRunner(next)))
 	}
 }
 
-// later tells a caller that no server took when to come back. Were all callers of an
-// outage told the same, they would come back together; the gate spreads them by how
-// long the shortage has lasted.
-func (a *Agent) later(end result.Result) result.Result {
+// withRetryAfter sets the time after which a caller that no server took is to retry. If
+// all callers of an outage got the same time, they would return together; the gate
+// spreads them by how long the shortage has lasted.
+func (a *Agent) withRetryAfter(end result.Result) result.Result {
 	if end.Outcome != result.NotRun {
 		return end
 	}
@@ -57,39 +58,41 @@
 	return end
 }
 
-// share is what connects the agent with the others of its service.
-type share struct {
-	client   *hand.Client
-	spreader *spread.Spreader
-	guard    *once.Guard
-	ids      *memo.Memo // of requests that others handed over
-	mux      *drpcmux.Mux
+// workSharing is the state for handing requests over between the agents of the service.
+type workSharing struct {
+	client     *hand.Client
+	spreader   *spread.Spreader
+	guard      *once.Guard
+	handedMemo *memo.Memo // outcomes of requests that other agents have handed over
+	mux        *drpcmux.Mux
 
 	usageMu sync.Mutex
 	usage   place.Usage
 }
 
-// newShare is called with the first document: the agent knows its server's ID then.
-func (a *Agent) newShare(v *snapshot) {
-	s := &a.share
+// initWorkSharing is called with the first document, from which the agent knows its
+// server's ID.
+func (a *Agent) initWorkSharing(v *snapshot) {
+	s := &a.workSharing
 	s.usage.Window = usageWindow
-	s.client = hand.NewClient(v.document.Name, a.ringNow, hand.DialTCP, func(agent netip.AddrPort, h place.Hint) {
+	s.client = hand.NewClient(v.document.Name, a.currentRing, hand.DialTCP, func(agent netip.AddrPort, h place.Hint) {
 		s.spreader.Report(agent, h)
 	})
-	s.spreader = spread.New(place.Self{ID: v.own.ID, Domain: v.own.Domain}, demanding{a}, a.ownHint)
+	s.spreader = spread.New(place.Self{ID: v.own.ID, Domain: v.own.Domain}, demandRecorder{a}, a.ownHint)
 	s.guard = &once.Guard{
-		View:   func() *once.View { return a.now.Load().keys },
+		View:   func() *once.View { return a.current.Load().keys },
 		Memory: memo.New(memo.DefaultLimits),
 		Client: s.client,
-		Beside: a.link.beside,
+		Beside: a.link.otherProcess,
 	}
 }
 
-// ringNow gives the keys of the document in force; there is one when anybody asks.
-func (a *Agent) ringNow() *token.Ring { return a.now.Load().keys.Ring }
+// currentRing returns the keys of the document in force. It is not called before the
+// first document.
+func (a *Agent) currentRing() *token.Ring { return a.current.Load().keys.Ring }
 
-// setPeers puts a document's servers in force.
-func (s *share) setPeers(d *docs.Service, sides []netip.AddrPort) {
+// setPeers applies a document's servers.
+func (s *workSharing) setPeers(d *docs.Service, sides []netip.AddrPort) {
 	s.spreader.SetServers(d)
 	agents := make([]netip.AddrPort, 0, len(d.Servers))
 	for _, v := range d.Servers {
@@ -99,7 +102,8 @@
 	s.client.Keep(agents)
 }
 
-// ownHint is what this agent says of its server to the others, and to its own placement.
+// ownHint returns the load of this agent's server, for other agents and for its own
+// placement.
 func (a *Agent) ownHint() place.Hint {
 	s := a.gate.Stats()
 	now := time.Now()
@@ -112,23 +116,23 @@
 		Waiting: s.Waiting,
 		Busy:    busy,
 		Service: s.Service(),
-		Leaving: !a.standing.accepting(),
+		Leaving: !a.availability.accepting(),
 	}
 }
 
-// demanding hands requests over and counts the slot time that they take elsewhere
-// as demand of this agent's flows.
-type demanding struct{ agent *Agent }
+// demandRecorder hands requests over and counts the slot time that they take elsewhere as
+// demand of this agent's flows.
+type demandRecorder struct{ agent *Agent }
 
 // Hand implements spread.Passer.
-func (d demanding) Hand(ctx context.Context, to netip.AddrPort, r *hand.Request, a hand.Answer) result.Result {
+func (d demandRecorder) Hand(ctx context.Context, to netip.AddrPort, r *hand.Request, a hand.Answer) result.Result {
 	if r.Hops > 0 {
 		return d.agent.client.Hand(ctx, to, r, a)
 	}
 	began := time.Now()
 	note := sync.OnceFunc(func() { d.agent.demand.add(time.Since(began)) })
 	if r.Feed { // the slot is held until the first byte
-		a = &noting{a, note}
+		a = &startNotifier{a, note}
 	}
 	end := d.agent.client.Hand(ctx, to, r, a)
 	if end.Outcome != result.NotRun {
@@ -137,53 +141,54 @@
 	return end
 }
 
-// noting notes the start of an answer.
-type noting struct {
+// startNotifier calls onStart when the answer starts.
+type startNotifier struct {
 	hand.Answer
-	note func()
+	onStart func()
 }
 
 // Start implements hand.Answer.
-func (n *noting) Start(status int, header http.Header) error {
-	n.note()
+func (n *startNotifier) Start(status int, header http.Header) error {
+	n.onStart()
 	return n.Answer.Start(status, header)
 }
 
-// handed runs what other agents hand over.
-type handed struct{ agent *Agent }
+// handedRunner runs the requests that other agents hand over.
+type handedRunner struct{ agent *Agent }
 
 // Run implements hand.Runner.
-func (h handed) Run(ctx context.Context, r *hand.Request, answer hand.Answer) result.Result {
+func (h handedRunner) Run(ctx context.Context, r *hand.Request, answer hand.Answer) result.Result {
 	a := h.agent
 	a.requests.Add(1)
 	defer a.requests.Add(-1)
-	x, err := asExchange(r, answer, a.now.Load().document)
+	x, err := newExchange(r, answer, a.current.Load().document)
 	if err != nil {
-		return settle(&Exchange{Key: r.Key}, refuse(result.NoClass, 0))
+		return finalResult(&Exchange{Key: r.Key}, refuse(result.NoClass, 0))
 	}
 	x.Caller = callerOf(x)
-	return settle(x, a.handler(ctx, x))
+	return finalResult(x, a.handler(ctx, x))
 }
 
-// Mux is where other drpc services of the process are registered, before Run.
+// Mux returns the mux for other drpc services of the process, which must be registered
+// before Run.
 func (a *Agent) Mux() *drpcmux.Mux { return a.mux }
 
-// registerHand puts the agent's own service on the mux.
-func (a *Agent) registerHand() error {
+// registerHandServer registers the service that accepts handed-over requests.
+func (a *Agent) registerHandServer() error {
 	a.mux = drpcmux.New()
-	a.ids = memo.New(memo.DefaultLimits)
+	a.handedMemo = memo.New(memo.DefaultLimits)
 	return hand.Register(a.mux, &hand.Server{
 		Service:     a.settings.Agent.Service,
 		Incarnation: a.incarnation,
 		Start:       a.started,
-		Ring:        a.ringNow,
-		Runner:      handed{a},
-		Memory:      a.ids,
+		Ring:        a.currentRing,
+		Runner:      handedRunner{a},
+		Memory:      a.handedMemo,
 		Load:        a.ownHint,
 	})
 }
 
-// servePeers takes connections of other processes until ctx ends.
+// servePeers serves connections of other processes until ctx ends.
 func (a *Agent) servePeers(ctx context.Context, l net.Listener) error {
 	server := drpcserver.NewWithOptions(a.mux, drpcserver.Options{
 		Manager: drpcmanager.Options{Reader: drpcwire.ReaderOptions{MaximumBufferSize: maxMessage}},
--- a/internal/node/agent/serve.go
+++ b/internal/node/agent/serve.go
@@ -13,22 +13,22 @@
 	"mangowinch/internal/work/result"
 )
 
-// Headers towards callers.
+// Headers of answers to callers.
 const (
 	headerOutcome = "Outcome"
 	headerReason  = "Reason"
 	headerAfter   = "Retry-After"
 )
 
-// maxStreams bounds the requests one connection may have in progress.
+// maxStreams bounds the requests in progress on one connection.
 const maxStreams = 100
 
-// Answer writes to a caller and remembers whether an answer has begun. It belongs
-// to one request, whose writers take turns.
+// Answer writes to a caller and remembers whether the answer has begun. It belongs to one
+// request and must not be written concurrently.
 type Answer struct {
 	http.ResponseWriter
 	began  atomic.Bool
-	failed atomic.Bool // the server's status says that it failed
+	failed atomic.Bool // the status is a server error
 }
 
 // WriteHeader begins the answer.
@@ -38,7 +38,7 @@
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Failed says whether the answer has begun and is an error of the server's.
+// Failed reports whether the answer has begun with the status of a server error.
 func (w *Answer) Failed() bool { return w.failed.Load() }
 
 // Write writes a part of the body.
@@ -47,17 +47,17 @@
 	return w.ResponseWriter.Write(p)
 }
 
-// Began says whether any of the answer may have left.
+// Began reports whether any part of the answer may have been sent.
 func (w *Answer) Began() bool { return w.began.Load() }
 
-// Flush sends what was written so far.
+// Flush sends the data written so far.
 func (w *Answer) Flush() {
 	if f, ok := w.ResponseWriter.(http.Flusher); ok {
 		f.Flush()
 	}
 }
 
-// serveHTTP takes a caller's request through the filters and answers it.
+// serveHTTP passes a caller's request through the filters and answers it.
 func (a *Agent) serveHTTP(w http.ResponseWriter, r *http.Request) {
 	a.requests.Add(1)
 	defer a.requests.Add(-1)
@@ -65,8 +65,8 @@
 		a.serveKey(w)
 		return
 	}
-	a.giveKey(w.Header())
-	v := a.now.Load()
+	a.issueKey(w.Header())
+	v := a.current.Load()
 	x := &Exchange{
 		ID:      fmt.Sprintf("%d-%x-%x", v.own.ID, a.incarnation, a.nonce.Add(1)),
 		Service: v.document,
@@ -78,18 +78,18 @@
 	}
 	r.Header.Set(headerID, x.ID)
 	x.Caller = callerOf(x)
-	res := settle(x, a.handler(r.Context(), x))
-	a.count.end(res)
+	res := finalResult(x, a.handler(r.Context(), x))
+	a.count.countResult(res)
 	if x.Answer.Began() {
-		a.endBegun(r.Context(), res)
+		a.abortPartial(r.Context(), res)
 		return
 	}
 	writeResult(x.Answer, res)
 }
 
-// endBegun breaks off an answer that began and did not come whole, so that the
-// caller never takes a part for the whole.
-func (a *Agent) endBegun(ctx context.Context, res result.Result) {
+// abortPartial aborts an answer that has begun but is incomplete, so that the caller
+// never takes a part for the whole.
+func (a *Agent) abortPartial(ctx context.Context, res result.Result) {
 	if res.Outcome == result.Ran && res.Reason == result.NoReason {
 		return
 	}
@@ -99,7 +99,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// source is the caller's address, which QUIC has validated; not valid if the
+// source returns the caller's address, which QUIC has validated, or an invalid one if the
 // library gives none.
 func source(remote string) netip.Addr {
 	a, err := netip.ParseAddrPort(remote)
@@ -109,7 +109,7 @@
 	return a.Addr().Unmap()
 }
 
-// writeResult gives the final answer to a request without an answer of its server.
+// writeResult writes the final answer to a request that the server has not answered.
 func writeResult(w *Answer, res result.Result) {
 	w.Header().Set(headerOutcome, res.Outcome.String())
 	if res.Reason != result.NoReason {
@@ -121,7 +121,7 @@
 	w.WriteHeader(status(res))
 }
 
-// seconds rounds up: Retry-After has no fractions.
+// seconds converts to seconds, rounded up because Retry-After has no fractions.
 func seconds(d time.Duration) int { return int(math.Ceil(d.Seconds())) }
 
 func status(res result.Result) int {
--- a/internal/node/agent/share_test.go
+++ b/internal/node/agent/share_test.go
@@ -26,13 +26,13 @@
 
 const service = "tracing-core"
 
-// zagreb is the deployment as separate processes, with callers.
-type zagreb struct {
+// deployment is the example deployment, run as separate processes, with callers.
+type deployment struct {
 	*fleet.Fleet
 	t *testing.T
 }
 
-func start(t *testing.T) zagreb {
+func start(t *testing.T) deployment {
 	t.Helper()
 	binaries := t.TempDir()
 	text, err := exec.Command("go", "build", "-o", binaries, "mangowinch/cmd/mangowinch", "mangowinch/cmd/standin").CombinedOutput()
@@ -40,11 +40,11 @@
 	f, err := fleet.Start(t.Context(), fleet.Settings{Deployment: "../../../examples/zagreb", Binaries: binaries})
 	assert.NilError(t, err)
 	t.Cleanup(f.Close)
-	return zagreb{f, t}
+	return deployment{f, t}
 }
 
-// connect opens a connection, at whichever agent it is let in.
-func (z zagreb) connect() *client.Caller {
+// connect opens a connection to whichever agent accepts it.
+func (z deployment) connect() *client.Caller {
 	s := z.Service(service)
 	local := s.Callers[0].Networks[0].Addr().Next()
 	c, err := client.Dial(z.t.Context(), client.Settings{Local: local, Service: s.Address, Name: s.Name, Roots: z.Roots})
@@ -53,24 +53,24 @@
 	return c
 }
 
-// key asks for a request key of the agent that a connection is at.
-func (z zagreb) key(c *client.Caller) string {
+// requestKey requests a key from the agent of a connection.
+func (z deployment) requestKey(c *client.Caller) string {
 	k := c.Do(z.t.Context(), client.Request{Method: "GET", Path: "/.well-known/request-key"}).Key
 	assert.Assert(z.t, k != "")
 	return k
 }
 
-func (z zagreb) claim(c *client.Caller, name, key string) client.Answer {
+func (z deployment) sendClaim(c *client.Caller, name, key string) client.Answer {
 	return c.Do(z.t.Context(), client.Request{
 		Method: "POST", Path: "/lookup/" + name + "?time=100ms", Body: strings.NewReader("claim"), Key: key,
 	})
 }
 
-// answerTo is what a server says to a claim.
+// answerTo returns a server's answer to a claim.
 func answerTo(name string) string { return "/lookup/" + name + "?time=100ms claim\n" }
 
-// ran gives the agents at whose servers a claim ran.
-func (z zagreb) ran(name string) (agents []string) {
+// agentsThatRan returns the agents whose servers ran a claim, one per run.
+func (z deployment) agentsThatRan(name string) (agents []string) {
 	executions, err := z.Executions()
 	assert.NilError(z.t, err)
 	for _, e := range executions {
@@ -86,8 +86,9 @@
 	return agents
 }
 
-// Story: a fund sends 20 claims at once on one connection, whose agent has 4 slots. The
-// other six servers are idle. All claims run, at several servers, each once.
+// Guards against requests that wait or fail at a full server while others are idle. A
+// fund sends 20 claims at once on one connection, whose agent has 4 slots; the other six
+// servers are idle. All claims must run, at several servers, each once.
 func TestFullServersWorkGoesToIdleOnes(t *testing.T) {
 	z := start(t)
 	c := z.connect()
@@ -96,7 +97,7 @@
 	for i := range attempts {
 		all.Go(func() {
 			name := fmt.Sprintf("burst%d", i)
-			a := z.claim(c, name, "")
+			a := z.sendClaim(c, name, "")
 			attempts[i] = check.Attempt{
 				Token: name, Service: service, Once: true, Steady: true, Outcome: a.Outcome, Reason: a.Reason,
 				Want: answerTo(name), Got: a.Body,
@@ -116,13 +117,13 @@
 	assert.Assert(t, len(servers) > 1, "%v", servers)
 }
 
-// Story: a caller sends 12 claims on one connection and hangs up. Most of them run at
-// other agents' servers; all servers are to stop working on them at once, and none is
-// to go on until its deadline.
+// Guards against cancellations that do not reach handed-over requests. A caller sends 12
+// claims on one connection and disconnects. Most of the claims run at other agents'
+// servers; all servers must stop working on them at once instead of at their deadline.
 func TestHangingUpReachesOtherServers(t *testing.T) {
 	z := start(t)
 	c := z.connect()
-	ctx, hangUp := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	var all sync.WaitGroup
 	for i := range 12 {
 		all.Go(func() {
@@ -130,33 +131,34 @@
 		})
 	}
 	z.await(t, func(ends map[string]int) bool { return ends["open"] > slots })
-	hangUp()
+	cancel()
 	all.Wait()
 	z.await(t, func(ends map[string]int) bool { return ends["open"] == 0 })
-	ends := z.ends(t)
+	ends := z.countEnds(t)
 	assert.Equal(t, len(ends), 1, "%v", ends)
 	assert.Assert(t, ends["cancelled"] > slots, "%v", ends)
 }
 
-// slots is how many claims one server runs at a time.
+// slots is the number of claims that one server runs at a time.
 const slots = 4
 
-// await waits until the claims "gone" have come to what done asks for.
-func (z zagreb) await(t *testing.T, done func(ends map[string]int) bool) {
+// await waits until done reports true for the ends of the claims "gone".
+func (z deployment) await(t *testing.T, done func(ends map[string]int) bool) {
 	t.Helper()
-	ends := z.ends(t)
+	ends := z.countEnds(t)
 	for range 1000 {
 		if done(ends) {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
-		ends = z.ends(t)
+		ends = z.countEnds(t)
 	}
-	t.Fatalf("the claims stay at %v", ends)
+	t.Fatalf("the claims did not end as expected within 1000 polls: %v", ends)
 }
 
-// ends counts the claims "gone" at all servers by how they ended, "open" while they run.
-func (z zagreb) ends(t *testing.T) map[string]int {
+// countEnds counts the claims "gone" at all servers by how they ended, with "open" for
+// those that still run.
+func (z deployment) countEnds(t *testing.T) map[string]int {
 	count := map[string]int{}
 	for _, n := range z.Agents(service) {
 		answer, err := http.Get(n.Agent.Backend.JoinPath("history").String())
@@ -173,55 +175,57 @@
 	return count
 }
 
-// Story: a caller sends a key on five connections, which are at whichever agents; then the
-// owner is killed and started anew, and at last it is frozen with a claim under way.
-// The case is opened once; what nobody can know is unknown; the frozen owner does not
-// run what its caller was answered about long ago.
+// Guards against a claim that runs twice when its key is repeated over several agents.
+// The key is sent on five connections to arbitrary agents; then its owner is killed and
+// restarted; finally another owner is frozen with a claim in progress. The case must be
+// opened once, an outcome that no process can know must be reported as unknown, and the
+// frozen owner must not run a claim that its caller has already got an answer to.
 func TestKeyOverAgents(t *testing.T) {
 	z := start(t)
 	first := z.connect()
-	key := z.key(first)
-	assert.Equal(t, z.claim(first, "widow", key).Outcome, result.Ran)
+	key := z.requestKey(first)
+	assert.Equal(t, z.sendClaim(first, "widow", key).Outcome, result.Ran)
 	var others []*client.Caller
 	for range 5 {
 		c := z.connect()
 		others = append(others, c)
-		a := z.claim(c, "widow", key)
+		a := z.sendClaim(c, "widow", key)
 		assert.Equal(t, a.Outcome, result.Ran, "%+v", a)
 		assert.Equal(t, a.Body, answerTo("widow"))
 	}
-	at := z.ran("widow")
-	assert.Equal(t, len(at), 1)
+	ranAt := z.agentsThatRan("widow")
+	assert.Equal(t, len(ranAt), 1)
 
-	elsewhere := z.notAt(others, at[0])
-	owner := z.Process(at[0])
+	elsewhere := z.callerNotAt(others, ranAt[0])
+	owner := z.Process(ranAt[0])
 	owner.Kill()
 	<-owner.Ended()
-	a := z.claim(elsewhere, "widow", key)
+	a := z.sendClaim(elsewhere, "widow", key)
 	assert.Equal(t, a.Outcome, result.Unknown, "%+v", a)
 	assert.Equal(t, a.Reason, string(result.OwnerGone))
 	assert.NilError(t, owner.Start())
-	assert.NilError(t, z.AwaitReady(t.Context(), at[0]))
-	a = z.claim(elsewhere, "widow", key)
+	assert.NilError(t, z.AwaitReady(t.Context(), ranAt[0]))
+	a = z.sendClaim(elsewhere, "widow", key)
 	assert.Equal(t, a.Outcome, result.Unknown, "%+v", a)
 	assert.Equal(t, a.Reason, string(result.OwnerGone))
-	assert.Equal(t, len(z.ran("widow")), 1)
+	assert.Equal(t, len(z.agentsThatRan("widow")), 1)
 
-	// Keys of an agent, sent over another one, with the link between the two in use.
-	other, frozen := z.notWith(elsewhere)
-	assert.Equal(t, z.claim(elsewhere, "warm", z.key(other)).Outcome, result.Ran)
-	key = z.key(other)
+	// Keys issued by one agent and sent through another one, with the link between the
+	// two in use.
+	other, frozen := z.callerAtOtherAgent(elsewhere)
+	assert.Equal(t, z.sendClaim(elsewhere, "warm", z.requestKey(other)).Outcome, result.Ran)
+	key = z.requestKey(other)
 	z.freeze(frozen)
-	a = z.claim(elsewhere, "frozen", key)
+	a = z.sendClaim(elsewhere, "frozen", key)
 	z.Process(frozen).Wake()
 	assert.Equal(t, a.Outcome, result.Unknown, "%+v", a)
-	assert.Equal(t, z.claim(other, "after", "").Outcome, result.Ran)
-	assert.Equal(t, len(z.ran("frozen")), 0)
+	assert.Equal(t, z.sendClaim(other, "after", "").Outcome, result.Ran)
+	assert.Equal(t, len(z.agentsThatRan("frozen")), 0)
 }
 
-// freeze stops an agent and returns once all its threads have stopped: the signal
-// takes some milliseconds to reach the last, and a claim is on its way for less.
-func (z zagreb) freeze(agent string) {
+// freeze stops an agent and returns once all its threads have stopped: the signal takes
+// some milliseconds to reach the last thread, and a claim is in transit for less.
+func (z deployment) freeze(agent string) {
 	p := z.Process(agent)
 	p.Freeze()
 	running := func(file string) bool {
@@ -238,15 +242,16 @@
 	}
 }
 
-// whereIs gives the agent of a connection: its own server runs what comes first.
-func (z zagreb) whereIs(c *client.Caller, probe string) string {
-	assert.Equal(z.t, z.claim(c, probe, "").Outcome, result.Ran)
-	return z.ran(probe)[0]
+// agentOf returns the agent of a connection: the first claim runs on that agent's own
+// server.
+func (z deployment) agentOf(c *client.Caller, probe string) string {
+	assert.Equal(z.t, z.sendClaim(c, probe, "").Outcome, result.Ran)
+	return z.agentsThatRan(probe)[0]
 }
 
-func (z zagreb) notAt(callers []*client.Caller, agent string) *client.Caller {
+func (z deployment) callerNotAt(callers []*client.Caller, agent string) *client.Caller {
 	for i, c := range callers {
-		if z.whereIs(c, fmt.Sprintf("probe%d", i)) != agent {
+		if z.agentOf(c, fmt.Sprintf("probe%d", i)) != agent {
 			return c
 		}
 	}
@@ -254,12 +259,12 @@
 	return nil
 }
 
-// notWith gives a connection to another agent than the one that c is at.
-func (z zagreb) notWith(c *client.Caller) (other *client.Caller, agent string) {
-	here := z.whereIs(c, "here")
+// callerAtOtherAgent opens a connection to another agent than that of c.
+func (z deployment) callerAtOtherAgent(c *client.Caller) (other *client.Caller, agent string) {
+	here := z.agentOf(c, "here")
 	for i := range 20 {
 		other = z.connect()
-		if agent = z.whereIs(other, fmt.Sprintf("other%d", i)); agent != here {
+		if agent = z.agentOf(other, fmt.Sprintf("other%d", i)); agent != here {
 			return other, agent
 		}
 	}
--- a/internal/node/agent/side.go
+++ b/internal/node/agent/side.go
@@ -17,32 +17,32 @@
 )
 
 const (
-	// sideEvery is how often two sides tell each other that they run.
-	sideEvery = 200 * time.Millisecond
-	// sideLost is how long a side may be silent before the other takes its datagrams
-	// for itself, so that QUIC tells their callers that the flows are gone.
-	sideLost = time.Second
-	// doubtAgain is when a silent side is given its time once more: a successor may
-	// have been started meanwhile, whose first greeting was lost.
-	doubtAgain = 10 * time.Second
+	// heartbeatInterval is how often the two sides send each other a heartbeat.
+	heartbeatInterval = 200 * time.Millisecond
+	// sideTimeout is how long a side may be unresponsive before the other one handles its
+	// datagrams itself, so that QUIC notifies their callers that the flows are gone.
+	sideTimeout = time.Second
+	// suspectAgain is after how long an unresponsive side is granted sideTimeout once
+	// more: a successor may have been started meanwhile, and its first heartbeat lost.
+	suspectAgain = 10 * time.Second
 )
 
-// side connects an agent's process with the one that replaces it, or that it
-// replaces. Feeds last for hours, and a backend server's agent must be replaceable
-// meanwhile: the successor opens the same address, takes what is new, and the old
-// process keeps its flows until they end. The kernel gives each entry's datagrams to one
-// of the two, whichever it is; connection IDs tell whose they are.
+// side connects an agent's process with the one that replaces it or that it replaces.
+// Feeds last for hours, and a backend server's agent must be replaceable meanwhile: the
+// successor opens the same address and takes everything new, and the old process keeps
+// its flows until they end. The kernel delivers the datagrams of each entry to either of
+// the two processes; the connection IDs identify the side that a datagram belongs to.
 type side struct {
-	index uint8 // position in the settings; connection IDs carry it
-	conn  *net.UDPConn
-	other netip.AddrPort
-	heard stamp.Time // the other's last sign of life
-	// incarnation is the other process's, once it is heard.
-	incarnation atomic.Uint64
-	doubt       stamp.Time // when its silence was first noticed; never if it is heard
+	index    uint8 // position in the settings; part of connection IDs
+	conn     *net.UDPConn
+	other    netip.AddrPort
+	lastSeen stamp.Time // last heartbeat of the other process
+	// incarnation is that of the other process, once a heartbeat has been received.
+	incarnation    atomic.Uint64
+	suspectedSince stamp.Time // when the other process was first found unresponsive; cleared while it is alive
 }
 
-// openSide takes the first address that is free. Without addresses there is no side.
+// openSide opens the first address that is free. Without addresses it returns nil.
 func openSide(ctx context.Context, sides []netip.AddrPort) (s *side, err error) {
 	for i, own := range sides {
 		conn, failed := sock.UDP(ctx, own, sock.Alone)
@@ -51,52 +51,54 @@
 		}
 		err = errors.CombineErrors(err, failed)
 	}
-	return nil, errors.Wrap(err, "both sides are taken")
+	return nil, errors.Wrap(err, "both side addresses are in use")
 }
 
-// alive says whether the other process was heard lately.
+// alive reports whether a heartbeat of the other process was received within sideTimeout.
 func (s *side) alive(now time.Time) bool {
-	return s != nil && s.heard.Since(now) < sideLost
+	return s != nil && s.lastSeen.Since(now) < sideTimeout
 }
 
-// mayLive says whether the other process may run, as long as its silence is not
-// long enough to be sure. A process that has just started has not heard the other
-// yet; were the other's datagrams taken for lost flows' in that moment, QUIC would
-// reset the very flows that the replacement is to keep.
-func (s *side) mayLive(now time.Time) bool {
+// mayBeAlive reports whether the other process may be running: it is alive, or it has not
+// been unresponsive for long enough to be sure. A process that has just started has not
+// received a heartbeat yet. If it handled the other side's datagrams at that moment as
+// those of lost flows, QUIC would reset the very flows that the replacement is to
+// preserve.
+func (s *side) mayBeAlive(now time.Time) bool {
 	if s == nil {
 		return false
 	}
 	if s.alive(now) {
-		s.doubt.Clear()
+		s.suspectedSince.Clear()
 		return true
 	}
-	since := s.doubt.Since(now)
-	if since > doubtAgain {
-		s.doubt.Set(now)
+	since := s.suspectedSince.Since(now)
+	if since > suspectAgain {
+		s.suspectedSince.Set(now)
 		return true
 	}
-	return since < sideLost
+	return since < sideTimeout
 }
 
-// greet tells the other process that this one runs.
-func (l *link) greet(v *snapshot) {
+// sendHeartbeat notifies the other process that this one is running.
+func (l *link) sendHeartbeat(v *snapshot) {
 	if l.side == nil {
 		return
 	}
-	h := l.own(v, frame.Probe)
+	h := l.ownHeader(v, frame.Probe)
 	b := frame.Append(nil, v.ring.Current(), &h)
-	// Nobody may be there; that is the usual case.
+	// Mostly there is no other process, so an error is normal.
 	_, _ = l.side.conn.WriteToUDPAddrPort(b, l.side.other)
 }
 
-// isOther says whether a datagram is the other side's. A leaving process also gives it
-// flows that it has not begun, so that its successor opens them.
-func (l *link) isOther(now time.Time, owner ident.Owner, named bool, key uint64) bool {
+// belongsToOther reports whether a datagram is the other side's. A leaving process also
+// gives the other side the datagrams of flows that it does not own, so that its successor
+// opens them.
+func (l *link) belongsToOther(now time.Time, owner ident.Owner, named bool, key uint64) bool {
 	if named {
-		return l.side != nil && owner.Side != l.side.index && owner.Server == l.agent.now.Load().own.ID && l.side.mayLive(now)
+		return l.side != nil && owner.Side != l.side.index && owner.Server == l.agent.current.Load().own.ID && l.side.mayBeAlive(now)
 	}
-	if l.agent.standing.accepting() || !l.side.alive(now) {
+	if l.agent.availability.accepting() || !l.side.alive(now) {
 		return false
 	}
 	l.mu.Lock()
@@ -104,8 +106,8 @@
 	return !l.table.Owns(now, key)
 }
 
-// giveOther hands a frame to the other side as it came.
-func (l *link) giveOther(b []byte) {
+// forwardToOther sends a frame unchanged to the other side.
+func (l *link) forwardToOther(b []byte) {
 	if _, err := l.side.conn.WriteToUDPAddrPort(b, l.side.other); err != nil {
 		l.agent.count.unsent.Inc()
 		return
@@ -113,18 +115,19 @@
 	l.agent.count.sided.Inc()
 }
 
-// beside names the other process, for the request keys that it owns.
-func (l *link) beside() (other once.Other, runs bool) {
+// otherProcess returns the other process, for the request keys that it owns, and reports
+// whether it is alive.
+func (l *link) otherProcess() (other once.Other, alive bool) {
 	if !l.side.alive(time.Now()) {
 		return once.Other{}, false
 	}
 	return once.Other{Incarnation: l.side.incarnation.Load(), Address: l.side.other}, true
 }
 
-// listenPeers opens what other processes connect to: the agent's address, which a
-// successor shares, and the side's own, which it does not.
+// listenPeers opens the listeners for other processes: the agent's address, which a
+// successor shares, and the side's own address, which it does not share.
 func (l *link) listenPeers(ctx context.Context) (listeners []net.Listener, err error) {
-	main, err := sock.TCP(ctx, l.agent.settings.Agent.Listen, l.use())
+	main, err := sock.TCP(ctx, l.agent.settings.Agent.Listen, l.addressUse())
 	if err != nil {
 		return nil, err
 	}
@@ -140,26 +143,27 @@
 	return []net.Listener{l.peers, side}, nil
 }
 
-// leavePeers gives the agent's address to the successor, if there is one: what others
-// connect to from now on takes work and speaks for the server. What is connected stays.
-func (l *link) leavePeers(now time.Time) {
+// retirePeerListener stops listening on the agent's address if there is a successor. All
+// new connections of other processes then reach the successor, which accepts work and
+// reports the server's state. Existing connections stay open.
+func (l *link) retirePeerListener(now time.Time) {
 	if !l.side.alive(now) {
 		return
 	}
 	if err := l.peers.Retire(); err != nil {
-		l.agent.log.Error().Err(err).Msg("address given to successor")
+		l.agent.log.Error().Err(err).Msg("cannot retire the peer listener in favour of the successor")
 	}
 }
 
-// leaves says whether the server takes no new work, as far as entries are to know.
-// That this process is being stopped says nothing of a server whose agent's successor
-// already runs; all other causes are the server's.
-func (l *link) leaves(now time.Time) bool {
-	s := &l.agent.standing
-	return !s.accepting() && (!s.only(bySignal) || !l.side.alive(now))
+// reportsLeaving reports whether frames to entries carry the flag Leaving. That this
+// process is being stopped is not the state of the server while a successor is running;
+// all other causes are.
+func (l *link) reportsLeaving(now time.Time) bool {
+	s := &l.agent.availability
+	return !s.accepting() && (!s.onlyCause(bySignal) || !l.side.alive(now))
 }
 
-// index is the side that connection IDs carry.
+// index returns the side that connection IDs carry.
 func (l *link) index() uint8 {
 	if l.side == nil {
 		return 0
--- a/internal/node/agent/side_test.go
+++ b/internal/node/agent/side_test.go
@@ -8,47 +8,48 @@
 	"gotest.tools/v3/assert"
 )
 
-// An agent's process is replaced while a feed is open. The feed's next datagram
-// reaches the successor before the old process has greeted it. The successor used
-// to take the flow for lost, and QUIC cut the feed with a stateless reset.
+// Guards against a stateless reset of an open feed while its agent's process is replaced.
+// The feed's next datagram may reach the successor before the first heartbeat of the old
+// process, and the successor must not treat the flow as lost.
 func TestSuccessorBelievesInOldProcessAtFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var s side
-	assert.Assert(t, s.mayLive(now))
-	assert.Assert(t, s.mayLive(now.Add(sideLost/2)))
-	s.heard.Set(now.Add(sideLost / 2))
-	assert.Assert(t, s.mayLive(now.Add(sideLost)))
+	assert.Assert(t, s.mayBeAlive(now))
+	assert.Assert(t, s.mayBeAlive(now.Add(sideTimeout/2)))
+	s.lastSeen.Set(now.Add(sideTimeout / 2))
+	assert.Assert(t, s.mayBeAlive(now.Add(sideTimeout)))
 }
 
-// The old process has died. After a second of silence its flows' callers must be
-// told, so that they open new ones instead of waiting for their idle timeout.
-func TestSilentSideIsGivenUp(t *testing.T) {
+// Guards against callers that wait for their idle timeout after the old process has died.
+// After a second without heartbeats their datagrams must be handled here, so that QUIC
+// resets the flows and callers open new ones.
+func TestUnresponsiveSideTimesOut(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var s side
-	s.heard.Set(now)
-	assert.Assert(t, s.mayLive(now.Add(sideLost/2)))
-	now = now.Add(2 * sideLost)
-	assert.Assert(t, s.mayLive(now)) // silence is noticed
-	assert.Assert(t, !s.mayLive(now.Add(sideLost)))
+	s.lastSeen.Set(now)
+	assert.Assert(t, s.mayBeAlive(now.Add(sideTimeout/2)))
+	now = now.Add(2 * sideTimeout)
+	assert.Assert(t, s.mayBeAlive(now)) // the suspicion starts
+	assert.Assert(t, !s.mayBeAlive(now.Add(sideTimeout)))
 	assert.Assert(t, !s.alive(now))
 	var none *side
-	assert.Assert(t, !none.mayLive(now))
+	assert.Assert(t, !none.mayBeAlive(now))
 }
 
-// An agent's process is replaced, and its feeds go on for hours. Each of their frames
-// said that the server leaves, so that entries gave it hardly any new flows, although
-// the successor was serving. While it serves, the stop of the old process is no word
-// of the server's; any other cause still is.
-func TestReplacedProcessDoesNotSpeakForTheServer(t *testing.T) {
+// Guards against an old process that marks its server as leaving. After a replacement its
+// feeds go on for hours; if each of their frames had the flag Leaving, entries would
+// place hardly any new flows at the server, although the successor serves it. While the
+// successor is alive, the stop of the old process does not count; any other cause does.
+func TestReplacedProcessDoesNotReportLeaving(t *testing.T) {
 	now := time.Now()
-	a := &Agent{standing: standing{log: zerolog.Nop(), changed: func(bool) {}}}
+	a := &Agent{availability: availability{log: zerolog.Nop(), changed: func(bool) {}}}
 	l := &link{agent: a, side: &side{}}
-	a.standing.set(bySignal, true)
-	assert.Assert(t, l.leaves(now)) // nobody takes over
-	l.side.heard.Set(now)
-	assert.Assert(t, !l.leaves(now))
-	a.standing.set(byServer, true)
-	assert.Assert(t, l.leaves(now))
-	a.standing.set(byServer, false)
-	assert.Assert(t, l.leaves(now.Add(2*sideLost))) // the successor has died
+	a.availability.set(bySignal, true)
+	assert.Assert(t, l.reportsLeaving(now)) // no successor
+	l.side.lastSeen.Set(now)
+	assert.Assert(t, !l.reportsLeaving(now))
+	a.availability.set(byServer, true)
+	assert.Assert(t, l.reportsLeaving(now))
+	a.availability.set(byServer, false)
+	assert.Assert(t, l.reportsLeaving(now.Add(2*sideTimeout))) // the successor has died
 }
--- a/internal/node/agent/woken.go
+++ b/internal/node/agent/woken.go
@@ -9,35 +9,37 @@
 )
 
 const (
-	// refreshTime bounds the asking after a pause. An agent that is cut off from
-	// platform and peers then serves with what it has, as its side of a partition must.
-	refreshTime = 2 * time.Second
-	// hintEvery spaces the calls of Hooks.Newer: each datagram of a busy agent
-	// carries a revision, and the document needs some milliseconds to come.
-	hintEvery = 200 * time.Millisecond
+	// refreshTimeout bounds the request for a document after a pause. An agent that is
+	// cut off from the platform and all peers then continues with the document that it
+	// has, as it must on its side of a partition.
+	refreshTimeout = 2 * time.Second
+	// hintInterval is the minimum interval between calls of Hooks.Newer: each datagram to
+	// a busy agent carries a revision, and the document takes some milliseconds to
+	// arrive.
+	hintInterval = 200 * time.Millisecond
 )
 
-// woken makes a paused agent take nothing new until it has asked for news. While it
-// was stopped its server may have been told to leave, and its document replaced:
-// it would take work that nobody wants it to have. What waits is given back;
-// established answers go on.
-func (a *Agent) woken(ctx context.Context, pause time.Duration) {
+// resumed makes an agent whose process was paused refuse new work until it has requested
+// the newest document. During the pause its server may have been told to leave, or the
+// document may have been replaced, so it could take work that it must not have. Waiting
+// requests are returned; answers in progress continue.
+func (a *Agent) resumed(ctx context.Context, pause time.Duration) {
 	a.count.woken.Inc()
-	a.log.Info().Dur("pause", pause).Msg("woken late")
-	a.standing.set(byWaking, true)
-	defer a.standing.set(byWaking, false)
+	a.log.Info().Dur("pause", pause).Msg("process resumed after a pause")
+	a.availability.set(byPause, true)
+	defer a.availability.set(byPause, false)
 	if a.hooks.Refresh == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, refreshTime)
+	ctx, cancel := context.WithTimeout(ctx, refreshTimeout)
 	defer cancel()
 	a.hooks.Refresh(ctx)
 	a.apply(a.store.View())
 }
 
-// hint tells whoever keeps the documents that a newer one exists.
-func (a *Agent) hint(now time.Time, link netip.AddrPort, revision order.Revision) {
-	if a.hooks.Newer != nil && a.hinted.Claim(now, hintEvery) {
+// hintNewer notifies the component that keeps the documents of a newer one.
+func (a *Agent) hintNewer(now time.Time, link netip.AddrPort, revision order.Revision) {
+	if a.hooks.Newer != nil && a.lastHint.Claim(now, hintInterval) {
 		a.count.hints.Inc()
 		a.hooks.Newer(link, a.settings.Agent.Service, revision)
 	}
--- a/internal/node/local/search_test.go
+++ b/internal/node/local/search_test.go
@@ -16,7 +16,7 @@
 // Guards against probing agents in an arbitrary order. After all processes of a hundred instances had been
 // killed, each caller's packet reached fifty servers on average before its own one, and half a day's byte
 // budget between failure domains was spent in four seconds.
-func TestNearServersAreTriedFirst(t *testing.T) {
+func TestNearServersAreProbedFirst(t *testing.T) {
 	log := belief.New()
 	change := belief.Change{To: 10, Full: true}
 	var agents []netip.Addr
