--- a/internal/node/local/local.go
+++ b/internal/node/local/local.go
@@ -2,15 +2,14 @@
 // flows, and sends the server's packets directly to the callers.
 //
 // The agent is the only authority on which flows its server holds, because it sees every packet of both
-// directions. Each flow also has a home: an agent, determined by the flow's addresses (package homes), that
-// keeps the record of which agent owns the flow. An agent registers its flows with their homes, reports each to
-// the entry that sent the opening packet, and returns the opening packets that its server does not take. As a
-// home it forwards the packets of flows that an entry has no record of. If the home has no record either, it
-// asks all agents (search.go).
+// directions. Each flow also has a home: an agent, determined by a hash of the flow (package homes), that keeps
+// the record of which agent owns the flow. An agent registers its flows with their homes, reports each to the
+// entry that sent the opening packet, and returns the opening packets that its server does not take. As a home
+// it forwards the packets of flows that an entry has no record of. If the home has no record either, it asks
+// all agents (search.go).
 //
-// The package never ends a flow that may be open: it sends resets only for flows that the server itself, or
-// every agent, has reported as not held, and for idle flows of a server whose circuit breaker is open
-// (fails.go).
+// The package sends resets only for flows that the server itself, or every agent, has reported as not held, and
+// for idle flows of a server whose circuit breaker is open (fails.go). It ends no other flow.
 //
 // # Usage
 //
