--- a/internal/node/agent/place.go
+++ b/internal/node/agent/place.go
@@ -112,11 +112,11 @@
 	busy := a.usage.Share(now)
 	a.usageMu.Unlock()
 	return place.Hint{
-		Running: s.Running,
-		Waiting: s.Waiting,
-		Busy:    busy,
-		Service: s.Service(),
-		Leaving: !a.availability.accepting(),
+		Running:     s.Running,
+		Waiting:     s.Waiting,
+		Utilization: busy,
+		Service:     s.ServiceTime(),
+		Leaving:     !a.availability.accepting(),
 	}
 }
 
--- a/internal/node/doubt/doubt.go
+++ b/internal/node/doubt/doubt.go
@@ -36,7 +36,7 @@
 var asks = metrics.NewCounter(`mangowinch_doubt_rounds_total`)
 
 // lostAfter is when an agent is lost: 0.95 s after the first unanswered packet. Killed ones are back after 0.65 s.
-var lostAfter = detect.Bounds{Doubt: 150 * time.Millisecond, Wait: 200 * time.Millisecond, Checks: 4}
+var lostAfter = detect.Config{SuspectAfter: 150 * time.Millisecond, ProbeTimeout: 200 * time.Millisecond, Probes: 4}
 
 // mostAsks bounds how many agents in doubt are asked in a tick. When a failure domain goes, an observer may doubt a thousand at once;
 // the others' turn comes with the next ticks.
@@ -88,7 +88,7 @@
 		d.Tick(now, detect.Open)
 		w.agents[a] = d
 	}
-	d.Asked(now)
+	d.Sent(now)
 }
 
 // DoubtUnheard is Doubt for an agent that hasn't been heard lately, for who sends something without an answer to itself.
@@ -101,7 +101,7 @@
 // Lost says whether an agent is lost.
 func (w *Watch) Lost(a netip.Addr) bool {
 	d := w.agents[a]
-	if d != nil && d.Lost() {
+	if d != nil && d.Failed() {
 		return true
 	}
 	_, told := w.told[a]
@@ -141,15 +141,15 @@
 			break
 		}
 		switch d.Tick(now, d.round.way()) {
-		case detect.Check:
+		case detect.Probe:
 			if current == nil {
 				current = w.begin(now, agents)
 			}
 			asked++
 			w.ask(a, d, current, agents)
-		case detect.Lost:
+		case detect.Failed:
 			lost = append(lost, a)
-		case detect.Fine:
+		case detect.None:
 		}
 	}
 	return lost
--- a/internal/node/doubt/round.go
+++ b/internal/node/doubt/round.go
@@ -38,12 +38,12 @@
 }
 
 // way says how the observer's way was, by the answers of witnesses.
-func (r *round) way() detect.Way {
+func (r *round) way() detect.Path {
 	switch {
 	case r == nil || len(r.silent) == len(r.witnesses):
 		return detect.Blocked
 	case len(r.silent) > 0:
-		return detect.Patchy
+		return detect.Partial
 	default:
 		return detect.Open
 	}
--- a/internal/node/doubt/told.go
+++ b/internal/node/doubt/told.go
@@ -32,12 +32,12 @@
 		return nil
 	}
 	for a, d := range w.agents {
-		if d.Lost() && len(list) < msgs.MaxLost {
+		if d.Failed() && len(list) < msgs.MaxLost {
 			list = append(list, msgs.Silent{Agent: a})
 		}
 	}
 	for a, at := range w.told {
-		if d := w.agents[a]; (d == nil || !d.Lost()) && len(list) < msgs.MaxLost {
+		if d := w.agents[a]; (d == nil || !d.Failed()) && len(list) < msgs.MaxLost {
 			list = append(list, msgs.Silent{Agent: a, Age: uint16(now.Sub(at).Milliseconds())})
 		}
 	}
--- a/internal/node/edge/lost.go
+++ b/internal/node/edge/lost.go
@@ -48,7 +48,7 @@
 // watchDoubted asks the agents in doubt, and notes who is lost.
 func (e *Entry) watchDoubted(now time.Time) {
 	v := e.Log.View()
-	exempt := func(agent netip.Addr) bool { return e.agents.Lost() || e.Ctrl.Leaving(agent) }
+	exempt := func(agent netip.Addr) bool { return e.agents.Failed() || e.Ctrl.Leaving(agent) }
 	for _, agent := range e.doubted.Tick(now, v.Homes.Agents(), exempt) {
 		before := len(e.ending)
 		e.ending = append(e.ending, e.flows.Of(agent)...)
--- a/internal/node/edge/reach.go
+++ b/internal/node/edge/reach.go
@@ -21,7 +21,7 @@
 
 // cutOff is when an entry takes itself for cut off: 0.55 s after the first opening packet that nobody answered. Answers take 2 ms between
 // domains, 20 ms between regions, and some 100 ms through a full link.
-var cutOff = detect.Bounds{Doubt: 150 * time.Millisecond, Wait: 200 * time.Millisecond, Checks: 2}
+var cutOff = detect.Config{SuspectAfter: 150 * time.Millisecond, ProbeTimeout: 200 * time.Millisecond, Probes: 2}
 
 // askAgents is how many agents are asked in a round: with a hundredth of the packets lost each way, a round of
 // four goes unanswered once in six million.
@@ -31,7 +31,7 @@
 func (e *Entry) Heard(now time.Time, from netip.Addr) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if _, ok := e.Log.View().Server(from); ok && e.agents.InDoubt() {
+	if _, ok := e.Log.View().Server(from); ok && e.agents.AwaitingReply() {
 		e.Vouch.Ask(from, nil, doubt.NoRound) // an agent that greets others has just started
 	}
 	e.clear(now, from)
@@ -50,7 +50,7 @@
 	if _, ok := e.Log.View().Server(from); !ok {
 		return
 	}
-	if e.agents.Heard() {
+	if e.agents.Received() {
 		e.Events.State("reached").Send()
 	}
 }
@@ -59,20 +59,20 @@
 func (e *Entry) Reaches() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return !e.agents.Lost()
+	return !e.agents.Failed()
 }
 
 // watch asks agents when they are silent.
 func (e *Entry) watch(now time.Time) {
 	switch e.agents.Tick(now, detect.Open) {
-	case detect.Check:
+	case detect.Probe:
 		for _, a := range e.some(e.Log.View().Homes.Agents(), askAgents) {
 			e.Vouch.Ask(a, nil, doubt.NoRound)
 		}
 		asks.Inc()
-	case detect.Lost:
+	case detect.Failed:
 		e.Events.State("cut-off").Int("agents", len(e.Log.View().Homes.Agents())).Send()
-	case detect.Fine:
+	case detect.None:
 	}
 }
 
--- a/internal/node/gate/gate.go
+++ b/internal/node/gate/gate.go
@@ -119,7 +119,7 @@
 		g.waiting[id] = turn
 	default:
 		turn = nil
-		refused = result.Result{Outcome: result.NotRun, Reason: d.Reason, After: d.After}
+		refused = result.Result{Outcome: result.NotRun, Reason: d.Reason, After: d.RetryAfter}
 	}
 	g.carry(admit.Change{}) // the next expiry may be this request's
 	return id, turn, refused
@@ -146,7 +146,7 @@
 		g.tell(id, result.Result{Outcome: result.Ran})
 	}
 	for _, r := range c.Refused {
-		g.tell(r.ID, result.Result{Outcome: result.NotRun, Reason: r.Reason, After: r.After})
+		g.tell(r.ID, result.Result{Outcome: result.NotRun, Reason: r.Reason, After: r.RetryAfter})
 	}
 	next := g.admit.NextExpiry()
 	if next.Equal(g.expiry) {
@@ -188,7 +188,7 @@
 	defer g.mu.Unlock()
 	var c admit.Change
 	for _, id := range g.admit.Drain() {
-		c.Refused = append(c.Refused, admit.Refused{ID: id, Reason: result.LeavingServer})
+		c.Refused = append(c.Refused, admit.Refusal{ID: id, Reason: result.LeavingServer})
 	}
 	g.carry(c)
 }
@@ -198,7 +198,7 @@
 func (g *Gate) After() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.admit.After(time.Now())
+	return g.admit.RetryAfter(time.Now())
 }
 
 // Stats returns a copy of the gate's state.
--- a/internal/node/local/caller.go
+++ b/internal/node/local/caller.go
@@ -60,7 +60,7 @@
 		a.Wire.ToServer(m.Packet) // a retransmission: the server's answer was lost or is on its way
 		return
 	}
-	if a.waiting.Has(s.Flow) {
+	if a.waiting.Contains(s.Flow) {
 		return // a retransmission: the flow must wait at one agent only, or two servers would open it
 	}
 	if reason := a.refusalReason(now, m, s); reason != 0 {
@@ -82,11 +82,11 @@
 // enqueue adds a flow that this server is to serve to the waiting queue, and admits it at once if a slot is
 // free.
 func (a *Agent) enqueue(now time.Time, m msgs.Offer, s *segs.Segment) {
-	w := &hold.Waiting{
-		Flow:   s.Flow,
-		Origin: m.Origin,
-		Began:  now.Add(-a.Callers.Age(s.Ack)),
-		Packet: slices.Clone(m.Packet),
+	w := &hold.QueuedFlow{
+		Flow:      s.Flow,
+		Origin:    m.Origin,
+		FirstSent: now.Add(-a.Callers.Age(s.Ack)),
+		Packet:    slices.Clone(m.Packet),
 	}
 	if r := a.Log.View().Route(s.Flow.Called()); r != nil {
 		w.Priority, w.Target = r.Priority, r.Target
@@ -98,7 +98,7 @@
 		}
 	}
 	a.admit(now)
-	if a.waiting.Has(s.Flow) {
+	if a.waiting.Contains(s.Flow) {
 		queued.Inc()
 		a.Events.Flow(event.Ordinary, "waits", s.Flow).Int("waiting", a.waiting.Len()).Uint16("work", a.utilization(now)).
 			Int("priority", w.Priority).Stringer("revision", a.Log.Revision()).Send()
@@ -138,7 +138,7 @@
 			continue
 		}
 		o.Origin = w.Origin
-		a.warmUp.Took(now)
+		a.warmUp.Record(now)
 		if a.unansweredSince.IsZero() {
 			a.unansweredSince = now
 		}
@@ -153,7 +153,7 @@
 	}
 }
 
-func (a *Agent) returnWaitingFlow(now time.Time, w *hold.Waiting, why msgs.Why) {
+func (a *Agent) returnWaitingFlow(now time.Time, w *hold.QueuedFlow, why msgs.Why) {
 	s := segs.Segment{Flow: w.Flow}
 	a.returnOpening(now, w.Origin, &s, w.Packet, why)
 }
@@ -181,7 +181,7 @@
 	self, _ := a.self(v)
 	for _, s := range v.Servers(a.Service) {
 		if s.State == belief.Ready && s.Addr.Addr() != a.Self && !v.Evacuated(s.Domain) {
-			agents = append(agents, share.Server{Agent: s.Addr.Addr(), Near: s.Domain == self.Domain})
+			agents = append(agents, share.Server{Agent: s.Addr.Addr(), SameDomain: s.Domain == self.Domain})
 		}
 	}
 	return agents
--- a/internal/node/local/cold.go
+++ b/internal/node/local/cold.go
@@ -24,14 +24,14 @@
 		return
 	}
 	a.server.cold = self.Cold
-	a.warmUp.ColdFor(now, self.Cold)
+	a.warmUp.SetCold(now, self.Cold)
 }
 
 // serverResponded notes that the server has sent a packet.
 func (a *Agent) serverResponded(now time.Time) {
 	wasUnavailable := !a.lastDown.IsZero() || !a.unansweredSince.IsZero() && now.Sub(a.unansweredSince) >= unresponsiveAfter
 	if wasUnavailable {
-		a.warmUp.AtLeast(now, a.Log.View().WarmUp(a.Service).Time)
+		a.warmUp.ExtendCold(now, a.Log.View().WarmUp(a.Service).Time)
 	}
 	a.lastDown, a.unansweredSince = time.Time{}, time.Time{}
 }
--- a/internal/node/local/fails.go
+++ b/internal/node/local/fails.go
@@ -25,7 +25,7 @@
 
 // requestAborted notes that the server has aborted a request.
 func (a *Agent) requestAborted(now time.Time) {
-	if a.Off.Breaker || !a.breaker.Failed(now) {
+	if a.Off.Breaker || !a.breaker.RecordFailure(now) {
 		return
 	}
 	for f, o := range a.flows.All {
@@ -41,7 +41,7 @@
 	if a.breaker.Open() {
 		a.Events.State("server-answers").Stringer("server", a.Backend).Send()
 	}
-	a.breaker.Answered()
+	a.breaker.RecordAnswer()
 	a.pendingResets = nil
 }
 
@@ -59,7 +59,7 @@
 // checkResponseTime records how long an answer took. A server that answers far too fast fails its requests
 // (package quick) and gets few new flows; its open flows continue, as some of its answers may be valid.
 func (a *Agent) checkResponseTime(now time.Time, f segs.Flow, elapsed time.Duration) {
-	if a.Off.Quick || !a.quick.Answered(now, f.Called(), elapsed) {
+	if a.Off.Quick || !a.quick.RecordAnswer(now, f.Called(), elapsed) {
 		return
 	}
 	a.Events.State("server-too-fast").Stringer("server", a.Backend).Bool("failing", a.quick.Open()).Dur("took", elapsed).Send()
--- a/internal/node/local/local.go
+++ b/internal/node/local/local.go
@@ -112,7 +112,7 @@
 	forwardedPackets map[segs.Flow]forwardedPacket // as a home: packets sent to suspected owners
 	leaving          bool
 	breaker          trip.Breaker
-	quick            *quick.Watch
+	quick            *quick.Breaker
 	warmUp           warm.Limiter
 	pendingResets    []segs.Flow // idle flows to reset while the breaker is open
 	server           serverState
