--- a/internal/node/agent/place.go
+++ b/internal/node/agent/place.go
@@ -52,7 +52,7 @@
 	}
 	switch end.Reason {
 	case result.ServerDown, result.ServerShed, result.LeavingServer, result.PeerLost:
-		end.After = max(end.After, a.gate.After())
+		end.After = max(end.After, a.gate.RetryAfter())
 	}
 	return end
 }
--- a/internal/node/doubt/doubt.go
+++ b/internal/node/doubt/doubt.go
@@ -1,24 +1,27 @@
-// Package doubt watches the agents that have left something unanswered, and says which are lost.
+// Package doubt detects which of the agents that have left something unanswered have failed.
 //
-// An agent in doubt is asked whether it is alive, directly and by way of other agents, by the bounds of a failure detector
-// (package detect) of its own. Entries and agents both need that: an entry tells callers whose agent is lost, and an agent that looks for
-// a flow's owner doesn't wait for one that is lost.
+// A suspected agent is probed, directly and by way of other agents, within the bounds of a failure detector
+// (package detect) of its own. Both entries and agents need that: an entry resets the flows of failed
+// agents, and an agent that looks up the owner of a flow doesn't wait for agents that have failed.
 //
-// What looks alike and is not a loss:
-//   - Only the way between the observer and the agent is broken: the helpers reach it.
-//   - What the observer sends or gets is lost, or comes late behind a queue on its own link: others don't answer in time either.
-//   - The observer was frozen: its time doesn't count (package detect).
-//   - The agent is stopped as planned: it has said so, and is never lost. It is killed and starts again: it is back before the bound.
+// These cases look like a failure and are none:
+//   - Only the path between the observer and the agent is broken: the helpers reach the agent.
+//   - The observer's own packets or the answers to it are lost, or delayed by a queue on its own link:
+//     other agents don't answer in time either.
+//   - The observer was frozen: the time of the pause doesn't count (package detect).
+//   - The agent stops as planned: it has announced that and never counts as failed.
+//   - The agent is killed and starts again: it is back within the bound.
 //
-// The package sends nothing by itself and says nothing of what follows from a loss. It is not safe for concurrent use.
+// The package sends nothing by itself and doesn't decide what follows from a failure. It is not safe for
+// concurrent use.
 //
 // # Usage
 //
-//	w := doubt.New(self, voucher, rand)
-//	w.Doubt(now, agent)
-//	w.Heard(agent)
-//	w.Answered(now, agent, round) // a question that the voucher asked
-//	lost := w.Tick(now, agents, leaving)
+//	m := doubt.New(self, prober, rand)
+//	m.Suspect(now, agent)
+//	m.MarkAlive(now, agent)
+//	m.Acked(now, agent, round) // an answer to a probe of the prober
+//	failed := m.Tick(now, agents, exempt)
 package doubt
 
 import (
@@ -33,163 +36,168 @@
 	"mangowinch/internal/load/detect"
 )
 
-var asks = metrics.NewCounter(`mangowinch_doubt_rounds_total`)
+var probes = metrics.NewCounter(`mangowinch_doubt_rounds_total`)
 
-// lostAfter is when an agent is lost: 0.95 s after the first unanswered packet. Killed ones are back after 0.65 s.
-var lostAfter = detect.Bounds{Doubt: 150 * time.Millisecond, Wait: 200 * time.Millisecond, Checks: 4}
+// failureBounds declares an agent failed 0.95 s after the first unanswered packet. An agent that was killed
+// is back after 0.65 s.
+var failureBounds = detect.Bounds{Doubt: 150 * time.Millisecond, Wait: 200 * time.Millisecond, Checks: 4}
 
-// mostAsks bounds how many agents in doubt are asked in a tick. When a failure domain goes, an observer may doubt a thousand at once;
-// the others' turn comes with the next ticks.
-const mostAsks = 64
+// maxProbesPerTick bounds how many suspected agents are probed in a tick. When a failure domain fails, an
+// observer may suspect a thousand agents at once; the others are probed in the next ticks.
+const maxProbesPerTick = 64
 
-// lately is for how long an agent that was heard needs no question.
-const lately = time.Second
+// recentFor is how long after something was received from an agent the agent needs no probe.
+const recentFor = time.Second
 
-// Voucher asks whether a process is alive, directly and by way of helpers.
-type Voucher interface {
-	Ask(target netip.Addr, helpers []netip.Addr, round uint32)
+// Prober probes a process, directly and by way of helpers.
+type Prober interface {
+	Probe(target netip.Addr, helpers []netip.Addr, round uint32)
 }
 
-// Watch is one observer's doubts.
-type Watch struct {
+// Monitor is the failure detector of one observer. It has state of its own only for agents that are
+// suspected or failed.
+type Monitor struct {
 	self     netip.Addr
-	voucher  Voucher
-	agents   map[netip.Addr]*agent
-	told     map[netip.Addr]time.Time // lost by another's word, as of when
-	heard    map[netip.Addr]time.Time
-	informed map[netip.Addr]time.Time // processes that were told who is lost
+	prober   Prober
+	suspects map[netip.Addr]*suspect
+	reported map[netip.Addr]time.Time // agents that others reported as failed, and since when they are failed
+	lastSeen map[netip.Addr]time.Time // when something was last received from an agent
+	notified map[netip.Addr]time.Time // processes that were sent the failed agents, and when
 	rounds   *rounds
 }
 
-// agent is one in doubt.
-type agent struct {
+// suspect is the state of a suspected or failed agent.
+type suspect struct {
 	*detect.Detector
-	round *round // of the last question
+	round *round // of the last probe
 }
 
-// New returns the watch of the process at an address, without doubts.
-func New(self netip.Addr, v Voucher, r *rand.Rand) *Watch {
-	return &Watch{
+// New returns the monitor of the process at an address, without suspects.
+func New(self netip.Addr, p Prober, r *rand.Rand) *Monitor {
+	return &Monitor{
 		self:     self,
-		voucher:  v,
-		agents:   map[netip.Addr]*agent{},
-		told:     map[netip.Addr]time.Time{},
-		heard:    map[netip.Addr]time.Time{},
-		informed: map[netip.Addr]time.Time{},
+		prober:   p,
+		suspects: map[netip.Addr]*suspect{},
+		reported: map[netip.Addr]time.Time{},
+		lastSeen: map[netip.Addr]time.Time{},
+		notified: map[netip.Addr]time.Time{},
 		rounds:   newRounds(r),
 	}
 }
 
-// Doubt notes that an agent has left something unanswered.
-func (w *Watch) Doubt(now time.Time, a netip.Addr) {
-	d := w.agents[a]
+// Suspect records that an agent has left something unanswered.
+func (w *Monitor) Suspect(now time.Time, a netip.Addr) {
+	d := w.suspects[a]
 	if d == nil {
-		d = &agent{Detector: detect.New(lostAfter)}
+		d = &suspect{Detector: detect.New(failureBounds)}
 		d.Tick(now, detect.Open)
-		w.agents[a] = d
+		w.suspects[a] = d
 	}
 	d.Asked(now)
 }
 
-// DoubtUnheard is Doubt for an agent that hasn't been heard lately, for who sends something without an answer to itself.
-func (w *Watch) DoubtUnheard(now time.Time, a netip.Addr) {
-	if now.Sub(w.heard[a]) > lately {
-		w.Doubt(now, a)
+// SuspectUnlessSeen is Suspect for an agent from which nothing was received recently. It is for observers
+// whose messages have no answer of their own.
+func (w *Monitor) SuspectUnlessSeen(now time.Time, a netip.Addr) {
+	if now.Sub(w.lastSeen[a]) > recentFor {
+		w.Suspect(now, a)
 	}
 }
 
-// Lost says whether an agent is lost.
-func (w *Watch) Lost(a netip.Addr) bool {
-	d := w.agents[a]
+// Failed reports whether an agent has failed, by this observer's probes or by another's report.
+func (w *Monitor) Failed(a netip.Addr) bool {
+	d := w.suspects[a]
 	if d != nil && d.Lost() {
 		return true
 	}
-	_, told := w.told[a]
-	return told
+	_, reported := w.reported[a]
+	return reported
 }
 
-// InDoubt says whether an agent is in doubt or lost.
-func (w *Watch) InDoubt(a netip.Addr) bool { return w.agents[a] != nil || w.Lost(a) }
+// Suspected reports whether an agent is suspected or failed.
+func (w *Monitor) Suspected(a netip.Addr) bool { return w.suspects[a] != nil || w.Failed(a) }
 
-// None says whether nobody is in doubt or lost.
-func (w *Watch) None() bool { return len(w.agents)+len(w.told) == 0 }
+// AllHealthy reports whether no agent is suspected or failed.
+func (w *Monitor) AllHealthy() bool { return len(w.suspects)+len(w.reported) == 0 }
 
-// Heard ends all doubt about an agent. It says whether it was lost.
-func (w *Watch) Heard(now time.Time, a netip.Addr) (back bool) {
-	back = w.Lost(a)
-	delete(w.agents, a)
-	delete(w.told, a)
-	w.heard[a] = now
-	return back
+// MarkAlive ends any suspicion of an agent. It reports whether the agent counted as failed.
+func (w *Monitor) MarkAlive(now time.Time, a netip.Addr) (hadFailed bool) {
+	hadFailed = w.Failed(a)
+	delete(w.suspects, a)
+	delete(w.reported, a)
+	w.lastSeen[a] = now
+	return hadFailed
 }
 
-// Answered notes that an agent has answered a question of a round.
-func (w *Watch) Answered(now time.Time, a netip.Addr, round uint32) { w.rounds.answered(now, a, round) }
+// Acked records that an agent has answered a probe of a round.
+func (w *Monitor) Acked(now time.Time, a netip.Addr, round uint32) { w.rounds.answered(now, a, round) }
 
-// Tick asks the agents in doubt and returns those that are lost as of now. Agents are all that there are; one for which exempt
-// says so is in no doubt.
-func (w *Watch) Tick(now time.Time, agents []netip.Addr, exempt func(netip.Addr) bool) (lost []netip.Addr) {
+// Tick probes the suspected agents and returns those that have failed since the last call. The argument
+// agents lists all present agents in ascending order. Suspicion of an agent ends if the agent is not
+// present or exempt returns true for it.
+func (w *Monitor) Tick(now time.Time, agents []netip.Addr, exempt func(netip.Addr) bool) (failed []netip.Addr) {
 	w.forget(now, agents)
 	var current *round // of this tick
-	asked := 0
-	for a, d := range w.agents { // in any order, so that nobody is always the last
-		if !isOne(agents, a) || exempt(a) {
-			delete(w.agents, a)
+	probed := 0
+	for a, d := range w.suspects { // in random order, so that the bound on probes doesn't always leave out the same agents
+		if !contains(agents, a) || exempt(a) {
+			delete(w.suspects, a)
 			continue
 		}
-		if asked == mostAsks {
+		if probed == maxProbesPerTick {
 			break
 		}
-		switch d.Tick(now, d.round.way()) {
+		switch d.Tick(now, d.round.path()) {
 		case detect.Check:
 			if current == nil {
-				current = w.begin(now, agents)
+				current = w.beginRound(now, agents)
 			}
-			asked++
-			w.ask(a, d, current, agents)
+			probed++
+			w.probe(a, d, current, agents)
 		case detect.Lost:
-			lost = append(lost, a)
+			failed = append(failed, a)
 		case detect.Fine:
 		}
 	}
-	return lost
+	return failed
 }
 
-// begin begins a round of questions, for all agents whose turn it is.
-func (w *Watch) begin(now time.Time, agents []netip.Addr) *round {
-	r := w.rounds.begin(now, w.witnesses(agents))
+// beginRound begins a round of probes, which all agents probed in this tick share, and probes its
+// witnesses.
+func (w *Monitor) beginRound(now time.Time, agents []netip.Addr) *round {
+	r := w.rounds.begin(now, w.pickWitnesses(agents))
 	for _, o := range r.witnesses {
-		w.voucher.Ask(o, nil, r.number)
+		w.prober.Probe(o, nil, r.number)
 	}
 	return r
 }
 
-// ask asks an agent, from the second time on by way of others too: most who are asked answer the first question.
-func (w *Watch) ask(a netip.Addr, d *agent, r *round, agents []netip.Addr) {
-	asks.Inc()
+// probe probes an agent. Helpers are used from the second probe on, because most agents answer the first.
+func (w *Monitor) probe(a netip.Addr, d *suspect, r *round, agents []netip.Addr) {
+	probes.Inc()
 	var helpers []netip.Addr
 	if d.round != nil {
-		helpers = w.some(agents, a)
+		helpers = w.pickHelpers(agents, a)
 	}
 	d.round = r
-	w.voucher.Ask(a, helpers, r.number)
+	w.prober.Probe(a, helpers, r.number)
 }
 
-// forget drops what is old, and who is no longer there.
-func (w *Watch) forget(now time.Time, agents []netip.Addr) {
+// forget drops expired state and the reports about agents that are not present.
+func (w *Monitor) forget(now time.Time, agents []netip.Addr) {
 	w.rounds.forget(now)
-	dropOld(now, w.told, toldFor)
-	dropOld(now, w.heard, lately)
-	dropOld(now, w.informed, informEvery)
-	maps.DeleteFunc(w.told, func(a netip.Addr, _ time.Time) bool { return !isOne(agents, a) })
+	dropExpired(now, w.reported, reportTTL)
+	dropExpired(now, w.lastSeen, recentFor)
+	dropExpired(now, w.notified, notifyEvery)
+	maps.DeleteFunc(w.reported, func(a netip.Addr, _ time.Time) bool { return !contains(agents, a) })
 }
 
-// dropOld drops what lies back longer than keep.
-func dropOld(now time.Time, times map[netip.Addr]time.Time, keep time.Duration) {
+// dropExpired deletes the entries whose time is more than keep ago.
+func dropExpired(now time.Time, times map[netip.Addr]time.Time, keep time.Duration) {
 	maps.DeleteFunc(times, func(_ netip.Addr, at time.Time) bool { return now.Sub(at) > keep })
 }
 
-func isOne(agents []netip.Addr, a netip.Addr) bool {
+func contains(agents []netip.Addr, a netip.Addr) bool {
 	_, there := slices.BinarySearchFunc(agents, a, netip.Addr.Compare)
 	return there
 }
--- a/internal/node/doubt/round.go
+++ b/internal/node/doubt/round.go
@@ -12,66 +12,68 @@
 )
 
 const (
-	// mostWitnesses is how many others are asked beside the agents in doubt. On a link that drops three in ten packets each way, all
-	// of them answer one round in eight.
-	mostWitnesses = 3
-	// mostHelpers is how many others ask an agent in doubt too. On such a link an agent that lives is silent by all four ways in one
-	// round of fifteen.
-	mostHelpers = 3
-	// drawsPerHelper bounds the search for a helper where most agents are lost.
+	// maxWitnesses is how many other agents are probed beside the suspects. On a link that drops 30% of the
+	// packets in each direction, all of them answer one round in eight.
+	maxWitnesses = 3
+	// maxHelpers is how many other agents probe a suspect too. On such a link all four paths to a live
+	// agent fail in one round of fifteen.
+	maxHelpers = 3
+	// drawsPerHelper bounds the search for a helper where most agents have failed.
 	drawsPerHelper = 8
 )
 
-// NoRound is the round of a question whose answer no doubt depends on.
+// NoRound is the round of probes whose answers are not used to judge a suspect.
 const NoRound = 0
 
-// keepFor is for how long answers to a round are waited for: longer than any question is (package detect).
-const keepFor = 2 * time.Second
+// roundTTL is how long answers to a round are accepted, which is longer than the detector waits for any
+// probe (package detect).
+const roundTTL = 2 * time.Second
 
-// round is one round of questions. Beside the agents in doubt witnesses are asked at the same time, by whose answers the observer knows
-// that its way was open: they went out and came back by the same link, and with the same luck.
+// round is one round of probes. Witnesses are probed at the same time as the suspects. Their answers show
+// the observer whether its own path was open, since their probes and answers used the same link and were
+// exposed to the same loss.
 type round struct {
-	number    uint32
-	at        time.Time
-	witnesses []netip.Addr
-	silent    []netip.Addr // of the witnesses, those that haven't answered
+	number     uint32
+	at         time.Time
+	witnesses  []netip.Addr
+	unanswered []netip.Addr // the witnesses that haven't answered
 }
 
-// way says how the observer's way was, by the answers of witnesses.
-func (r *round) way() detect.Way {
+// path returns the state of the observer's path, by the answers of the witnesses.
+func (r *round) path() detect.Way {
 	switch {
-	case r == nil || len(r.silent) == len(r.witnesses):
+	case r == nil || len(r.unanswered) == len(r.witnesses):
 		return detect.Blocked
-	case len(r.silent) > 0:
+	case len(r.unanswered) > 0:
 		return detect.Patchy
 	default:
 		return detect.Open
 	}
 }
 
-// rounds are the rounds of an observer that may still be answered.
+// rounds holds an observer's rounds that may still be answered.
 type rounds struct {
 	rand    *rand.Rand
 	last    uint32
 	open    map[uint32]*round
-	answers map[netip.Addr]time.Time // the last answer to a round
-	misses  map[netip.Addr]time.Time // when a round began without an answer to the one before
+	answers map[netip.Addr]time.Time // when an agent last answered a round
+	misses  map[netip.Addr]time.Time // when a round began although the agent had not answered the one before, as a witness
 }
 
 func newRounds(r *rand.Rand) *rounds {
 	return &rounds{
 		rand:    r,
-		last:    rand.Uint32(), // answers to an observer that ran here before don't count
+		last:    rand.Uint32(), // answers to an earlier process at this address must not match
 		open:    map[uint32]*round{},
 		answers: map[netip.Addr]time.Time{},
 		misses:  map[netip.Addr]time.Time{},
 	}
 }
 
-// begin begins a round with witnesses.
+// begin begins a round with the given witnesses.
 func (q *rounds) begin(now time.Time, witnesses []netip.Addr) *round {
 	if before := q.open[q.last]; before != nil {
-		for _, a := range before.silent {
+		for _, a := range before.unanswered {
 			q.misses[a] = now
 		}
 	}
@@ -79,99 +81,101 @@
 	if q.last == NoRound {
 		q.last++
 	}
-	r := &round{number: q.last, at: now, witnesses: witnesses, silent: slices.Clone(witnesses)}
+	r := &round{number: q.last, at: now, witnesses: witnesses, unanswered: slices.Clone(witnesses)}
 	q.open[r.number] = r
 	return r
 }
 
-// class is how an agent would do as a witness.
-type class int
+// standing ranks an agent as a witness.
+type standing int
 
 const (
-	silent  class = iota // it has left something unanswered
-	unasked              // nothing speaks against it
-	proved               // it has answered a round lately
+	unresponsive standing = iota // has left a probe unanswered recently
+	untested                     // has neither answered nor missed a round recently
+	responsive                   // has answered a round recently
 )
 
-// class tells that of an agent.
-func (w *Watch) class(a netip.Addr) class {
+// standing returns the standing of an agent.
+func (w *Monitor) standing(a netip.Addr) standing {
 	answer, miss := w.rounds.answers[a], w.rounds.misses[a]
 	switch {
 	case miss.After(answer):
-		return silent
+		return unresponsive
 	case !answer.IsZero():
-		return proved
+		return responsive
 	default:
-		return unasked
+		return untested
 	}
 }
 
 // candidate is an agent that may be a witness.
 type candidate struct {
-	agent netip.Addr
-	class class
-	heard time.Time // zero: not lately
+	agent    netip.Addr
+	standing standing
+	lastSeen time.Time // zero: not recently
 }
 
-// witnesses draws who is asked beside the agents in doubt: of the best class those that were heard last, at random who wasn't, and none that is
-// in doubt itself unless all are.
-func (w *Watch) witnesses(agents []netip.Addr) (drawn []netip.Addr) {
+// pickWitnesses selects the agents that are probed beside the suspects: those of the best standing, most
+// recently seen ones first, agents that were not seen recently in random order. Suspects are selected only
+// if all agents are suspected.
+func (w *Monitor) pickWitnesses(agents []netip.Addr) (picked []netip.Addr) {
 	all := w.shuffled(agents)
-	calm := slices.DeleteFunc(slices.Clone(all), func(a netip.Addr) bool { return w.agents[a] != nil })
-	if len(calm) == 0 {
-		calm = all
+	unsuspected := slices.DeleteFunc(slices.Clone(all), func(a netip.Addr) bool { return w.suspects[a] != nil })
+	if len(unsuspected) == 0 {
+		unsuspected = all
 	}
 	var list []candidate
-	for _, a := range calm {
-		list = append(list, candidate{agent: a, class: w.class(a), heard: w.heard[a]})
+	for _, a := range unsuspected {
+		list = append(list, candidate{agent: a, standing: w.standing(a), lastSeen: w.lastSeen[a]})
 	}
 	slices.SortStableFunc(list, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(b.class, a.class), b.heard.Compare(a.heard))
+		return cmp.Or(cmp.Compare(b.standing, a.standing), b.lastSeen.Compare(a.lastSeen))
 	})
-	for _, c := range list[:min(mostWitnesses, len(list))] {
-		drawn = append(drawn, c.agent)
+	for _, c := range list[:min(maxWitnesses, len(list))] {
+		picked = append(picked, c.agent)
 	}
-	return drawn
+	return picked
 }
 
-// some draws helpers from the agents but one, anew each time: some of them may not reach it either. It looks at few of the agents, as it
-// is called for each one in doubt.
-func (w *Watch) some(agents []netip.Addr, but netip.Addr) (drawn []netip.Addr) {
-	for range drawsPerHelper * mostHelpers {
+// pickHelpers selects helpers at random from the agents other than the excepted one. It selects anew each
+// time, because some helpers may not reach the suspect either. It examines only a few of the agents,
+// because it is called for each suspect.
+func (w *Monitor) pickHelpers(agents []netip.Addr, except netip.Addr) (picked []netip.Addr) {
+	for range drawsPerHelper * maxHelpers {
 		a := agents[w.rounds.rand.IntN(len(agents))]
-		if a == but || a == w.self || w.Lost(a) || slices.Contains(drawn, a) {
+		if a == except || a == w.self || w.Failed(a) || slices.Contains(picked, a) {
 			continue
 		}
-		if drawn = append(drawn, a); len(drawn) == mostHelpers {
+		if picked = append(picked, a); len(picked) == maxHelpers {
 			break
 		}
 	}
-	return drawn
+	return picked
 }
 
-// shuffled returns the other agents that aren't lost in any order.
-func (w *Watch) shuffled(agents []netip.Addr) (list []netip.Addr) {
+// shuffled returns the other agents that haven't failed, in random order.
+func (w *Monitor) shuffled(agents []netip.Addr) (list []netip.Addr) {
 	for _, i := range w.rounds.rand.Perm(len(agents)) {
-		if agents[i] != w.self && !w.Lost(agents[i]) {
+		if agents[i] != w.self && !w.Failed(agents[i]) {
 			list = append(list, agents[i])
 		}
 	}
 	return list
 }
 
-// answered notes an answer.
+// answered records an answer.
 func (q *rounds) answered(now time.Time, a netip.Addr, number uint32) {
 	r := q.open[number]
 	if r == nil {
 		return
 	}
 	q.answers[a] = now
-	r.silent = slices.DeleteFunc(r.silent, func(s netip.Addr) bool { return s == a })
+	r.unanswered = slices.DeleteFunc(r.unanswered, func(s netip.Addr) bool { return s == a })
 }
 
-// forget drops what is too old to tell anything.
+// forget drops expired rounds, answers and misses.
 func (q *rounds) forget(now time.Time) {
-	maps.DeleteFunc(q.open, func(_ uint32, r *round) bool { return now.Sub(r.at) > keepFor })
-	dropOld(now, q.answers, lately)
-	dropOld(now, q.misses, lately)
+	maps.DeleteFunc(q.open, func(_ uint32, r *round) bool { return now.Sub(r.at) > roundTTL })
+	dropExpired(now, q.answers, recentFor)
+	dropExpired(now, q.misses, recentFor)
 }
--- a/internal/node/doubt/told.go
+++ b/internal/node/doubt/told.go
@@ -8,41 +8,43 @@
 )
 
 const (
-	// informEvery is how often a process is told who is lost.
-	informEvery = 500 * time.Millisecond
-	// toldFor is how long another's word counts that an agent is lost. Whoever says so goes on asking.
-	toldFor = 2 * time.Second
+	// notifyEvery is how often a process is sent the failed agents.
+	notifyEvery = 500 * time.Millisecond
+	// reportTTL is how long another process's report of a failed agent counts. That process keeps probing
+	// the agent and repeats its report.
+	reportTTL = 2 * time.Second
 )
 
-// Told takes others' word that agents are lost. It counts from when whoever found out was sure, until the agent is heard, or
-// for a while: word that is passed on grows old on its way, so that it can't go round.
-func (w *Watch) Told(now time.Time, list []msgs.Silent) {
+// LearnFailed takes over other processes' reports of failed agents. A report counts from the time when the
+// process that detected the failure was sure, until something is received from the agent or the report
+// expires. A report keeps its age when it is passed on, so that it can't circulate for ever.
+func (w *Monitor) LearnFailed(now time.Time, list []msgs.Silent) {
 	for _, s := range list {
 		at := now.Add(-time.Duration(s.Age) * time.Millisecond)
-		if at.After(w.told[s.Agent]) && at.After(w.heard[s.Agent]) && now.Sub(at) < toldFor {
-			w.told[s.Agent] = at
+		if at.After(w.reported[s.Agent]) && at.After(w.lastSeen[s.Agent]) && now.Sub(at) < reportTTL {
+			w.reported[s.Agent] = at
 		}
 	}
 }
 
-// Tell returns whom a process is to be told to be lost, by what the observer found itself and what it was told: nobody, if
-// there is none or the process was told lately.
-func (w *Watch) Tell(now time.Time, process netip.Addr) (list []msgs.Silent) {
-	if w.None() || now.Sub(w.informed[process]) < informEvery {
+// FailuresFor returns the failed agents to be sent to a process, both those that the observer detected and
+// those reported to it. It returns nil if there are none or the process was sent a list recently.
+func (w *Monitor) FailuresFor(now time.Time, process netip.Addr) (list []msgs.Silent) {
+	if w.AllHealthy() || now.Sub(w.notified[process]) < notifyEvery {
 		return nil
 	}
-	for a, d := range w.agents {
+	for a, d := range w.suspects {
 		if d.Lost() && len(list) < msgs.MaxLost {
 			list = append(list, msgs.Silent{Agent: a})
 		}
 	}
-	for a, at := range w.told {
-		if d := w.agents[a]; (d == nil || !d.Lost()) && len(list) < msgs.MaxLost {
+	for a, at := range w.reported {
+		if d := w.suspects[a]; (d == nil || !d.Lost()) && len(list) < msgs.MaxLost {
 			list = append(list, msgs.Silent{Agent: a, Age: uint16(now.Sub(at).Milliseconds())})
 		}
 	}
 	if len(list) > 0 {
-		w.informed[process] = now
+		w.notified[process] = now
 	}
 	return list
 }
--- a/internal/node/edge/bench_test.go
+++ b/internal/node/edge/bench_test.go
@@ -15,28 +15,28 @@
 	"mangowinch/internal/oper/event"
 )
 
-// fixed decodes every packet as one of the same flow.
-type fixed struct{ flow segs.Flow }
+// stubCodec decodes every packet as a packet of the same flow. It is the stub of Control too.
+type stubCodec struct{ flow segs.Flow }
 
-func (f fixed) Decode([]byte, segs.End) (segs.Segment, error) {
+func (f stubCodec) Decode([]byte, segs.End) (segs.Segment, error) {
 	return segs.Segment{Flow: f.flow, Flags: segs.Ack, Ack: 1001, Len: 100}, nil
 }
-func (fixed) Restore([]byte)                                {}
-func (fixed) Reset(b []byte, _ segs.Segment) []byte         { return b }
-func (fixed) Noticed(netip.Addr, order.Revision)            {}
-func (fixed) Leaving(netip.Addr) bool                       { return false }
-func (fixed) Age(time.Time) (age time.Duration, known bool) { return 0, true }
+func (stubCodec) Restore([]byte)                                {}
+func (stubCodec) Reset(b []byte, _ segs.Segment) []byte         { return b }
+func (stubCodec) Noticed(netip.Addr, order.Revision)            {}
+func (stubCodec) Leaving(netip.Addr) bool                       { return false }
+func (stubCodec) Age(time.Time) (age time.Duration, known bool) { return 0, true }
 
-// loop sends over a real socket to an address that nobody reads.
-type loop struct {
+// udpWire sends over a real socket to an address that nobody reads from.
+type udpWire struct {
 	conn *net.UDPConn
 	to   netip.AddrPort
 }
 
-func (l loop) ToPeer(_ netip.Addr, m []byte) { _, _ = l.conn.WriteToUDPAddrPort(m, l.to) }
-func (loop) ToCaller([4]byte, []byte)        {}
+func (l udpWire) ToPeer(_ netip.Addr, m []byte) { _, _ = l.conn.WriteToUDPAddrPort(m, l.to) }
+func (udpWire) ToCaller([4]byte, []byte)        {}
 
-func sink(b *testing.B) loop {
+func newUDPWire(b *testing.B) udpWire {
 	b.Helper()
 	target, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -50,13 +50,13 @@
 		conn.Close()
 		target.Close()
 	})
-	return loop{conn, target.LocalAddr().(*net.UDPAddr).AddrPort()}
+	return udpWire{conn, target.LocalAddr().(*net.UDPAddr).AddrPort()}
 }
 
-// BenchmarkPacket hands packets of a known flow on, beside the same write alone, as a bare relay makes it.
-// Before and after are in docs/MEASURED.md.
+// BenchmarkPacket compares forwarding a packet of a known flow with the socket write alone, which is the
+// cost of a bare relay.
 func BenchmarkPacket(b *testing.B) {
-	wire := sink(b)
+	wire := newUDPWire(b)
 	flow := segs.Flow{Caller: [4]byte{100, 64, 0, 7}, CallerPort: 1025, Service: [4]byte{198, 18, 0, 1}, Port: 443}
 	log := belief.New()
 	log.Apply(time.Now(), belief.Change{To: 5, Full: true, Items: []belief.Item{{Key: "c", Revision: 1, Config: &belief.Config{
@@ -64,8 +64,8 @@
 	}}}})
 	events := event.New(io.Discard, "entry", "e1")
 	defer events.Close()
-	e := New(Config{Log: log, Ctrl: fixed{}, Codec: fixed{flow}, Wire: wire, Events: events, Rand: rand.New(rand.NewPCG(1, 2))})
-	e.told(time.Now(), netip.MustParseAddr("10.0.1.1"), msgs.Owner{Flow: flow})
+	e := New(Config{Log: log, Ctrl: stubCodec{}, Codec: stubCodec{flow}, Wire: wire, Events: events, Rand: rand.New(rand.NewPCG(1, 2))})
+	e.recordOwner(time.Now(), netip.MustParseAddr("10.0.1.1"), msgs.Owner{Flow: flow})
 	packet := make([]byte, 132)
 	b.Run("entry", func(b *testing.B) {
 		b.ReportAllocs()
--- a/internal/node/edge/bulk.go
+++ b/internal/node/edge/bulk.go
@@ -10,10 +10,10 @@
 	"mangowinch/internal/oper/event"
 )
 
-// Flows that fill the entry's link for long (package bulk).
+// Admission of flows that saturate the entry's link for long (package bulk).
 
-// newGate returns the gate of an entry's link. A flow waits for half of its caller's patience at most: the other half is left for
-// another entry, whose link may have room.
+// newGate returns the gate of an entry's link. A flow waits for at most half the time that its caller waits
+// for it to open. The other half is left for an attempt by another entry, whose link may have room.
 func newGate(c *Config) *bulk.Gate {
 	rate := c.Rate
 	if c.Off.Bulk {
@@ -22,14 +22,14 @@
 	return bulk.New(rate, c.Callers.Patience()/2)
 }
 
-// mayBegin says whether a new flow may be placed now. Otherwise it waits for its turn, or is refused.
-func (e *Entry) mayBegin(now time.Time, v *belief.View, s *segs.Segment, datagram []byte) bool {
+// admit reports whether a new flow may be placed now. Otherwise the flow is queued, or it is refused.
+func (e *Entry) admit(now time.Time, v *belief.View, s *segs.Segment, datagram []byte) bool {
 	if e.bulk.Waits(s.Flow) {
-		return false // a copy
+		return false // a copy of an opening packet that is queued already
 	}
 	switch e.bulk.Open(now, s.Flow, e.Callers.Age(s.Ack), datagram) {
 	case bulk.Hold:
-		heldUp.Inc()
+		linkWaits.Inc()
 		e.Events.Flow(event.Ordinary, "link-waits", s.Flow).Int("waiting", e.bulk.Waiting()).Stringer("revision", v.Revision).Send()
 		return false
 	case bulk.Refuse:
@@ -40,32 +40,32 @@
 	}
 }
 
-// noteBulk notes what a caller has sent on an open flow.
-func (e *Entry) noteBulk(now time.Time, s *segs.Segment, size int) {
+// trackBulk records what a caller has sent on an open flow.
+func (e *Entry) trackBulk(now time.Time, s *segs.Segment, size int) {
 	if s.Len > 0 {
 		e.bulk.Sent(now, s.Flow, size)
 	}
 	if s.Flags&(segs.Fin|segs.Rst) != 0 {
 		e.bulk.Closed(s.Flow)
-		e.beginBulk(now)
+		e.placeWaiting(now)
 	}
 }
 
-// beginBulk places the flows whose turn it is.
-func (e *Entry) beginBulk(now time.Time) {
+// placeWaiting refuses queued flows that have waited too long and places those that the link has room for.
+func (e *Entry) placeWaiting(now time.Time) {
 	for w, ok := e.bulk.Late(now); ok; w, ok = e.bulk.Late(now) {
 		e.refuse(now, &segs.Segment{Flow: w.Flow, Flags: segs.Syn}, "link")
 	}
 	for w, ok := e.bulk.Next(now); ok; w, ok = e.bulk.Next(now) {
-		e.beginOne(now, &w)
+		e.placeOneWaiting(now, &w)
 	}
 }
 
-// beginOne places a flow that has waited.
-func (e *Entry) beginOne(now time.Time, w *bulk.Waiting) {
+// placeOneWaiting places one flow that was queued.
+func (e *Entry) placeOneWaiting(now time.Time, w *bulk.Waiting) {
 	s, err := e.Codec.Decode(w.Packet, segs.CallerEnd)
 	if err != nil {
-		dropped("malformed")
+		countDropped("malformed")
 		return
 	}
 	v := e.Log.View()
--- a/internal/node/edge/edge.go
+++ b/internal/node/edge/edge.go
@@ -1,12 +1,12 @@
-// Package edge is the entry for opaque flows: it receives callers' packets and hands
-// each to the agent beside the server that holds its flow.
+// Package edge implements the entry for opaque flows. An entry receives callers' packets and forwards each
+// to the agent beside the backend server that holds the flow.
 //
-// It decides by pure packages: steer places new flows, owner remembers where they went,
-// homes says whom to ask about a flow that it doesn't know, belief says which routes and
-// servers there are. It keeps no state that a flow needs: kill it, and every flow goes on
-// by another entry. It sees only the way to the servers; agents answer callers directly.
+// The decisions are made by packages without I/O: steer places new flows, owner remembers where they went,
+// homes gives the agent to query about a flow that the entry doesn't know, and belief holds the routes and
+// servers. An entry keeps no state that a flow needs: if it is killed, its flows continue through another
+// entry. It sees only the direction towards the servers, because agents answer callers directly.
 //
-// It does not read the platform (package follow), and it knows no wire format (segs.Codec).
+// The package does not read the platform (package follow) and knows no wire format (segs.Codec).
 //
 // # Usage
 //
@@ -35,7 +35,7 @@
 	"mangowinch/internal/oper/event"
 )
 
-// Wire sends datagrams. It keeps no reference to them.
+// Wire sends datagrams. It does not retain them.
 type Wire interface {
 	ToPeer(agent netip.Addr, message []byte)
 	ToCaller(caller [4]byte, packet []byte)
@@ -48,87 +48,88 @@
 	Age(now time.Time) (age time.Duration, ok bool)
 }
 
-// Config is what an Entry is made of.
+// Config holds the dependencies and settings of an Entry.
 type Config struct {
 	Self   netip.Addr
 	Domain string
 	Log    *belief.Log
 	Ctrl   Control
-	Vouch  doubt.Voucher // its answers come to Entry.Heard
+	Prober doubt.Prober // its answers are passed to Entry.ProcessAlive and Entry.ProbeAnswered
 	Codec  segs.Codec
-	// Callers says how long callers wait for a flow to open.
+	// Callers holds how long callers wait for a flow to open.
 	Callers segs.Callers
 	Wire    Wire
 	Events  *event.Log
-	Bound   time.Duration // a change is in force within it
-	Life    time.Duration // no flow lives longer
-	Rand    *rand.Rand    // used under the entry's lock
-	Off     parts.Off
-	Rate    float64 // of the entry's link in bytes a second, as its operator states it; 0: not stated
+	Bound   time.Duration // the longest time until a change takes effect
+	Life    time.Duration // the longest life of a flow
+	Rand    *rand.Rand    // used with the entry's lock held
+	Off     parts.Off     // parts that are switched off
+	Rate    float64       // of the entry's link in bytes per second, as the operator states it; 0: not stated
 }
 
 const (
-	// flowLimit bounds the table. A flow takes some 290 bytes, so 19 MB of the smallest
-	// instance's 104 MB.
+	// flowLimit bounds the table of flows. A flow takes about 290 bytes, so the table takes 19 MB of the
+	// 104 MB that the smallest instance has.
 	flowLimit = 65536
-	// idleLeast is how long a flow without packets is remembered at least, whatever the
-	// configuration says; forgetting one costs a packet's detour by the home.
-	idleLeast = 5 * time.Second
-	// maxTries is how many agents get the opening packet of one flow from this entry.
+	// minIdle is the shortest time for which a flow without packets is remembered, whatever the
+	// configuration says. If a flow was forgotten, its next packet takes a detour by way of its home.
+	minIdle = 5 * time.Second
+	// maxTries is the number of agents to which this entry sends the opening packet of one flow.
 	maxTries = 4
 )
 
-// Entry is one running entry's state.
+// Entry is the state of one running entry.
 type Entry struct {
 	Config
 
-	// mu guards what follows.
-	mu      sync.Mutex
-	flows   *owner.Entry
-	chooser *steer.Chooser
-	bulk    *bulk.Gate
-	agents  *detect.Detector          // of all agents together: is this entry cut off?
-	doubted *doubt.Watch              // agents that have left something unanswered
-	ending  []segs.Flow               // of lost agents, whose callers are to be told
-	cold    map[string]warmth         // by server ID
-	emptied map[string]order.Revision // failure domains that agents called evacuated, and their revision: this entry is behind
-	buf     []byte                    // of the message being sent
-	packet  []byte                    // of the reset being sent
+	// mu guards the fields below.
+	mu          sync.Mutex
+	flows       *owner.Entry
+	chooser     *steer.Chooser
+	bulk        *bulk.Gate
+	reach       *detect.Detector          // of all agents together: detects that this entry is cut off
+	suspects    *doubt.Monitor            // agents that have left a packet unanswered
+	toReset     []segs.Flow               // flows of failed agents, whose callers are still to be notified
+	cold        map[string]coldPeriod     // by server ID
+	evacuations map[string]order.Revision // failure domains that agents reported as evacuated, and the revision of the report, which is newer than this entry's view
+	buf         []byte                    // for the message being sent
+	packet      []byte                    // for the reset being sent
 }
 
-// warmth is how long a server is cold, by its last entry. It may turn cold without a new start, when its failure domain is
-// taken back.
-type warmth struct {
-	left  time.Duration // that the entry says
-	until time.Time
+// coldPeriod is how long a server counts as cold, by its last entry in the view. The server may become cold
+// again without a restart, when the evacuation of its failure domain ends.
+type coldPeriod struct {
+	remaining time.Duration // as the entry in the view says
+	until     time.Time
 }
 
 // New returns an entry without flows.
 func New(c Config) *Entry {
 	return &Entry{
-		Config:  c,
-		flows:   owner.NewEntry(flowLimit),
-		chooser: steer.New(c.Domain, c.Rand, c.Off),
-		agents:  detect.New(cutOff),
-		bulk:    newGate(&c),
-		doubted: doubt.New(c.Self, c.Vouch, c.Rand),
-		cold:    map[string]warmth{},
-		emptied: map[string]order.Revision{},
+		Config:      c,
+		flows:       owner.NewEntry(flowLimit),
+		chooser:     steer.New(c.Domain, c.Rand, c.Off),
+		reach:       detect.New(reachBounds),
+		bulk:        newGate(&c),
+		suspects:    doubt.New(c.Self, c.Prober, c.Rand),
+		cold:        map[string]coldPeriod{},
+		evacuations: map[string]order.Revision{},
 	}
 }
 
-// Len is the number of flows known.
+// Len returns the number of known flows.
 func (e *Entry) Len() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.flows.Len()
 }
 
-// Tick forgets what is over, and asks agents that are silent.
+// Tick removes expired state, places or refuses queued flows, and probes agents that have left packets
+// unanswered.
 func (e *Entry) Tick(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	idle := idleLeast
+	idle := minIdle
 	if c := e.Log.View().Config; c != nil {
 		idle = max(idle, c.Idle)
 	}
@@ -136,14 +137,15 @@
 		expired.Add(n)
 	}
 	e.bulk.Expire(now)
-	e.beginBulk(now)
-	e.watch(now)
-	e.watchDoubted(now)
-	e.tellEnding(now)
+	e.placeWaiting(now)
+	e.checkReach(now)
+	e.checkSuspects(now)
+	e.resetFailedFlows(now)
 }
 
-// Changed is to be called after the view has changed.
-func (e *Entry) Changed(now time.Time) {
+// ViewChanged updates the state that is derived from the view. It must be called after each change of the
+// view.
+func (e *Entry) ViewChanged(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	v := e.Log.View()
@@ -152,8 +154,8 @@
 	for _, a := range v.Homes.Agents() {
 		s, _ := v.Server(a)
 		present[s.ID] = true
-		if w, seen := e.cold[s.ID]; !seen || w.left != s.Cold {
-			e.cold[s.ID] = warmth{left: s.Cold, until: now.Add(s.Cold)}
+		if w, seen := e.cold[s.ID]; !seen || w.remaining != s.Cold {
+			e.cold[s.ID] = coldPeriod{remaining: s.Cold, until: now.Add(s.Cold)}
 		}
 	}
 	for id := range e.cold {
@@ -161,14 +163,14 @@
 			delete(e.cold, id)
 		}
 	}
-	e.caughtUp(v)
+	e.expireEvacuations(v)
 }
 
-// FromCaller takes a packet from a caller.
+// FromCaller handles a packet from a caller.
 func (e *Entry) FromCaller(now time.Time, datagram []byte) {
 	s, err := e.Codec.Decode(datagram, segs.CallerEnd)
 	if err != nil || s.Has(segs.Returned) {
-		dropped("malformed")
+		countDropped("malformed")
 		return
 	}
 	received.Inc()
@@ -184,61 +186,66 @@
 		e.open(now, v, route, &s, datagram)
 		return
 	}
-	e.noteBulk(now, &s, len(datagram))
-	e.follow(now, v, &s, datagram)
+	e.trackBulk(now, &s, len(datagram))
+	e.forward(now, v, &s, datagram)
 }
 
-// unrouted handles a packet to an address that no route has. A flow is refused at once if the
-// belief is fresh enough to know; an entry that may be behind stays silent, and the caller's copy finds it wiser.
+// unrouted handles a packet to an address that no route has. A new flow is refused at once if the view is
+// recent enough to be sure that no route exists. An entry whose view may be outdated drops the packet: by
+// the time of the caller's next copy it may have the route.
 func (e *Entry) unrouted(now time.Time, v *belief.View, s *segs.Segment) {
 	age, known := e.Ctrl.Age(now)
 	if !s.Opening() || v.Config == nil || !known || age > e.Bound {
-		dropped("unrouted")
+		countDropped("unrouted")
 		return
 	}
 	e.refuse(now, s, "unrouted")
 }
 
-// refuse resets a flow that isn't open; no server has run anything.
+// refuse resets a flow that isn't open. No server has run any of its requests.
 func (e *Entry) refuse(now time.Time, s *segs.Segment, why string) {
 	e.flows.Delete(s.Flow)
 	e.packet = e.Codec.Reset(e.packet[:0], *s)
 	e.Wire.ToCaller(s.Flow.Caller, e.packet)
-	refused(why)
+	countRefused(why)
 	age, _ := e.Ctrl.Age(now)
 	e.Events.Flow(event.Failure, "refused", s.Flow).Str("why", why).Int64("version", e.Log.View().Version()).
 		Stringer("revision", e.Log.Revision()).Dur("age", age).Send()
 }
 
-// follow sends a packet of a flow that has begun.
-func (e *Entry) follow(now time.Time, v *belief.View, s *segs.Segment, datagram []byte) {
-	if p := e.flows.Get(s.Flow); p != nil && e.followKnown(now, v, p, s, datagram) {
+// forward forwards a packet of a flow that has begun.
+func (e *Entry) forward(now time.Time, v *belief.View, s *segs.Segment, datagram []byte) {
+	if p := e.flows.Get(s.Flow); p != nil && e.forwardKnown(now, v, p, s, datagram) {
 		return
 	}
-	e.ask(now, v, s, datagram)
+	e.forwardToHome(now, v, s, datagram)
 }
 
-// ask sends a packet of a flow that this entry doesn't know to the flow's home, or to whoever takes its place.
-func (e *Entry) ask(now time.Time, v *belief.View, s *segs.Segment, datagram []byte) {
+// forwardToHome forwards a packet of a flow that this entry doesn't know to the flow's home, the agent that
+// keeps the flow's location record. If the home has failed, the packet goes to the agent that takes its
+// place.
+func (e *Entry) forwardToHome(now time.Time, v *belief.View, s *segs.Segment, datagram []byte) {
 	home, ok := v.Homes.Of(s.Flow)
-	lost := e.doubted.Lost(home)
-	if lost {
-		home, ok = v.Homes.Except(s.Flow, e.doubted.Lost)
+	homeFailed := e.suspects.Failed(home)
+	if homeFailed {
+		home, ok = v.Homes.Except(s.Flow, e.suspects.Failed)
 	}
 	if !ok {
-		dropped("homeless")
+		countDropped("homeless")
 		return
 	}
-	e.noteAsked(now, home, s)
-	asked.Inc()
+	e.recordHomeQuery(now, home, s)
+	homeQueries.Inc()
 	e.Events.Flow(event.Ordinary, "asked", s.Flow).Stringer("home", home).Stringer("revision", v.Revision).Send()
-	e.tellLost(now, v, home)
-	e.send(v, home, msgs.Carry{AsHome: lost, Packet: datagram})
+	e.notifyFailed(now, v, home)
+	e.send(v, home, msgs.Carry{AsHome: homeFailed, Packet: datagram})
 }
 
-// noteAsked remembers that a home was asked about a flow. If the caller repeats the packet, the home is in doubt: it may be lost, and
-// nobody else is asked meanwhile. Flows that nobody has opened take half of the table at most.
-func (e *Entry) noteAsked(now time.Time, home netip.Addr, s *segs.Segment) {
+// recordHomeQuery records that a home was queried about a flow. If the caller repeats the packet, the home
+// is suspected: it may have failed, and no other agent is queried until that is known. Flows known only by
+// such queries take at most half of the table, because packets of flows that nobody has opened create them
+// too.
+func (e *Entry) recordHomeQuery(now time.Time, home netip.Addr, s *segs.Segment) {
 	p := e.flows.Get(s.Flow)
 	if p == nil && e.flows.Len() < flowLimit/2 {
 		p = e.flows.Add(now, s.Flow)
@@ -248,35 +255,35 @@
 	}
 	p.Used = now
 	if p.Repeats(s) {
-		e.doubt(now, home)
+		e.suspect(now, home)
 	}
 }
 
-// followKnown sends a packet of a flow that this entry knows to its agent, or tells the caller that the agent is lost. It returns false
-// if the flow's place is not known after all.
-func (e *Entry) followKnown(now time.Time, v *belief.View, p *owner.Places, s *segs.Segment, datagram []byte) bool {
+// forwardKnown forwards a packet of a flow that this entry knows to the flow's agent, or resets the flow if
+// the agent has failed. It returns false if the location of the flow is not known after all.
+func (e *Entry) forwardKnown(now time.Time, v *belief.View, p *owner.Places, s *segs.Segment, datagram []byte) bool {
 	agent, ok := p.For(s.Ack)
 	if !ok {
 		return false
 	}
 	p.Used = now
 	if p.Repeats(s) {
-		e.doubt(now, agent)
+		e.suspect(now, agent)
 	}
 	switch {
-	case !e.doubted.Lost(agent):
-		e.carry(v, agent, datagram)
+	case !e.suspects.Failed(agent):
+		e.forwardTo(v, agent, datagram)
 		return true
 	case p.Owner == agent:
-		e.end(now, s.Flow, p)
+		e.reset(now, s.Flow, p)
 		return true
-	default: // another server may hold it
+	default: // another server may hold the flow
 		return false
 	}
 }
 
-// carry sends a caller's packet to an agent.
-func (e *Entry) carry(v *belief.View, agent netip.Addr, datagram []byte) {
+// forwardTo forwards a caller's packet to an agent.
+func (e *Entry) forwardTo(v *belief.View, agent netip.Addr, datagram []byte) {
 	e.send(v, agent, msgs.Carry{Packet: datagram})
 }
 
@@ -288,5 +295,5 @@
 	}
 	e.buf = m.AppendTo(e.buf[:0])
 	e.Wire.ToPeer(agent, e.buf)
-	carried.Inc()
+	forwarded.Inc()
 }
--- a/internal/node/edge/evacuate.go
+++ b/internal/node/edge/evacuate.go
@@ -7,38 +7,41 @@
 	"mangowinch/internal/flow/msgs"
 )
 
-// An evacuated failure domain.
+// New flows and evacuated failure domains.
 //
-// Its servers get no new flows. An entry that doesn't know the order yet learns it from the first agent that hands an opening packet
-// back for it, and takes that agent's word for the whole domain until its own belief has caught up: tried one after the other,
-// the agents of a domain use up a flow's tries, and its caller is refused while others have room.
+// The servers of an evacuated failure domain get no new flows. An entry that hasn't received the order yet
+// learns it from the first agent that returns an opening packet because of it. Until its own view has
+// caught up, the entry then treats the whole domain as evacuated. Trying the agents of the domain one by
+// one would use up the tries of a flow, and the caller would be refused although servers elsewhere have
+// room.
 
-// evacuated says whether the servers of a failure domain get no new flows.
+// evacuated reports whether the servers of a failure domain get no new flows.
 func (e *Entry) evacuated(v *belief.View, domain string) bool {
-	return v.Evacuated(domain) || e.emptied[domain] > v.Revision
+	return v.Evacuated(domain) || e.evacuations[domain] > v.Revision
 }
 
-// noteEvacuated takes an agent's word that its failure domain is evacuated, if the agent knows more than this entry.
-func (e *Entry) noteEvacuated(v *belief.View, agent netip.Addr, m *msgs.Refused) {
+// recordEvacuation records an agent's report that its failure domain is evacuated, if the agent's view is
+// newer than this entry's.
+func (e *Entry) recordEvacuation(v *belief.View, agent netip.Addr, m *msgs.Refused) {
 	if m.Why != msgs.WhyEvacuated || m.Revision <= v.Revision {
 		return
 	}
 	if s, ok := v.Server(agent); ok {
-		e.emptied[s.Domain] = max(e.emptied[s.Domain], m.Revision)
+		e.evacuations[s.Domain] = max(e.evacuations[s.Domain], m.Revision)
 	}
 }
 
-// caughtUp forgets what agents said of domains once the belief is as new as their word.
-func (e *Entry) caughtUp(v *belief.View) {
-	for domain, revision := range e.emptied {
+// expireEvacuations drops the reports of evacuations that are not newer than the view.
+func (e *Entry) expireEvacuations(v *belief.View) {
+	for domain, revision := range e.evacuations {
 		if revision <= v.Revision {
-			delete(e.emptied, domain)
+			delete(e.evacuations, domain)
 		}
 	}
 }
 
-// unservedWhy says why no server of a service takes a new flow.
-func (e *Entry) unservedWhy(v *belief.View, service string) string {
+// unservedReason returns the reason why no server of a service takes a new flow.
+func (e *Entry) unservedReason(v *belief.View, service string) string {
 	for _, s := range v.Servers(service) {
 		if e.evacuated(v, s.Domain) {
 			return "evacuated"
--- a/internal/node/edge/lost.go
+++ b/internal/node/edge/lost.go
@@ -11,54 +11,56 @@
 	"mangowinch/internal/oper/event"
 )
 
-// An agent that is lost, and the flows that it owned.
+// Resetting the flows of a failed agent.
 //
-// The failure: an instance beside a server loses power, freezes or is cut off from everybody. Callers' packets of its flows go
-// nowhere, and nobody tells the callers: each waits until its deadline, and of a pool of flows each next
-// one that is used is lost in the same way.
+// Failure: an instance beside a server loses power, freezes or is cut off from all others. Callers' packets
+// of its flows are lost and the callers don't learn of it. Each caller waits until its deadline, and in a
+// pool of flows every further flow that is used fails in the same way.
 //
-// The guard: data that comes again, or an opening packet without an answer, puts the agent in doubt, and it is asked directly and by way of
-// other agents. When four rounds have had no answer, the agent is lost, and the callers of its flows that this
-// entry knows are told by a reset: a request that may run twice runs elsewhere within its deadline, and a flow that
-// rests is not there to be used.
+// Guard: repeated data, or an opening packet without an answer, makes the agent suspected, and it is probed
+// directly and by way of other agents. After four unanswered rounds the agent has failed, and this entry
+// resets the flows of the agent that it knows. A request that may run twice then runs elsewhere within its
+// deadline, and an idle flow is no longer in the pool.
 //
-// Why it holds. A lost agent answers neither this entry nor the helpers for most of a second, so nothing that its server
-// sends reaches a caller either, since it goes by the agent. Package doubt says what looks alike and is no loss. Besides:
-//   - Another server holds the flow than the one that this entry was told first, as after a freeze: only flows whose owner is
-//     proved are told (owner.Places).
+// Why the guard is safe: a failed agent has answered neither this entry nor the helpers for most of a
+// second, so nothing that its server sends reaches a caller either, since it goes by way of the agent.
+// Package doubt lists what looks like a failure and is none. In addition:
+//   - A server other than the first that this entry recorded may hold the flow, as after a freeze. Only
+//     flows whose owner is confirmed are reset (owner.Places).
 
-// endingsPerTick paces the resets after a loss: 2,000 a second, so that those callers' next tries
-// don't come all at once to the servers that are left.
-const endingsPerTick = 100
+// resetsPerTick paces the resets after a failure to 2,000 a second, so that the next attempts of those
+// callers don't all reach the remaining servers at once.
+const resetsPerTick = 100
 
-// doubt notes that an agent has left a packet unanswered.
-func (e *Entry) doubt(now time.Time, agent netip.Addr) {
+// suspect records that an agent has left a packet unanswered.
+func (e *Entry) suspect(now time.Time, agent netip.Addr) {
 	if !e.Off.Lost && !e.Ctrl.Leaving(agent) {
-		e.doubted.Doubt(now, agent)
+		e.suspects.Suspect(now, agent)
 	}
 }
 
-// clear ends all doubt about an agent.
+// clear ends any suspicion of an agent.
 func (e *Entry) clear(now time.Time, agent netip.Addr) {
-	if e.doubted.Heard(now, agent) {
+	if e.suspects.MarkAlive(now, agent) {
 		e.Events.State("agent-back").Stringer("agent", agent).Send()
 	}
 }
 
-// watchDoubted asks the agents in doubt, and notes who is lost.
-func (e *Entry) watchDoubted(now time.Time) {
+// checkSuspects probes the suspected agents and queues the flows of agents that have failed to be reset.
+func (e *Entry) checkSuspects(now time.Time) {
 	v := e.Log.View()
-	exempt := func(agent netip.Addr) bool { return e.agents.Lost() || e.Ctrl.Leaving(agent) }
-	for _, agent := range e.doubted.Tick(now, v.Homes.Agents(), exempt) {
-		before := len(e.ending)
-		e.ending = append(e.ending, e.flows.Of(agent)...)
-		e.Events.State("agent-lost").Stringer("agent", agent).Int("flows", len(e.ending)-before).Stringer("revision", v.Revision).Send()
+	exempt := func(agent netip.Addr) bool { return e.reach.Lost() || e.Ctrl.Leaving(agent) }
+	for _, agent := range e.suspects.Tick(now, v.Homes.Agents(), exempt) {
+		before := len(e.toReset)
+		e.toReset = append(e.toReset, e.flows.Of(agent)...)
+		e.Events.State("agent-lost").Stringer("agent", agent).Int("flows", len(e.toReset)-before).Stringer("revision", v.Revision).Send()
 	}
 }
 
-// tellLost tells a home whom this entry knows to be lost: the home may be about to pass a packet on to one of them.
-func (e *Entry) tellLost(now time.Time, v *belief.View, home netip.Addr) {
-	list := e.doubted.Tell(now, home)
+// notifyFailed sends a home the agents that this entry knows to have failed, since the home may be about to
+// forward a packet to one of them.
+func (e *Entry) notifyFailed(now time.Time, v *belief.View, home netip.Addr) {
+	list := e.suspects.FailuresFor(now, home)
 	if len(list) == 0 {
 		return
 	}
@@ -67,27 +69,27 @@
 	e.Wire.ToPeer(home, e.buf)
 }
 
-// tellEnding tells some callers that their flows' agent is lost, if it still is.
-func (e *Entry) tellEnding(now time.Time) {
-	n := min(len(e.ending), endingsPerTick)
-	for _, f := range e.ending[:n] {
+// resetFailedFlows resets some of the queued flows, unless their agent is alive again.
+func (e *Entry) resetFailedFlows(now time.Time) {
+	n := min(len(e.toReset), resetsPerTick)
+	for _, f := range e.toReset[:n] {
 		p := e.flows.Get(f)
 		if p == nil {
 			continue
 		}
-		if e.doubted.Lost(p.Owner) {
-			e.end(now, f, p)
+		if e.suspects.Failed(p.Owner) {
+			e.reset(now, f, p)
 		}
 	}
-	e.ending = e.ending[n:]
+	e.toReset = e.toReset[n:]
 }
 
-// end resets an open flow and forgets it.
-func (e *Entry) end(now time.Time, f segs.Flow, p *owner.Places) {
+// reset resets an open flow and deletes it.
+func (e *Entry) reset(now time.Time, f segs.Flow, p *owner.Places) {
 	e.flows.Delete(f)
 	e.packet = e.Codec.Reset(e.packet[:0], segs.Segment{Flow: f, Flags: segs.Ack, Ack: p.Ack})
 	e.Wire.ToCaller(f.Caller, e.packet)
-	resets("lost")
+	countReset("lost")
 	age, _ := e.Ctrl.Age(now)
 	e.Events.Flow(event.Failure, "owner-lost", f).Stringer("agent", p.Owner).
 		Stringer("revision", e.Log.Revision()).Dur("age", age).Send()
--- a/internal/node/edge/peer.go
+++ b/internal/node/edge/peer.go
@@ -10,7 +10,7 @@
 	"mangowinch/internal/oper/event"
 )
 
-// FromPeer takes a message about flows from an agent. It says whether the message was one.
+// FromPeer handles a message about flows from an agent. It reports whether the message is of such a kind.
 func (e *Entry) FromPeer(now time.Time, from netip.Addr, h msgs.Head, rest []byte) bool {
 	var err error
 	e.mu.Lock()
@@ -21,19 +21,19 @@
 	case msgs.KindRefused:
 		err = msgs.Take(h, rest, msgs.ReadRefused, func(m msgs.Refused) { e.returned(now, from, m) })
 	case msgs.KindOwner:
-		err = msgs.Take(h, rest, msgs.ReadOwner, func(m msgs.Owner) { e.told(now, from, m) })
+		err = msgs.Take(h, rest, msgs.ReadOwner, func(m msgs.Owner) { e.recordOwner(now, from, m) })
 	default:
 		return false
 	}
 	if err != nil {
-		dropped("malformed")
+		countDropped("malformed")
 		return true
 	}
-	e.answered(from)
+	e.agentAnswered(from)
 	return true
 }
 
-// opened notes that a server accepted a flow.
+// opened records that a server accepted a flow.
 func (e *Entry) opened(now time.Time, from netip.Addr, m msgs.Opened) {
 	e.chooser.Accepted(from)
 	e.chooser.Report(now, from, m.Load)
@@ -42,14 +42,14 @@
 	}
 }
 
-// returned places an opening packet elsewhere that an agent handed back.
+// returned places an opening packet that an agent returned on another agent.
 func (e *Entry) returned(now time.Time, from netip.Addr, m msgs.Refused) {
 	s, err := e.Codec.Decode(m.Packet, segs.CallerEnd)
 	if err != nil {
-		dropped("malformed")
+		countDropped("malformed")
 		return
 	}
-	turnedBack(m.Why.String())
+	countReturned(m.Why.String())
 	e.Events.Flow(event.Failure, "turned-back", s.Flow).Stringer("agent", from).Stringer("why", m.Why).
 		Uint16("busy", m.Load.Busy).Uint16("flows", m.Load.Flows).Stringer("revision", m.Revision).Send()
 	e.chooser.Refused(now, from)
@@ -61,15 +61,15 @@
 		}
 	}
 	if m.Why == msgs.WhyBusy {
-		e.refuse(now, &s, "busy") // several agents were asked, and none can serve it in time
+		e.refuse(now, &s, "busy") // the request was offered to several agents, and none can serve it in time
 		return
 	}
 	p.Returned(from)
-	if p.Told || opened(p) {
-		return // another server has taken it meanwhile
+	if p.Told || lastOpened(p) {
+		return // another server has accepted the flow meanwhile
 	}
 	v := e.Log.View()
-	e.noteEvacuated(v, from, &m)
+	e.recordEvacuation(v, from, &m)
 	route := v.Route(s.Flow.Called())
 	if route == nil {
 		e.unrouted(now, v, &s)
@@ -81,13 +81,14 @@
 	e.place(now, v, route, p, &s, tried, m.Packet)
 }
 
-func opened(p *owner.Places) bool {
+// lastOpened reports whether the last agent that the flow was offered to has opened it.
+func lastOpened(p *owner.Places) bool {
 	last := p.Last()
 	return last != nil && last.Opened
 }
 
-// told takes the owner's word for where a flow is.
-func (e *Entry) told(now time.Time, from netip.Addr, m msgs.Owner) {
+// recordOwner records the location of a flow as its owner reports it.
+func (e *Entry) recordOwner(now time.Time, from netip.Addr, m msgs.Owner) {
 	if m.Gone {
 		e.flows.Delete(m.Flow)
 		return
--- a/internal/node/edge/place.go
+++ b/internal/node/edge/place.go
@@ -12,44 +12,44 @@
 	"mangowinch/internal/oper/event"
 )
 
-// open places a new flow, or a copy of an opening packet.
+// open places a new flow, or handles a copy of its opening packet.
 func (e *Entry) open(now time.Time, v *belief.View, route *belief.Route, s *segs.Segment, datagram []byte) {
-	if e.agents.Lost() {
+	if e.reach.Lost() {
 		e.refuse(now, s, "cut-off")
 		return
 	}
 	p := e.flows.Get(s.Flow)
 	if p == nil {
-		if !e.mayBegin(now, v, s, datagram) {
+		if !e.admit(now, v, s, datagram) {
 			return
 		}
 		if p = e.flows.Add(now, s.Flow); p == nil {
 			e.refuse(now, s, "full")
 			return
 		}
-	} else if last := p.Last(); last != nil && !e.again(now, p, last, s) {
+	} else if last := p.Last(); last != nil && !e.retryElsewhere(now, p, last, s) {
 		p.Used = now
-		e.carry(v, last.Agent, datagram)
+		e.forwardTo(v, last.Agent, datagram)
 		return
 	}
 	p.Used = now
 	e.place(now, v, route, p, s, p.Tried(), datagram)
 }
 
-// again says whether a copy of an opening packet goes to another agent than the
-// last one, because nothing answered. The one that did not answer gets no new flows for a while.
-func (e *Entry) again(now time.Time, p *owner.Places, last *owner.Candidate, s *segs.Segment) bool {
+// retryElsewhere reports whether a copy of an opening packet is offered to an agent other than the last
+// one, because the last one has not answered. That agent gets no new flows for a while.
+func (e *Entry) retryElsewhere(now time.Time, p *owner.Places, last *owner.Candidate, s *segs.Segment) bool {
 	if last.Opened || p.Told {
-		return false // the answer was lost, or is on its way
+		return false // the answer to the caller was lost or is still in transit
 	}
 	e.chooser.Silent(now, last.Agent)
-	e.doubt(now, last.Agent)
-	silent.Inc()
+	e.suspect(now, last.Agent)
+	unanswered.Inc()
 	e.Events.Flow(event.Failure, "unanswered", s.Flow).Stringer("agent", last.Agent).Uint32("copy", s.Ack).Send()
 	return p.Tries < maxTries
 }
 
-// place sends an opening packet to the agent that is best now, none of those tried.
+// place sends an opening packet to the best agent that has not been tried.
 func (e *Entry) place(now time.Time, v *belief.View, route *belief.Route, p *owner.Places, s *segs.Segment, tried []netip.Addr, datagram []byte) {
 	candidates := e.candidates(now, v, route, s.Flow)
 	agent, ok := e.chooser.Choose(now, candidates, tried)
@@ -61,7 +61,7 @@
 	p.Tries++
 	e.chooser.Placed(agent)
 	if !e.Off.Reach {
-		e.agents.Asked(now)
+		e.reach.Asked(now)
 	}
 	placed.Inc()
 	class := event.Ordinary
@@ -73,24 +73,24 @@
 	e.send(v, agent, msgs.Carry{Insist: p.HandedBack, Packet: datagram})
 }
 
-// unplaceable ends the search for a server for a new flow. While an agent may still answer, the
-// caller's next copy goes there again; otherwise the flow is refused.
+// unplaceable handles a new flow for which no further server is available. While an agent may still answer,
+// the caller's copy is sent to that agent again. Otherwise the flow is refused.
 func (e *Entry) unplaceable(now time.Time, v *belief.View, route *belief.Route, p *owner.Places, s *segs.Segment, datagram []byte, servers int) {
 	if last := p.Last(); last != nil {
-		e.carry(v, last.Agent, datagram)
+		e.forwardTo(v, last.Agent, datagram)
 		return
 	}
 	if servers == 0 {
-		e.refuse(now, s, e.unservedWhy(v, pick(route.Shares, s.Flow)))
+		e.refuse(now, s, e.unservedReason(v, pickService(route.Shares, s.Flow)))
 		return
 	}
 	e.refuse(now, s, "untaken")
 }
 
-// candidates lists the servers to which the route sends this flow. Of several services the
-// flow's hash picks one, so that copies by other entries go to the same.
+// candidates returns the servers to which the route sends this flow. If the route has several services, the
+// flow's hash selects one, so that copies that arrive by other entries go to the same service.
 func (e *Entry) candidates(now time.Time, v *belief.View, route *belief.Route, f segs.Flow) (list []steer.Candidate) {
-	for _, s := range v.Servers(pick(route.Shares, f)) {
+	for _, s := range v.Servers(pickService(route.Shares, f)) {
 		if s.State == belief.Unknown || e.evacuated(v, s.Domain) {
 			continue
 		}
@@ -100,14 +100,14 @@
 			Slots:    s.Slots,
 			Draining: s.State == belief.Draining || e.Ctrl.Leaving(s.Addr.Addr()),
 			Cold:     now.Before(e.cold[s.ID].until),
-			Lost:     e.doubted.Lost(s.Addr.Addr()),
+			Lost:     e.suspects.Failed(s.Addr.Addr()),
 		})
 	}
 	return list
 }
 
-// pick chooses one of the shares in proportion to their weights.
-func pick(shares []belief.Share, f segs.Flow) (service string) {
+// pickService selects one of the shares in proportion to their weights.
+func pickService(shares []belief.Share, f segs.Flow) (service string) {
 	total := 0
 	for _, s := range shares {
 		total += max(s.Weight, 0)
--- a/internal/node/edge/reach.go
+++ b/internal/node/edge/reach.go
@@ -8,81 +8,84 @@
 	"mangowinch/internal/node/doubt"
 )
 
-// An entry that is cut off from the rest of the system.
+// Detecting that the entry is cut off from the rest of the system.
 //
-// The failure: the way from an entry to all other processes breaks while callers and the routers still reach it. It
-// answers the routers' question whether it is ready, so they go on sending a zone's callers to it, and each of their packets is
-// lost: opening ones until the caller gives up after 1.4 s, three times over.
+// Failure: the path from an entry to all other processes breaks while callers and routers still reach the
+// entry. The entry still answers the routers' readiness checks, so they keep sending callers of its zone to
+// it, and each of their packets is lost. The opening packets are lost until the caller gives up after 1.4
+// s, three times in a row.
 //
-// The guard: an agent answers an opening packet at once, whether it takes the flow, lets it wait or hands it back. An
-// entry that gets no answer asks several agents whether they are alive, and if none of two rounds is answered, it
-// is not ready and refuses new flows: the caller's next try comes by another entry. Other entries say nothing about it, as
-// those behind the same cut go on hearing each other, nor do beacons, which still come if only what the entry sends is lost.
+// Guard: an agent answers an opening packet at once, whether it accepts, queues or returns the flow. An
+// entry that gets no answer probes several agents. If none of two rounds is answered, the entry becomes not
+// ready and refuses new flows, and the caller's next attempt arrives by another entry. Messages from other
+// entries don't count, because entries behind the same cut still receive each other's. Nor do beacons,
+// which still arrive if only what the entry sends is lost.
 
-// cutOff is when an entry takes itself for cut off: 0.55 s after the first opening packet that nobody answered. Answers take 2 ms between
-// domains, 20 ms between regions, and some 100 ms through a full link.
-var cutOff = detect.Bounds{Doubt: 150 * time.Millisecond, Wait: 200 * time.Millisecond, Checks: 2}
+// reachBounds declares the entry cut off 0.55 s after the first opening packet that no agent answered.
+// Answers take 2 ms between failure domains, 20 ms between regions, and about 100 ms through a full link.
+var reachBounds = detect.Bounds{Doubt: 150 * time.Millisecond, Wait: 200 * time.Millisecond, Checks: 2}
 
-// askAgents is how many agents are asked in a round: with a hundredth of the packets lost each way, a round of
-// four goes unanswered once in six million.
-const askAgents = 4
+// probeFanout is the number of agents that are probed in a round. With 1% of the packets lost in each
+// direction, all four probes of a round go unanswered once in six million rounds.
+const probeFanout = 4
 
-// Heard notes that another process is alive: a message has come from it, or from one that has heard it.
-func (e *Entry) Heard(now time.Time, from netip.Addr) {
+// ProcessAlive records that another process is alive, because a message arrived from it or from a process
+// that has received one from it.
+func (e *Entry) ProcessAlive(now time.Time, from netip.Addr) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if _, ok := e.Log.View().Server(from); ok && e.agents.InDoubt() {
-		e.Vouch.Ask(from, nil, doubt.NoRound) // an agent that greets others has just started
+	if _, ok := e.Log.View().Server(from); ok && e.reach.InDoubt() {
+		e.Prober.Probe(from, nil, doubt.NoRound) // the agent may just have started
 	}
 	e.clear(now, from)
 }
 
-// Answered notes that another process has answered a question of a round.
-func (e *Entry) Answered(now time.Time, from netip.Addr, round uint32) {
+// ProbeAnswered records that another process has answered a probe of a round.
+func (e *Entry) ProbeAnswered(now time.Time, from netip.Addr, round uint32) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.doubted.Answered(now, from, round)
-	e.answered(from)
+	e.suspects.Acked(now, from, round)
+	e.agentAnswered(from)
 }
 
-// answered notes that another process has answered something that this entry sent.
-func (e *Entry) answered(from netip.Addr) {
+// agentAnswered records that another process has answered something that this entry sent.
+func (e *Entry) agentAnswered(from netip.Addr) {
 	if _, ok := e.Log.View().Server(from); !ok {
 		return
 	}
-	if e.agents.Heard() {
+	if e.reach.Heard() {
 		e.Events.State("reached").Send()
 	}
 }
 
-// Reaches says whether agents answer the entry.
-func (e *Entry) Reaches() bool {
+// ReachesAgents reports whether agents answer this entry.
+func (e *Entry) ReachesAgents() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return !e.agents.Lost()
+	return !e.reach.Lost()
 }
 
-// watch asks agents when they are silent.
-func (e *Entry) watch(now time.Time) {
-	switch e.agents.Tick(now, detect.Open) {
+// checkReach probes some agents if opening packets have gone unanswered.
+func (e *Entry) checkReach(now time.Time) {
+	switch e.reach.Tick(now, detect.Open) {
 	case detect.Check:
-		for _, a := range e.some(e.Log.View().Homes.Agents(), askAgents) {
-			e.Vouch.Ask(a, nil, doubt.NoRound)
+		for _, a := range e.sample(e.Log.View().Homes.Agents(), probeFanout) {
+			e.Prober.Probe(a, nil, doubt.NoRound)
 		}
-		asks.Inc()
+		reachProbes.Inc()
 	case detect.Lost:
 		e.Events.State("cut-off").Int("agents", len(e.Log.View().Homes.Agents())).Send()
 	case detect.Fine:
 	}
 }
 
-// some picks at most n of the addresses at random.
-func (e *Entry) some(all []netip.Addr, n int) (picked []netip.Addr) {
+// sample returns at most n of the addresses, selected at random.
+func (e *Entry) sample(all []netip.Addr, n int) (sampled []netip.Addr) {
 	for _, i := range e.Rand.Perm(len(all)) {
-		if len(picked) == n {
+		if len(sampled) == n {
 			break
 		}
-		picked = append(picked, all[i])
+		sampled = append(sampled, all[i])
 	}
-	return picked
+	return sampled
 }
--- a/internal/node/entry/entry.go
+++ b/internal/node/entry/entry.go
@@ -40,28 +40,28 @@
 const (
 	// refreshEvery bounds how long a snapshot shows a belief that time has ended.
 	refreshEvery = 500 * time.Millisecond
-	// quietTime without a caller's datagram ends a planned stop. The fabric
+	// stopIdle without a caller's datagram ends a planned stop. The fabric
 	// takes seconds to send no more; a flow that is only idle comes by another entry.
-	quietTime = 3 * time.Second
-	// stopTime bounds a planned stop when the fabric never stops sending.
-	stopTime = 60 * time.Second
+	stopIdle = 3 * time.Second
+	// stopTimeout bounds a planned stop when the fabric never stops sending.
+	stopTimeout = 60 * time.Second
 )
 
 // Entry is one running entry.
 type Entry struct {
-	settings *prefs.Settings
-	store    *store.Store
-	log      zerolog.Logger
-	link     *net.UDPConn
-	leaving  atomic.Bool
-	lastUsed stamp.Time // the last caller's datagram
-	hooks    Hooks
+	settings     *prefs.Settings
+	store        *store.Store
+	log          zerolog.Logger
+	link         *net.UDPConn
+	leaving      atomic.Bool
+	lastDatagram stamp.Time // the last caller's datagram
+	hooks        Hooks
 
 	// mu guards services and doors while the set of services changes. Datagrams
 	// are forwarded from tags and from a door's own pointer, without the lock.
 	mu       sync.Mutex
 	services map[string]*service
-	doors    map[netip.AddrPort]*door
+	sockets  map[netip.AddrPort]*serviceSocket
 	tags     atomic.Pointer[map[uint64]*service]
 }
 
@@ -83,7 +83,7 @@
 	if settings.Entry == nil {
 		return nil, errors.New("the settings have no section entry")
 	}
-	link, err := sock.UDP(context.Background(), settings.Entry.Link, sock.Alone)
+	link, err := sock.UDP(context.Background(), settings.Entry.Link, sock.Exclusive)
 	if err != nil {
 		return nil, err
 	}
@@ -93,7 +93,7 @@
 		log:      log,
 		link:     link,
 		services: make(map[string]*service),
-		doors:    make(map[netip.AddrPort]*door),
+		sockets:  make(map[netip.AddrPort]*serviceSocket),
 	}
 	e.tags.Store(&map[uint64]*service{})
 	return e, nil
@@ -108,16 +108,16 @@
 	defer stop()
 	g.Go(func() error { return e.readLink(inner) })
 	g.Go(func() error {
-		e.keepServices(inner)
+		e.syncServices(inner)
 		return nil
 	})
 	g.Go(func() error {
-		awake.Watch(inner, func(pause time.Duration) { e.woken(inner, pause) })
+		awake.Watch(inner, func(pause time.Duration) { e.onWake(inner, pause) })
 		return nil
 	})
 	g.Go(func() error {
 		<-ctx.Done()
-		e.leave(inner)
+		e.drain(inner)
 		stop()
 		e.link.Close()
 		return nil
@@ -125,20 +125,20 @@
 	return g.Wait()
 }
 
-// leave waits until callers' datagrams stop coming. A balancer that closed its
+// drain waits until callers' datagrams stop coming. A balancer that closed its
 // sockets at once would lose what the fabric still sends to it.
-func (e *Entry) leave(ctx context.Context) {
+func (e *Entry) drain(ctx context.Context) {
 	e.leaving.Store(true)
 	e.log.Info().Msg("leaving: forwarding goes on until the fabric sends nothing more")
 	started := time.Now()
-	for time.Since(started) < stopTime {
+	for time.Since(started) < stopTimeout {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(quietTime / 10):
+		case <-time.After(stopIdle / 10):
 		}
-		quiet := e.lastUsed.Since(time.Now())
-		if quiet > quietTime && time.Since(started) > quietTime {
+		quiet := e.lastDatagram.Since(time.Now())
+		if quiet > stopIdle && time.Since(started) > stopIdle {
 			break
 		}
 	}
--- a/internal/node/entry/inward.go
+++ b/internal/node/entry/inward.go
@@ -18,13 +18,13 @@
 	readSize = 2048
 	// readPause keeps a socket that fails each time from taking a processor.
 	readPause = 10 * time.Millisecond
-	// candidates is how many servers a flow's first datagrams name: the choice,
+	// maxCandidates is how many servers a flow's first datagrams name: the choice,
 	// and two more for agents that are leaving.
-	candidates = 3
+	maxCandidates = 3
 )
 
-// inward forwards the datagrams of one door. It belongs to one goroutine.
-type inward struct {
+// callerReader forwards the datagrams of one door. It belongs to one goroutine.
+type callerReader struct {
 	entry  *Entry
 	buffer [frame.MaxSize + readSize]byte
 	header [frame.MaxSize]byte
@@ -32,13 +32,13 @@
 	frame  frame.Header
 }
 
-// readDoor forwards what callers send to one address until the door is closed.
-func (e *Entry) readDoor(d *door) {
-	w := &inward{entry: e}
+// readSocket forwards what callers send to one address until the door is closed.
+func (e *Entry) readSocket(d *serviceSocket) {
+	w := &callerReader{entry: e}
 	for {
 		n, from, err := d.conn.ReadFromUDPAddrPort(w.buffer[frame.MaxSize:])
 		if err != nil {
-			if closed(err) {
+			if isClosed(err) {
 				return
 			}
 			// The kernel may report what became of an earlier datagram. Ending here
@@ -49,16 +49,16 @@
 		}
 		s := d.owner.Load()
 		s.count.received.Inc()
-		w.forward(time.Now(), s, s.now.Load(), from, n)
+		w.forward(time.Now(), s, s.current.Load(), from, n)
 	}
 }
 
-// closed says whether a read failed because the socket was closed here.
-func closed(err error) bool { return errors.Is(err, net.ErrClosed) }
+// isClosed says whether a read failed because the socket was closed here.
+func isClosed(err error) bool { return errors.Is(err, net.ErrClosed) }
 
 // forward sends the datagram of n bytes in the buffer to the server it belongs to.
-func (w *inward) forward(now time.Time, s *service, v *snapshot, from netip.AddrPort, n int) {
-	w.entry.lastUsed.Set(now)
+func (w *callerReader) forward(now time.Time, s *service, v *snapshot, from netip.AddrPort, n int) {
+	w.entry.lastDatagram.Set(now)
 	datagram := w.buffer[frame.MaxSize:][:n]
 	if n > frame.MaxPayload {
 		s.count.size.Inc()
@@ -66,7 +66,7 @@
 	}
 	h, err := packet.Parse(datagram)
 	if err != nil {
-		s.count.refuse(err)
+		s.count.countInvalid(err)
 		return
 	}
 	w.frame = frame.Header{
@@ -77,15 +77,15 @@
 		Caller:   netip.AddrPortFrom(from.Addr().Unmap(), from.Port()),
 		Entry:    w.entry.settings.Entry.Link,
 	}
-	if !w.address(now, s, v, datagram, h) {
+	if !w.selectServer(now, s, v, datagram, h) {
 		return
 	}
 	w.send(s, v, n)
 }
 
-// address finds the server: by the connection ID, or by rank. It reports false
+// selectServer finds the server: by the connection ID, or by rank. It reports false
 // when the datagram is dropped.
-func (w *inward) address(now time.Time, s *service, v *snapshot, datagram []byte, h packet.Header) bool {
+func (w *callerReader) selectServer(now time.Time, s *service, v *snapshot, datagram []byte, h packet.Header) bool {
 	owner, err := v.ring.Open(h.Destination)
 	if err == nil {
 		w.frame.Server = owner.Server
@@ -98,10 +98,10 @@
 		return false
 	}
 	if err := packet.CheckOpener(datagram, h); err != nil {
-		s.count.refuse(err)
+		s.count.countInvalid(err)
 		return false
 	}
-	c := v.table.Choose(w.ids[:0], route.Key(h.Destination), candidates)
+	c := v.table.Choose(w.ids[:0], route.Key(h.Destination), maxCandidates)
 	if len(c.Candidates) == 0 {
 		s.count.nobody.Inc()
 		return false
@@ -112,13 +112,13 @@
 		w.frame.Flags |= frame.Former
 	}
 	s.count.ranked.Inc()
-	s.opened(now, c.Server)
+	s.recordOpened(now, c.Server)
 	return true
 }
 
 // send puts the header right before the datagram in the buffer, so that nothing
 // is copied but the header.
-func (w *inward) send(s *service, v *snapshot, n int) {
+func (w *callerReader) send(s *service, v *snapshot, n int) {
 	agent, ok := v.agents[w.frame.Server]
 	if !ok {
 		// The server has left the document. Its flows ended with it.
@@ -143,8 +143,8 @@
 	return 0
 }
 
-// refuse counts a datagram that cannot be read.
-func (c *counters) refuse(err error) {
+// countInvalid counts a datagram that cannot be read.
+func (c *counters) countInvalid(err error) {
 	switch {
 	case errors.Is(err, packet.ErrOpener):
 		c.opener.Inc()
--- a/internal/node/entry/outward.go
+++ b/internal/node/entry/outward.go
@@ -30,11 +30,11 @@
 			}
 			return err
 		}
-		e.takeFrame(buffer[:n], &h, from)
+		e.handleFrame(buffer[:n], &h, from)
 	}
 }
 
-func (e *Entry) takeFrame(b []byte, h *frame.Header, from netip.AddrPort) {
+func (e *Entry) handleFrame(b []byte, h *frame.Header, from netip.AddrPort) {
 	tag, err := frame.Service(b)
 	if err != nil {
 		shortFrames.Inc()
@@ -45,7 +45,7 @@
 		strayFrames.Inc()
 		return
 	}
-	v := s.now.Load()
+	v := s.current.Load()
 	payload, err := frame.Parse(b, v.ring, h)
 	if err != nil {
 		s.count.forged.Inc()
@@ -53,12 +53,12 @@
 	}
 	now := time.Now()
 	if h.Revision > v.revision {
-		e.hint(now, s, from, h.Revision)
+		e.notifyNewer(now, s, from, h.Revision)
 	}
-	s.heard(now, h)
+	s.recordFrame(now, h)
 	switch h.Kind {
 	case frame.Return:
-		s.giveBack(h.Caller, payload)
+		s.sendToCaller(h.Caller, payload)
 	case frame.Probe:
 		e.echo(s, v, h, from)
 	default:
@@ -66,9 +66,9 @@
 	}
 }
 
-// giveBack sends a server's datagram to its caller from the service's address.
-func (s *service) giveBack(caller netip.AddrPort, payload []byte) {
-	d := s.door.Load()
+// sendToCaller sends a server's datagram to its caller from the service's address.
+func (s *service) sendToCaller(caller netip.AddrPort, payload []byte) {
+	d := s.socket.Load()
 	if d == nil {
 		s.count.unsent.Inc()
 		return
--- a/internal/node/entry/services.go
+++ b/internal/node/entry/services.go
@@ -21,10 +21,10 @@
 	"mangowinch/internal/node/stamp"
 )
 
-// beforeFor is how long the servers of the document before are asked about flows:
+// previousFor is how long the servers of the document before are asked about flows:
 // a handshake takes 10 s at most by our settings, and entries get a document
 // within 7 s of each other.
-const beforeFor = 17 * time.Second
+const previousFor = 17 * time.Second
 
 // leavingFor is how long a server's word that it leaves is believed after it was last
 // heard. A leaving server with flows repeats it in each frame. One that was started again
@@ -37,22 +37,22 @@
 
 // service is what the entry knows of one service.
 type service struct {
-	name  string
-	tag   uint64
-	now   atomic.Pointer[snapshot]
-	door  atomic.Pointer[door]
-	count counters
-	// hinted is the last call of Hooks.Newer.
-	hinted stamp.Time
+	name    string
+	tag     uint64
+	current atomic.Pointer[snapshot]
+	socket  atomic.Pointer[serviceSocket]
+	count   counters
+	// lastHint is the last call of Hooks.Newer.
+	lastHint stamp.Time
 
 	// mu guards the beliefs that snapshots are made of.
-	mu      sync.Mutex
-	watch   *route.Watch
-	weights *shift.Weights
-	stepped time.Time            // when weights last moved
-	leaving map[uint32]time.Time // when a server last said itself that it leaves
-	before  []route.Server
-	changed time.Time // when the servers last changed by document
+	mu              sync.Mutex
+	watch           *route.Watch
+	weights         *shift.Weights
+	lastStep        time.Time            // when weights last moved
+	leavingReported map[uint32]time.Time // when a server last said itself that it leaves
+	previous        []route.Server
+	serversChanged  time.Time // when the servers last changed by document
 }
 
 // snapshot is immutable.
@@ -64,8 +64,8 @@
 	agents   map[uint32]netip.AddrPort
 }
 
-// keepServices is the controller that makes services and doors what the documents say.
-func (e *Entry) keepServices(ctx context.Context) {
+// syncServices is the controller that makes services and doors what the documents say.
+func (e *Entry) syncServices(ctx context.Context) {
 	t := time.NewTicker(refreshEvery)
 	defer t.Stop()
 	for {
@@ -74,7 +74,7 @@
 		for waiting := true; waiting; {
 			select {
 			case <-ctx.Done():
-				e.closeDoors()
+				e.closeSockets()
 				return
 			case <-changed:
 				waiting = false
@@ -95,34 +95,34 @@
 			s = newService(d.Name)
 			e.services[d.Name] = s
 		}
-		if old := s.now.Load(); old == nil || old.revision != d.Revision {
-			e.take(s, d)
+		if old := s.current.Load(); old == nil || old.revision != d.Revision {
+			e.setDocument(s, d)
 		}
 	}
 	tags := make(map[uint64]*service, len(e.services))
 	for _, s := range e.services {
-		if s.now.Load() != nil {
+		if s.current.Load() != nil {
 			tags[s.tag] = s
 		}
 	}
 	e.tags.Store(&tags)
-	e.openDoors()
+	e.openSockets()
 }
 
 func newService(name string) *service {
 	return &service{
-		name:    name,
-		tag:     ident.ServiceTag(name),
-		watch:   route.NewWatch(),
-		weights: shift.New(shift.Default),
-		leaving: make(map[uint32]time.Time),
-		count:   newCounters(name),
+		name:            name,
+		tag:             ident.ServiceTag(name),
+		watch:           route.NewWatch(),
+		weights:         shift.New(shift.Default),
+		leavingReported: make(map[uint32]time.Time),
+		count:           newCounters(name),
 	}
 }
 
-// take makes a document the service's own. A document that names an unknown key
+// setDocument makes a document the service's own. A document that names an unknown key
 // leaves the last good one in force.
-func (e *Entry) take(s *service, d *store.Entry) {
+func (e *Entry) setDocument(s *service, d *store.Entry) {
 	ring, err := rings.New(e.settings.Keys, d.Service)
 	if err != nil {
 		s.count.unusable.Inc()
@@ -132,12 +132,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if old := s.now.Load(); old != nil && !slices.Equal(ids(old.document), ids(d.Service)) {
-		s.before = old.table.Now
-		s.changed = now
+	if old := s.current.Load(); old != nil && !slices.Equal(ids(old.document), ids(d.Service)) {
+		s.previous = old.table.Now
+		s.serversChanged = now
 	}
 	s.watch.Keep(ids(d.Service))
-	maps.DeleteFunc(s.leaving, func(id uint32, _ time.Time) bool {
+	maps.DeleteFunc(s.leavingReported, func(id uint32, _ time.Time) bool {
 		_, ok := d.Service.Server(id)
 		return !ok
 	})
@@ -171,16 +171,16 @@
 		d := &next.document.Servers[i]
 		next.table.Now = append(next.table.Now, route.Server{
 			ID:      d.ID,
-			Weight:  coarse(shares, d.ID),
-			Leaving: d.State == docs.Leaving || s.leaves(now, d.ID),
+			Weight:  coarseWeight(shares, d.ID),
+			Leaving: d.State == docs.Leaving || s.isLeaving(now, d.ID),
 			Silent:  s.watch.Silent(now, d.ID),
 		})
 	}
 	next.table.Before = nil
-	if now.Sub(s.changed) < beforeFor {
-		next.table.Before = s.before
+	if now.Sub(s.serversChanged) < previousFor {
+		next.table.Before = s.previous
 	}
-	s.now.Store(next)
+	s.current.Store(next)
 }
 
 func shiftServers(d *docs.Service) (list []shift.Server) {
@@ -191,10 +191,10 @@
 	return list
 }
 
-// coarse rounds a server's weight to steps of an eighth. Entries hear the same
+// coarseWeight rounds a server's weight to steps of an eighth. Entries hear the same
 // reports at different moments; with fine weights hardly two would rank all flows alike, and
 // the second datagram of a first flight would go another way more often.
-func coarse(shares []shift.Weight, id uint32) float64 {
+func coarseWeight(shares []shift.Weight, id uint32) float64 {
 	const steps = 8
 	for _, w := range shares {
 		if w.ID == id {
@@ -208,9 +208,9 @@
 func (e *Entry) refreshAll(now time.Time) {
 	for _, s := range *e.tags.Load() {
 		s.mu.Lock()
-		if now.Sub(s.stepped) >= shift.Default.Every {
+		if now.Sub(s.lastStep) >= shift.Default.Every {
 			s.weights.Step(now)
-			s.stepped = now
+			s.lastStep = now
 		}
 		s.refresh(now)
 		s.mu.Unlock()
@@ -219,39 +219,39 @@
 
 // refresh makes a snapshot anew from the beliefs of now. The caller holds s.mu.
 func (s *service) refresh(now time.Time) {
-	next := *s.now.Load()
+	next := *s.current.Load()
 	s.publish(now, &next)
 }
 
-// leaves says whether a server is believed to leave by its own word. The caller holds
+// isLeaving says whether a server is believed to leave by its own word. The caller holds
 // s.mu.
-func (s *service) leaves(now time.Time, server uint32) bool {
-	said, ok := s.leaving[server]
+func (s *service) isLeaving(now time.Time, server uint32) bool {
+	said, ok := s.leavingReported[server]
 	return ok && now.Sub(said) < leavingFor
 }
 
-// heard takes in what a server's frame says of the server.
-func (s *service) heard(now time.Time, h *frame.Header) {
+// recordFrame takes in what a server's frame says of the server.
+func (s *service) recordFrame(now time.Time, h *frame.Header) {
 	server, leaving := h.Server, h.Flags&frame.Leaving != 0
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, ok := s.now.Load().agents[server]; !ok {
+	if _, ok := s.current.Load().agents[server]; !ok {
 		return // of another document; what is believed is bounded by the one in force
 	}
 	changed := s.watch.Heard(now, server)
 	s.weights.Report(now, server, shift.Load{Demand: float64(h.Load) / loadScale, Leaving: leaving})
-	changed = changed || s.leaves(now, server) != leaving
-	delete(s.leaving, server)
+	changed = changed || s.isLeaving(now, server) != leaving
+	delete(s.leavingReported, server)
 	if leaving {
-		s.leaving[server] = now
+		s.leavingReported[server] = now
 	}
 	if changed {
 		s.refresh(now)
 	}
 }
 
-// opened notes that a flow was sent to a server.
-func (s *service) opened(now time.Time, server uint32) {
+// recordOpened notes that a flow was sent to a server.
+func (s *service) recordOpened(now time.Time, server uint32) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.watch.Opened(now, server) {
--- a/internal/node/entry/services_test.go
+++ b/internal/node/entry/services_test.go
@@ -26,15 +26,15 @@
 func TestLeavingIsNotBelievedForEver(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := twoServers(now)
-	s.heard(now, &frame.Header{Server: 1, Flags: frame.Leaving})
-	assert.Assert(t, s.now.Load().table.Now[0].Leaving)
+	s.recordFrame(now, &frame.Header{Server: 1, Flags: frame.Leaving})
+	assert.Assert(t, s.current.Load().table.Now[0].Leaving)
 	now = now.Add(leavingFor / 2)
-	s.heard(now, &frame.Header{Server: 1, Flags: frame.Leaving}) // it still has feeds
+	s.recordFrame(now, &frame.Header{Server: 1, Flags: frame.Leaving}) // it still has feeds
 	now = now.Add(leavingFor - 1)
 	s.refresh(now)
-	assert.Assert(t, s.now.Load().table.Now[0].Leaving)
+	assert.Assert(t, s.current.Load().table.Now[0].Leaving)
 	s.refresh(now.Add(1))
-	assert.Assert(t, !s.now.Load().table.Now[0].Leaving)
+	assert.Assert(t, !s.current.Load().table.Now[0].Leaving)
 }
 
 // Servers are replaced for months. What is believed of one that the document no longer
@@ -43,18 +43,18 @@
 	now := time.Unix(1000, 0)
 	s := twoServers(now)
 	for id := range uint32(1000) {
-		s.heard(now, &frame.Header{Server: id, Flags: frame.Leaving})
+		s.recordFrame(now, &frame.Header{Server: id, Flags: frame.Leaving})
 	}
-	assert.Equal(t, len(s.leaving), 2)
+	assert.Equal(t, len(s.leavingReported), 2)
 }
 
 // The kernel reports an error for one read. The address used to be read no more, and
 // each caller lost the datagrams that the fabric sent to this entry, for good.
 func TestReadErrorsEndOnlyAClosedDoor(t *testing.T) {
-	assert.Assert(t, !closed(&net.OpError{Op: "read", Err: net.UnknownNetworkError("refused")}))
+	assert.Assert(t, !isClosed(&net.OpError{Op: "read", Err: net.UnknownNetworkError("refused")}))
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
 	assert.NilError(t, err)
 	assert.NilError(t, conn.Close())
 	_, _, err = conn.ReadFromUDPAddrPort(make([]byte, 1))
-	assert.Assert(t, closed(err))
+	assert.Assert(t, isClosed(err))
 }
--- a/internal/node/entry/status.go
+++ b/internal/node/entry/status.go
@@ -42,13 +42,13 @@
 func (s *service) status() Service {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v := s.now.Load()
+	v := s.current.Load()
 	out := Service{Name: s.name, Revision: v.revision, Address: v.document.Address.String()}
 	for i, r := range v.table.Now {
 		d := &v.document.Servers[i]
 		server := Server{ID: d.ID, Name: d.Name, Agent: d.Agent, State: "serving", Weight: r.Weight}
 		switch {
-		case s.leaves(time.Now(), d.ID):
+		case s.isLeaving(time.Now(), d.ID):
 			server.State, server.Reason = "leaving", "its own word"
 		case r.Leaving:
 			server.State, server.Reason = "leaving", "document"
--- a/internal/node/gate/gate.go
+++ b/internal/node/gate/gate.go
@@ -59,9 +59,9 @@
 	once  sync.Once
 }
 
-// Leave gives the slot back after work whose time is a measure of the class. Only the
+// Release gives the slot back after work whose time is a measure of the class. Only the
 // first call of Leave or Fail counts.
-func (p *Pass) Leave() { p.end(time.Since(p.since)) }
+func (p *Pass) Release() { p.end(time.Since(p.since)) }
 
 // Fail gives the slot back after work that failed or was broken off. Its time measures
 // nothing: a server that fails each request at once would seem fast, and be given more
@@ -72,7 +72,7 @@
 	p.once.Do(func() {
 		p.gate.mu.Lock()
 		defer p.gate.mu.Unlock()
-		p.gate.carry(p.gate.admit.Done(time.Now(), p.id, took))
+		p.gate.apply(p.gate.admit.Done(time.Now(), p.id, took))
 	})
 }
 
@@ -91,7 +91,7 @@
 	if res, ended := g.cancel(id, turn); ended {
 		// A slot was given in the moment the caller went away; it goes back.
 		if pass, _ := g.pass(id, res); pass != nil {
-			pass.Leave()
+			pass.Release()
 		}
 	}
 	return nil, result.Result{Outcome: result.NotRun, Reason: result.Gone}
@@ -121,7 +121,7 @@
 		turn = nil
 		refused = result.Result{Outcome: result.NotRun, Reason: d.Reason, After: d.After}
 	}
-	g.carry(admit.Change{}) // the next expiry may be this request's
+	g.apply(admit.Change{}) // the next expiry may be this request's
 	return id, turn, refused
 }
 
@@ -135,18 +135,18 @@
 	default:
 	}
 	delete(g.waiting, id)
-	g.carry(g.admit.Cancel(time.Now(), id))
+	g.apply(g.admit.Cancel(time.Now(), id))
 	return result.Result{}, false
 }
 
-// carry tells requests what has become of them, and sets the timer for the next
+// apply tells requests what has become of them, and sets the timer for the next
 // one that time ends. The caller holds g.mu.
-func (g *Gate) carry(c admit.Change) {
+func (g *Gate) apply(c admit.Change) {
 	for _, id := range c.Started {
-		g.tell(id, result.Result{Outcome: result.Ran})
+		g.deliver(id, result.Result{Outcome: result.Ran})
 	}
 	for _, r := range c.Refused {
-		g.tell(r.ID, result.Result{Outcome: result.NotRun, Reason: r.Reason, After: r.After})
+		g.deliver(r.ID, result.Result{Outcome: result.NotRun, Reason: r.Reason, After: r.After})
 	}
 	next := g.admit.NextExpiry()
 	if next.Equal(g.expiry) {
@@ -161,7 +161,7 @@
 	}
 }
 
-func (g *Gate) tell(id uint64, res result.Result) {
+func (g *Gate) deliver(id uint64, res result.Result) {
 	if turn := g.waiting[id]; turn != nil {
 		turn <- res // has room for one, and is told once
 		delete(g.waiting, id)
@@ -172,14 +172,14 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.expiry = time.Time{}
-	g.carry(g.admit.Expire(time.Now()))
+	g.apply(g.admit.Expire(time.Now()))
 }
 
 // SetLimits puts a new document in force.
 func (g *Gate) SetLimits(l admit.Limits) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.carry(g.admit.SetLimits(time.Now(), l))
+	g.apply(g.admit.SetLimits(time.Now(), l))
 }
 
 // Drain ends all waiting as not run, so that it can be placed elsewhere at once.
@@ -190,12 +190,12 @@
 	for _, id := range g.admit.Drain() {
 		c.Refused = append(c.Refused, admit.Refused{ID: id, Reason: result.LeavingServer})
 	}
-	g.carry(c)
+	g.apply(c)
 }
 
-// After is when a caller is to come back whose request the gate did not refuse itself;
+// RetryAfter is when a caller is to come back whose request the gate did not refuse itself;
 // it counts as refused.
-func (g *Gate) After() time.Duration {
+func (g *Gate) RetryAfter() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.admit.After(time.Now())
--- a/internal/node/local/caller.go
+++ b/internal/node/local/caller.go
@@ -270,7 +270,7 @@
 		return
 	}
 	if owner, ok := a.home.Find(s.Flow, s.Ack); ok && owner != a.Self {
-		if a.doubted.Lost(owner) {
+		if a.doubted.Failed(owner) {
 			a.searchFor(now, m, s)
 			return
 		}
--- a/internal/node/local/local.go
+++ b/internal/node/local/local.go
@@ -60,7 +60,7 @@
 	Backend netip.AddrPort
 	Log     *belief.Log
 	Ctrl    Control
-	Vouch   doubt.Voucher // its answers come to Agent.Heard
+	Vouch   doubt.Prober // its answers come to Agent.Heard
 	Codec   segs.Codec
 	Callers segs.Callers
 	Wire    Wire
@@ -106,7 +106,7 @@
 	probes   map[segs.Flow]probe
 	searches map[segs.Flow]*search // as the home of flows
 	rounds   *seek.Rounds          // as a lead
-	doubted  *doubt.Watch          // agents that have left something unanswered
+	doubted  *doubt.Monitor        // agents that have left something unanswered
 	passed   map[segs.Flow]passing // as the home: packets on their way to owners in doubt
 	leaving  bool
 	breaker  trip.Breaker
--- a/internal/node/local/peer.go
+++ b/internal/node/local/peer.go
@@ -31,7 +31,7 @@
 	case msgs.KindFound:
 		err = msgs.Take(h, rest, msgs.ReadFound, func(m msgs.Found) { a.found(now, from, m) })
 	case msgs.KindLost:
-		err = msgs.Take(h, rest, msgs.ReadLost, func(m msgs.Lost) { a.doubted.Told(now, m.Agents) })
+		err = msgs.Take(h, rest, msgs.ReadLost, func(m msgs.Lost) { a.doubted.LearnFailed(now, m.Agents) })
 	default:
 		return false
 	}
--- a/internal/node/opaque/agent.go
+++ b/internal/node/opaque/agent.go
@@ -13,9 +13,9 @@
 	"mangowinch/internal/node/local"
 )
 
-// settleFor is how long an agent that is being stopped waits at most for the requests under way. Its
+// drainTimeout is how long an agent that is being stopped waits at most for the requests under way. Its
 // server's flows go on when it is back, so a long wait buys nothing.
-const settleFor = 1500 * time.Millisecond
+const drainTimeout = 1500 * time.Millisecond
 
 // Agent runs an agent until ctx ends and its planned stop is done.
 func Agent(ctx context.Context, s *carry.Settings, a Adapter, out io.Writer) (err error) {
@@ -35,7 +35,7 @@
 		Backend: s.Agent.Backend,
 		Log:     p.log,
 		Ctrl:    p.follow,
-		Vouch:   p.vouch,
+		Vouch:   p.prober,
 		Codec:   a.Codec,
 		Callers: a.Callers,
 		Wire:    p.sockets,
@@ -46,8 +46,8 @@
 		Rand:    newRand(),
 		Off:     s.Without,
 	})
-	p.vouch.OnAlive, p.vouch.OnAnswer = g.Heard, g.Answered
-	p.admin.Section("belief", func() any { return p.belief() })
+	p.prober.OnAlive, p.prober.OnAnswer = g.Heard, g.Answered
+	p.admin.Section("belief", func() any { return p.status() })
 	p.admin.Section("load", func() any { return g.Load(time.Now()) })
 	staying := p.admin.Condition("staying")
 	staying.Set(true, "")
@@ -61,7 +61,7 @@
 			staying.Set(false, "planned stop")
 			g.Leave(time.Now())
 			p.follow.Leave()
-			waitIdle(g, min(settleFor, s.Bounds.Stop-stopReserve))
+			waitNoRequests(g, min(drainTimeout, s.Bounds.Stop-stopReserve))
 		},
 		func() error { return readErrors(p.sockets.backend, g.ServerDown) },
 		func() error {
@@ -71,11 +71,11 @@
 	)
 }
 
-// waitIdle returns when no request is under way, or after limit.
-func waitIdle(g *local.Agent, limit time.Duration) {
+// waitNoRequests returns when no request is under way, or after limit.
+func waitNoRequests(g *local.Agent, limit time.Duration) {
 	began := time.Now()
 	for time.Since(began) < limit {
-		time.Sleep(stopStep)
+		time.Sleep(stopPollEvery)
 		if g.Load(time.Now()).Busy == 0 {
 			return
 		}
--- a/internal/node/opaque/entry.go
+++ b/internal/node/opaque/entry.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// quietFor without a caller's packet ends an entry's planned stop: the fabric asks for
+	// stopIdle without a caller's packet ends an entry's planned stop: the fabric asks for
 	// readiness twice a second and takes an instance out after two misses.
-	quietFor = 1500 * time.Millisecond
+	stopIdle = 1500 * time.Millisecond
 	// stopReserve is left of the time for a planned stop, so that the process ends by itself.
 	stopReserve = 500 * time.Millisecond
-	// stopStep is how often a planned stop looks whether it is done.
-	stopStep = 50 * time.Millisecond
+	// stopPollEvery is how often a planned stop looks whether it is done.
+	stopPollEvery = 50 * time.Millisecond
 )
 
 // Entry runs an entry until ctx ends and its planned stop is done.
@@ -31,7 +31,7 @@
 		return errors.New("the settings have no section entry")
 	}
 	var e *edge.Entry
-	p, err := newProcess(ctx, s, a, msgs.Entry, out, func() { e.Changed(time.Now()) })
+	p, err := newProcess(ctx, s, a, msgs.Entry, out, func() { e.ViewChanged(time.Now()) })
 	if err != nil {
 		return err
 	}
@@ -40,7 +40,7 @@
 		Domain:  s.Process.Domain,
 		Log:     p.log,
 		Ctrl:    p.follow,
-		Vouch:   p.vouch,
+		Prober:  p.prober,
 		Codec:   a.Codec,
 		Callers: a.Callers,
 		Rate:    s.Rate,
@@ -51,31 +51,31 @@
 		Rand:    newRand(),
 		Off:     s.Without,
 	})
-	p.admin.Section("belief", func() any { return p.belief() })
+	p.admin.Section("belief", func() any { return p.status() })
 	p.admin.Section("flows", func() any { return e.Len() })
-	p.vouch.OnAlive, p.vouch.OnAnswer = e.Heard, e.Answered
+	p.prober.OnAlive, p.prober.OnAnswer = e.ProcessAlive, e.ProbeAnswered
 	staying, known, reaching := p.admin.Condition("staying"), p.admin.Condition("configuration"), p.admin.Condition("reach")
 	staying.Set(true, "")
 	reaching.Set(true, "")
 	known.Set(false, "no configuration yet")
-	var used stamp.Time // the last caller's packet
+	var lastPacket stamp.Time // the last caller's packet
 	return p.serve(ctx,
 		func(now time.Time) {
 			e.Tick(now)
 			if v := p.log.View(); v.Config != nil && len(v.Homes.Agents()) > 0 {
 				known.Set(true, "")
 			}
-			reaching.Set(e.Reaches(), "no agent answers")
+			reaching.Set(e.ReachesAgents(), "no agent answers")
 		},
 		func(*carry.Settings) {},
 		func() {
 			staying.Set(false, "planned stop")
 			p.follow.Leave()
-			waitQuiet(&used, s.Bounds.Stop-stopReserve)
+			waitNoPackets(&lastPacket, s.Bounds.Stop-stopReserve)
 		},
 		func() error {
 			return read(p.sockets.callers, func(now time.Time, _ netip.Addr, datagram []byte) {
-				used.Set(now)
+				lastPacket.Set(now)
 				e.FromCaller(now, datagram)
 			})
 		},
@@ -83,13 +83,13 @@
 	)
 }
 
-// waitQuiet returns when callers' packets have stopped coming, or after limit. An entry that
+// waitNoPackets returns when callers' packets have stopped coming, or after limit. An entry that
 // closed its sockets at once would lose what the fabric still sends to it.
-func waitQuiet(used *stamp.Time, limit time.Duration) {
+func waitNoPackets(lastPacket *stamp.Time, limit time.Duration) {
 	began := time.Now()
 	for time.Since(began) < limit {
-		time.Sleep(stopStep)
-		if time.Since(began) > quietFor && used.Since(time.Now()) > quietFor {
+		time.Sleep(stopPollEvery)
+		if time.Since(began) > stopIdle && lastPacket.Since(time.Now()) > stopIdle {
 			return
 		}
 	}
--- a/internal/node/opaque/entry_test.go
+++ b/internal/node/opaque/entry_test.go
@@ -22,9 +22,9 @@
 				time.Sleep(50 * time.Millisecond)
 			}
 		}()
-		waitQuiet(&used, 5*time.Second)
+		waitNoPackets(&used, 5*time.Second)
 		took := time.Since(began)
-		assert.Assert(t, took > time.Second+quietFor-2*stopStep && took < time.Second+quietFor+2*stopStep, "%s", took)
+		assert.Assert(t, took > time.Second+stopIdle-2*stopPollEvery && took < time.Second+stopIdle+2*stopPollEvery, "%s", took)
 	})
 }
 
@@ -44,8 +44,8 @@
 			}
 		}()
 		began := time.Now()
-		waitQuiet(&used, 5*time.Second)
+		waitNoPackets(&used, 5*time.Second)
 		close(done)
-		assert.Assert(t, time.Since(began) <= 5*time.Second+stopStep)
+		assert.Assert(t, time.Since(began) <= 5*time.Second+stopPollEvery)
 	})
 }
--- a/internal/node/opaque/messages_test.go
+++ b/internal/node/opaque/messages_test.go
@@ -28,7 +28,7 @@
 func newTestProcess(out io.Writer) *process {
 	events := event.New(out, "entry", "entry-1")
 	log := belief.New()
-	return &process{events: events, vouch: vouch.New(netip.Addr{}, nil), log: log, follow: follow.New(follow.Config{
+	return &process{events: events, prober: vouch.New(netip.Addr{}, nil), log: log, follow: follow.New(follow.Config{
 		Self:   netip.MustParseAddr("10.0.0.1"),
 		Role:   msgs.Entry,
 		Log:    log,
@@ -81,13 +81,13 @@
 	from := netip.MustParseAddr("10.0.0.2")
 	taken := 0
 	take := func(time.Time, netip.Addr, msgs.Head, []byte) bool { taken++; return true }
-	assert.NilError(t, p.took(time.Now(), from, msgs.Head{Kind: msgs.KindOpened}, nil, take))
+	assert.NilError(t, p.handle(time.Now(), from, msgs.Head{Kind: msgs.KindOpened}, nil, take))
 	assert.Equal(t, taken, 1)
 
 	beacon := msgs.Beacon{Role: msgs.Entry, Age: 5}
 	h, rest, err := msgs.ReadHead(beacon.AppendTo(nil))
 	assert.NilError(t, err)
-	assert.NilError(t, p.took(time.Now(), from, h, rest, take))
+	assert.NilError(t, p.handle(time.Now(), from, h, rest, take))
 	assert.Equal(t, taken, 1)
 	assert.DeepEqual(t, p.follow.Entries(), []netip.Addr{from}, cmpopts.EquateComparable(netip.Addr{}))
 }
--- a/internal/node/opaque/opaque.go
+++ b/internal/node/opaque/opaque.go
@@ -54,7 +54,7 @@
 	admin    *admin.Server
 	metrics  *admin.Server // nil: none
 	sockets  *sockets
-	vouch    *vouch.Node
+	prober   *vouch.Node
 	started  time.Time
 }
 
@@ -85,7 +85,7 @@
 		Bound:   s.Bounds.Change,
 		Changed: changed,
 	})
-	p.vouch = vouch.New(s.Link.Addr(), p.sockets.ToPeer)
+	p.prober = vouch.New(s.Link.Addr(), p.sockets.ToPeer)
 	p.admin = admin.New(s.Process.Operator, p.events.Logger())
 	if s.Process.Metrics.IsValid() {
 		p.metrics = admin.New(s.Process.Metrics, p.events.Logger())
@@ -181,7 +181,7 @@
 	Evacuated []string `json:"evacuated,omitempty"` // failure domains
 }
 
-func (p *process) belief() Belief {
+func (p *process) status() Belief {
 	v := p.log.View()
 	age := "unknown"
 	if d, ok := p.follow.Age(time.Now()); ok {
--- a/internal/node/opaque/reload.go
+++ b/internal/node/opaque/reload.go
@@ -39,7 +39,7 @@
 			continue
 		}
 		bad = ""
-		if same(p.settings, s) {
+		if sameSettings(p.settings, s) {
 			continue
 		}
 		p.events.State("settings-changed").Send()
@@ -49,8 +49,8 @@
 	}
 }
 
-// same says whether two settings say the same.
-func same(a, b *carry.Settings) bool {
+// sameSettings says whether two settings say the same.
+func sameSettings(a, b *carry.Settings) bool {
 	if a.Process != b.Process || a.Platform != b.Platform || a.Link != b.Link || a.LinkBind != b.LinkBind || a.Bounds != b.Bounds || len(a.Seeds) != len(b.Seeds) {
 		return false
 	}
--- a/internal/node/opaque/sockets.go
+++ b/internal/node/opaque/sockets.go
@@ -17,13 +17,13 @@
 
 // sockets are the sockets of one process; those of the other role are nil.
 type sockets struct {
-	link     *net.UDPConn // between processes
-	fetches  net.Listener // TCP at the same address
-	callers  *net.UDPConn // entry: callers' packets come here; agent: callers are answered from here
-	servers  *net.UDPConn // what the server sends
-	backend  *net.UDPConn // connected to the server, so that a closed port shows
-	port     uint16       // of the link, the same everywhere
-	answerTo uint16       // the port at which callers get packets
+	link       *net.UDPConn // between processes
+	fetches    net.Listener // TCP at the same address
+	callers    *net.UDPConn // entry: callers' packets come here; agent: callers are answered from here
+	servers    *net.UDPConn // what the server sends
+	backend    *net.UDPConn // connected to the server, so that a closed port shows
+	port       uint16       // of the link, the same everywhere
+	callerPort uint16       // the port at which callers get packets
 }
 
 // packetSize bounds a datagram: a packet of 1,232 bytes and the largest message around it.
@@ -31,22 +31,22 @@
 
 func openSockets(ctx context.Context, s *carry.Settings) (k *sockets, err error) {
 	k = &sockets{port: s.Link.Port()}
-	if k.link, err = sock.UDP(ctx, s.LinkBind, sock.Alone); err != nil {
+	if k.link, err = sock.UDP(ctx, s.LinkBind, sock.Exclusive); err != nil {
 		return nil, err
 	}
-	if k.fetches, err = sock.TCP(ctx, s.LinkBind, sock.Alone); err != nil {
+	if k.fetches, err = sock.TCP(ctx, s.LinkBind, sock.Exclusive); err != nil {
 		return nil, err
 	}
 	if s.Entry != nil {
-		k.answerTo = s.Entry.Bind.Port()
-		k.callers, err = sock.UDP(ctx, s.Entry.Bind, sock.Alone)
+		k.callerPort = s.Entry.Bind.Port()
+		k.callers, err = sock.UDP(ctx, s.Entry.Bind, sock.Exclusive)
 		return k, err
 	}
-	k.answerTo = s.Agent.Caller.Port()
-	if k.callers, err = sock.UDP(ctx, s.Agent.Caller, sock.Alone); err != nil {
+	k.callerPort = s.Agent.Caller.Port()
+	if k.callers, err = sock.UDP(ctx, s.Agent.Caller, sock.Exclusive); err != nil {
 		return nil, err
 	}
-	if k.servers, err = sock.UDP(ctx, s.Agent.Listen, sock.Alone); err != nil {
+	if k.servers, err = sock.UDP(ctx, s.Agent.Listen, sock.Exclusive); err != nil {
 		return nil, err
 	}
 	k.backend, err = net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(s.Agent.Backend))
@@ -71,7 +71,7 @@
 
 // ToCaller sends a packet to a caller.
 func (k *sockets) ToCaller(caller [4]byte, packet []byte) {
-	_, err := k.callers.WriteToUDPAddrPort(packet, netip.AddrPortFrom(netip.AddrFrom4(caller), k.answerTo))
+	_, err := k.callers.WriteToUDPAddrPort(packet, netip.AddrPortFrom(netip.AddrFrom4(caller), k.callerPort))
 	countSend("caller", err)
 }
 
--- a/internal/node/opaque/traffic.go
+++ b/internal/node/opaque/traffic.go
@@ -13,15 +13,15 @@
 const (
 	// sampleEvery is the span whose busiest one is told.
 	sampleEvery = time.Second
-	// samplesTold is how many spans are told in one line.
-	samplesTold = 10
+	// samplesPerLine is how many spans are told in one line.
+	samplesPerLine = 10
 )
 
 // kindBytes are bytes sent to other processes, by kind of message.
 type kindBytes [msgs.Kinds]uint64
 
-// sentSoFar reads the counters.
-func sentSoFar() (sent kindBytes) {
+// sentTotals reads the counters.
+func sentTotals() (sent kindBytes) {
 	for k, c := range sentBytes {
 		sent[k] = c.Get()
 	}
@@ -49,35 +49,35 @@
 // traffic tells what a process sends to others besides callers' packets. A mean over a day hides the second in which everything starts or a
 // failure domain goes, and links are narrow.
 type traffic struct {
-	told kindBytes // counters at the last line
-	last kindBytes // counters at the last sample
-	most uint64    // control bytes of the busiest sample since the last line
-	left int       // samples until the next line
+	logged    kindBytes // counters at the last line
+	sampled   kindBytes // counters at the last sample
+	peak      uint64    // control bytes of the busiest sample since the last line
+	untilLine int       // samples until the next line
 }
 
 // sample takes the counters and says whether a line is due.
 func (t *traffic) sample(now kindBytes) (due bool) {
-	span := now.minus(&t.last)
-	t.most = max(t.most, span.control())
-	t.last = now
-	if t.left == 0 {
-		t.left = samplesTold
+	span := now.minus(&t.sampled)
+	t.peak = max(t.peak, span.control())
+	t.sampled = now
+	if t.untilLine == 0 {
+		t.untilLine = samplesPerLine
 	}
-	t.left--
-	return t.left == 0
+	t.untilLine--
+	return t.untilLine == 0
 }
 
-// tell writes a line on what was sent since the last one.
-func (t *traffic) tell(events *event.Log) {
-	sent := t.last.minus(&t.told)
+// log writes a line on what was sent since the last one.
+func (t *traffic) log(events *event.Log) {
+	sent := t.sampled.minus(&t.logged)
 	kinds := zerolog.Dict()
 	for k, n := range sent {
 		if n > 0 {
 			kinds.Uint64(msgs.Kind(k).String(), n)
 		}
 	}
-	events.State("traffic").Uint64("control", sent.control()).Uint64("busiest", t.most).Dict("kinds", kinds).Send()
-	t.told, t.most = t.last, 0
+	events.State("traffic").Uint64("control", sent.control()).Uint64("busiest", t.peak).Dict("kinds", kinds).Send()
+	t.logged, t.peak = t.sampled, 0
 }
 
 // watchTraffic writes a line now and then until ctx ends.
@@ -91,8 +91,8 @@
 			return
 		case <-ticker.C:
 		}
-		if t.sample(sentSoFar()) {
-			t.tell(events)
+		if t.sample(sentTotals()) {
+			t.log(events)
 		}
 	}
 }
--- a/internal/node/opaque/traffic_test.go
+++ b/internal/node/opaque/traffic_test.go
@@ -17,14 +17,14 @@
 	var tr traffic
 	var sent kindBytes
 	lines := 0
-	for i := range 2 * samplesTold {
+	for i := range 2 * samplesPerLine {
 		sent[msgs.KindCarry] += 1_000_000
 		sent[msgs.KindBeacon] += 100
 		if i == 3 {
 			sent[msgs.KindNews] += 5000
 		}
 		if tr.sample(sent) {
-			tr.tell(events)
+			tr.log(events)
 			lines++
 		}
 	}
--- a/internal/node/sock/sock.go
+++ b/internal/node/sock/sock.go
@@ -26,13 +26,13 @@
 
 // The uses.
 const (
-	Alone  Use = false
-	Shared Use = true // every process that opens it must say so
+	Exclusive Use = false
+	Shared    Use = true // every process that opens it must say so
 )
 
-// buffer is asked of the kernel for each UDP socket, in bytes, so that a burst
+// bufferSize is asked of the kernel for each UDP socket, in bytes, so that a burst
 // outlasts a pause of some milliseconds. The kernel may grant less.
-const buffer = 4 << 20
+const bufferSize = 4 << 20
 
 // UDP opens a UDP socket.
 func UDP(ctx context.Context, address netip.AddrPort, use Use) (conn *net.UDPConn, err error) {
@@ -43,8 +43,8 @@
 		return nil, err
 	}
 	conn = p.(*net.UDPConn)
-	_ = conn.SetReadBuffer(buffer)
-	_ = conn.SetWriteBuffer(buffer)
+	_ = conn.SetReadBuffer(bufferSize)
+	_ = conn.SetWriteBuffer(bufferSize)
 	return conn, nil
 }
 
@@ -56,16 +56,16 @@
 }
 
 func config(use Use) net.ListenConfig {
-	if use == Alone {
+	if use == Exclusive {
 		return net.ListenConfig{}
 	}
-	return net.ListenConfig{Control: share}
+	return net.ListenConfig{Control: setReusePort}
 }
 
-func share(_, _ string, c syscall.RawConn) error {
-	var failed error
+func setReusePort(_, _ string, c syscall.RawConn) error {
+	var optErr error
 	err := c.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+		optErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 	})
-	return errors.CombineErrors(err, failed)
+	return errors.CombineErrors(err, optErr)
 }
--- a/internal/node/stamp/stamp.go
+++ b/internal/node/stamp/stamp.go
@@ -18,32 +18,32 @@
 	"time"
 )
 
-// begin is what moments are counted from; anything but the time of day would do.
-var begin = time.Now()
+// epoch is what moments are counted from; anything but the time of day would do.
+var epoch = time.Now()
 
 // Time is a moment; the zero Time is never.
-type Time struct{ after atomic.Int64 } // nanoseconds after begin, 0: never
+type Time struct{ offset atomic.Int64 } // nanoseconds after begin, 0: never
 
 // Set makes it now.
-func (t *Time) Set(now time.Time) { t.after.Store(count(now)) }
+func (t *Time) Set(now time.Time) { t.offset.Store(nanos(now)) }
 
 // Clear makes it never.
-func (t *Time) Clear() { t.after.Store(0) }
+func (t *Time) Clear() { t.offset.Store(0) }
 
 // Since is how long ago it was, the longest Duration if it is never.
-func (t *Time) Since(now time.Time) time.Duration { return since(t.after.Load(), now) }
+func (t *Time) Since(now time.Time) time.Duration { return elapsed(t.offset.Load(), now) }
 
 // Claim makes it now if it was at least every ago. Of several goroutines one gets true.
 func (t *Time) Claim(now time.Time, every time.Duration) bool {
-	last := t.after.Load()
-	return since(last, now) >= every && t.after.CompareAndSwap(last, count(now))
+	last := t.offset.Load()
+	return elapsed(last, now) >= every && t.offset.CompareAndSwap(last, nanos(now))
 }
 
-func since(after int64, now time.Time) time.Duration {
+func elapsed(after int64, now time.Time) time.Duration {
 	if after == 0 {
 		return math.MaxInt64
 	}
-	return now.Sub(begin) - time.Duration(after)
+	return now.Sub(epoch) - time.Duration(after)
 }
 
-func count(now time.Time) int64 { return int64(now.Sub(begin)) }
+func nanos(now time.Time) int64 { return int64(now.Sub(epoch)) }
--- a/internal/node/stamp/stamp_test.go
+++ b/internal/node/stamp/stamp_test.go
@@ -24,8 +24,8 @@
 // steady clock, so that its number doesn't depend on the time of day.
 func TestOnlyTheSteadyClockCounts(t *testing.T) {
 	var m Time
-	m.Set(begin.Add(3 * time.Second))
-	assert.Equal(t, time.Duration(m.after.Load()), 3*time.Second)
+	m.Set(epoch.Add(3 * time.Second))
+	assert.Equal(t, time.Duration(m.offset.Load()), 3*time.Second)
 }
 
 func TestOneOfManyClaims(t *testing.T) {
--- a/internal/node/start/ready_test.go
+++ b/internal/node/start/ready_test.go
@@ -26,6 +26,6 @@
 		{fetched, 1, 3, "3 documents are still to come"},
 		{fetched, 1, 0, ""},
 	} {
-		assert.Equal(t, unready(c.view, c.inForce, c.wanted), c.want)
+		assert.Equal(t, notReadyReason(c.view, c.inForce, c.wanted), c.want)
 	}
 }
--- a/internal/node/start/relay.go
+++ b/internal/node/start/relay.go
@@ -12,14 +12,14 @@
 	"mangowinch/internal/ctrl/relay"
 )
 
-// control is the relay of a process with what it needs of its own.
-type control struct {
+// relayNode is the relay of a process with what it needs of its own.
+type relayNode struct {
 	*relay.Node
 	dialer *link.Dialer
 }
 
-// newControl fills in what both roles have alike.
-func (p *parts) newControl(c relay.Config) *control {
+// newRelayNode fills in what both roles have alike.
+func (p *components) newRelayNode(c relay.Config) *relayNode {
 	c.Self.Name = p.settings.Process.Name
 	c.Self.Domain = p.settings.Process.Domain
 	c.Self.State = peers.Live
@@ -33,12 +33,12 @@
 	c.Dial = func(a netip.AddrPort) relay.Peer { return dialer.Peer(a) }
 	n := relay.New(c)
 	p.admin.Section("control", func() any { return n.Status() })
-	p.wanted = func() int { return n.Status().Wanted }
-	return &control{n, dialer}
+	p.missing = func() int { return n.Status().Wanted }
+	return &relayNode{n, dialer}
 }
 
 // run relays until ctx ends. The others are told once the process is being stopped.
-func (c *control) run(ctx, staying context.Context) error {
+func (c *relayNode) run(ctx, staying context.Context) error {
 	defer context.AfterFunc(staying, func() { c.SetState(peers.Leaving) })()
 	c.Run(ctx)
 	return c.dialer.Close()
--- a/internal/node/start/relayagent.go
+++ b/internal/node/start/relayagent.go
@@ -12,9 +12,9 @@
 
 // relayAgent connects an agent with the relay, and returns what runs it. The agent
 // answers other processes itself, on its mux.
-func (p *parts) relayAgent(ctx context.Context, a *agent.Agent) (run func(context.Context) error, err error) {
+func (p *components) relayAgent(ctx context.Context, a *agent.Agent) (run func(context.Context) error, err error) {
 	own := p.settings.Agent
-	c := p.newControl(relay.Config{
+	c := p.newRelayNode(relay.Config{
 		Self:    peers.Member{Role: peers.Agent, Address: own.Listen},
 		Service: own.Service,
 		Server:  own.Server,
--- a/internal/node/start/relayentry.go
+++ b/internal/node/start/relayentry.go
@@ -22,8 +22,8 @@
 const maxLinks = 1024
 
 // relayEntry connects an entry with the relay, and returns what runs it.
-func (p *parts) relayEntry(ctx context.Context, e *entry.Entry) (run func(context.Context) error, err error) {
-	c := p.newControl(relay.Config{
+func (p *components) relayEntry(ctx context.Context, e *entry.Entry) (run func(context.Context) error, err error) {
+	c := p.newRelayNode(relay.Config{
 		Self: peers.Member{Role: peers.Entry, Address: p.settings.Entry.Link},
 	})
 	e.SetHooks(entry.Hooks{
@@ -34,7 +34,7 @@
 	if err := c.Register(mux); err != nil {
 		return nil, err
 	}
-	l, err := sock.TCP(ctx, p.settings.Entry.Link, sock.Alone)
+	l, err := sock.TCP(ctx, p.settings.Entry.Link, sock.Exclusive)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/node/start/start.go
+++ b/internal/node/start/start.go
@@ -29,13 +29,13 @@
 	"mangowinch/internal/oper/logs"
 )
 
-// parts are what every process has.
-type parts struct {
+// components are what every process has.
+type components struct {
 	settings *prefs.Settings
 	log      zerolog.Logger
 	store    *store.Store
 	admin    *admin.Server
-	wanted   func() int // documents that a peer has newer
+	missing  func() int // documents that a peer has newer
 }
 
 // runner is a process of either role.
@@ -45,8 +45,8 @@
 	InForce() int
 }
 
-func newParts(settings *prefs.Settings, role string) *parts {
-	p := &parts{
+func newComponents(settings *prefs.Settings, role string) *components {
+	p := &components{
 		settings: settings,
 		log:      logs.New(os.Stderr, role, settings.Process.Name),
 		store:    store.New(docs.Parse),
@@ -66,7 +66,7 @@
 
 // Entry runs an entry until ctx ends and its planned stop is done.
 func Entry(ctx context.Context, settings *prefs.Settings) (err error) {
-	p := newParts(settings, "entry")
+	p := newComponents(settings, "entry")
 	if err := p.admin.Open(); err != nil {
 		return err
 	}
@@ -84,7 +84,7 @@
 
 // Agent runs an agent until ctx ends and its planned stop is done.
 func Agent(ctx context.Context, settings *prefs.Settings) (err error) {
-	p := newParts(settings, "agent")
+	p := newComponents(settings, "agent")
 	if settings.Agent == nil {
 		return errors.New("the settings have no section agent")
 	}
@@ -95,9 +95,9 @@
 	if err != nil {
 		return err
 	}
-	watching, stop := context.WithCancel(context.WithoutCancel(ctx)) // a planned stop may take hours
+	watchCtx, stop := context.WithCancel(context.WithoutCancel(ctx)) // a planned stop may take hours
 	defer stop()
-	go pair.Watch(watching)
+	go pair.Watch(watchCtx)
 	a, err := agent.New(settings, p.store, &tls.Config{GetCertificate: pair.GetCertificate}, p.log)
 	if err != nil {
 		return err
@@ -111,7 +111,7 @@
 }
 
 // run keeps documents and the operators' server going until the process has ended.
-func (p *parts) run(ctx context.Context, r runner, control func(context.Context) error) error {
+func (p *components) run(ctx context.Context, r runner, control func(context.Context) error) error {
 	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	// A process that is being stopped works on for hours and is not ready for more.
--- a/internal/node/vouch/vouch.go
+++ b/internal/node/vouch/vouch.go
@@ -1,17 +1,19 @@
-// Package vouch answers and passes on the question whether a process is alive.
+// Package vouch sends, forwards and answers probes, which ask whether a process is alive.
 //
-// Each process of the carrier for opaque flows has one. It keeps no state: a question that is handed on carries who wants to
-// know, and so does its answer, so that helpers remember nothing and a lost datagram is a lost question. Whom
-// to ask, and what follows from silence, is the asker's (package detect).
+// Each process of the system for opaque flows has one Node. It keeps no state: a forwarded probe carries
+// the address of the requester, and so does its answer. Helpers need to remember nothing, and a lost
+// datagram is a lost probe. The requester decides which process to probe and what follows from a missing
+// answer (package detect).
 //
-// Asking by way of others is the indirect probe of SWIM (Das, Gupta and Motivala, 2002): it tells a broken way between
-// two processes, of which nothing follows for the third, from a process that is gone.
+// Probing by way of helpers is the indirect probe of SWIM (Das, Gupta and Motivala, 2002). It distinguishes
+// a broken path between two processes, from which nothing follows for others, from a process that has
+// failed.
 //
 // # Usage
 //
 //	n := vouch.New(self, send)
-//	n.OnAlive, n.OnAnswer = heard, answered
-//	n.Ask(target, helpers, round)
+//	n.OnAlive, n.OnAnswer = processAlive, probeAnswered
+//	n.Probe(target, helpers, round)
 package vouch
 
 import (
@@ -21,26 +23,26 @@
 	"mangowinch/internal/flow/msgs"
 )
 
-// Node is a process's part. Its methods may be called from any goroutine.
+// Node is a process's endpoint for probes. Its methods may be called from any goroutine.
 type Node struct {
-	// OnAlive is called with each process from which a message has come, or of which another says that it
-	// is alive; nil: nobody wants to know. It is set before the first message.
+	// OnAlive, if not nil, is called with each process from which a message has arrived, or which another
+	// process has acknowledged to be alive. It must be set before the first message.
 	OnAlive func(now time.Time, process netip.Addr)
-	// OnAnswer is called with each process that has answered a question of this one, which so has been heard
-	// itself, and with the question's round; nil: nobody wants to know. It is set before the first message.
+	// OnAnswer, if not nil, is called with each process that has answered a probe of this one, after
+	// OnAlive, and with the round of the probe. It must be set before the first message.
 	OnAnswer func(now time.Time, process netip.Addr, round uint32)
 
 	self netip.Addr
 	send func(to netip.Addr, message []byte)
 }
 
-// New returns the part of the process at an address.
+// New returns the node of the process at an address.
 func New(self netip.Addr, send func(to netip.Addr, message []byte)) *Node {
 	return &Node{self: self, send: send}
 }
 
-// Ask asks a process whether it is alive, directly and by way of helpers. Its answer names the round.
-func (n *Node) Ask(target netip.Addr, helpers []netip.Addr, round uint32) {
+// Probe probes a process, directly and by way of helpers. The answers carry the round.
+func (n *Node) Probe(target netip.Addr, helpers []netip.Addr, round uint32) {
 	m := msgs.Ask{Target: target, Origin: n.self, Round: round}
 	message := m.AppendTo(nil)
 	n.send(target, message)
@@ -49,8 +51,8 @@
 	}
 }
 
-// Asked takes a question: it is answered, or handed on to the one whom it is about.
-func (n *Node) Asked(from netip.Addr, m msgs.Ask) {
+// HandleProbe answers a probe of this process, or forwards a probe of another process to its target.
+func (n *Node) HandleProbe(from netip.Addr, m msgs.Ask) {
 	switch {
 	case m.Target == n.self:
 		answer := msgs.Alive{Target: n.self, Origin: m.Origin, Round: m.Round}
@@ -61,20 +63,20 @@
 	}
 }
 
-// Alive takes an answer: it is for this process, or handed on to who wants to know.
-func (n *Node) Alive(now time.Time, m msgs.Alive) {
+// HandleAck handles an answer to a probe of this process, or forwards the answer to the requester.
+func (n *Node) HandleAck(now time.Time, m msgs.Alive) {
 	if m.Origin != n.self {
 		n.send(m.Origin, m.AppendTo(nil))
 		return
 	}
-	n.Heard(now, m.Target)
+	n.MarkAlive(now, m.Target)
 	if n.OnAnswer != nil {
 		n.OnAnswer(now, m.Target, m.Round)
 	}
 }
 
-// Heard notes that a process is alive.
-func (n *Node) Heard(now time.Time, process netip.Addr) {
+// MarkAlive records that a process is alive.
+func (n *Node) MarkAlive(now time.Time, process netip.Addr) {
 	if n.OnAlive != nil {
 		n.OnAlive(now, process)
 	}
--- a/internal/node/vouch/vouch_test.go
+++ b/internal/node/vouch/vouch_test.go
@@ -12,7 +12,7 @@
 
 func addr(n int) netip.Addr { return netip.AddrFrom4([4]byte{10, 0, 0, byte(n)}) }
 
-// net joins nodes; cut ways lose messages.
+// network connects nodes; messages on cut paths are lost.
 type network struct {
 	nodes map[netip.Addr]*Node
 	cut   map[[2]netip.Addr]bool
@@ -41,38 +41,39 @@
 	switch h.Kind {
 	case msgs.KindAsk:
 		m, _ := msgs.ReadAsk(h, rest)
-		n.Asked(from, m)
+		n.HandleProbe(from, m)
 	case msgs.KindAlive:
 		m, _ := msgs.ReadAlive(h, rest)
-		n.Alive(time.Time{}, m)
+		n.HandleAck(time.Time{}, m)
 	}
 }
 
-// ask returns whether node 0 hears that a process is alive.
-func (w *network) ask(target netip.Addr, helpers ...netip.Addr) (alive bool) {
+// probe reports whether node 0 learns that a process is alive.
+func (w *network) probe(target netip.Addr, helpers ...netip.Addr) (alive bool) {
 	w.nodes[addr(0)].OnAlive = func(_ time.Time, process netip.Addr) { alive = alive || process == target }
-	w.nodes[addr(0)].Ask(target, helpers, 0)
+	w.nodes[addr(0)].Probe(target, helpers, 0)
 	return alive
 }
 
-func TestProcessThatLivesAnswers(t *testing.T) {
+func TestLiveProcessAnswers(t *testing.T) {
 	w := newNetwork(4)
-	assert.Assert(t, w.ask(addr(1)))
+	assert.Assert(t, w.probe(addr(1)))
 }
 
-// Only the way between two processes is broken. Who takes the other for gone would reset flows of a server that
-// serves its callers.
-func TestHelpersReachWhomTheAskerDoesNot(t *testing.T) {
+// Guards against a broken path between two processes that passes for a failure: the requester would reset
+// flows of a server that still serves its callers.
+func TestHelpersReachTargetOverBrokenPath(t *testing.T) {
 	w := newNetwork(4)
 	w.cut[[2]netip.Addr{addr(0), addr(1)}] = true
-	assert.Assert(t, !w.ask(addr(1)))
-	assert.Assert(t, w.ask(addr(1), addr(2), addr(3)))
+	assert.Assert(t, !w.probe(addr(1)))
+	assert.Assert(t, w.probe(addr(1), addr(2), addr(3)))
 }
 
-// A process is gone. Nobody answers for it, and questions about it end.
-func TestNobodyAnswersForAProcessThatIsGone(t *testing.T) {
+// Guards against helpers that answer for a process that is down, and against probes that are forwarded
+// without end.
+func TestProbesOfADownProcessEnd(t *testing.T) {
 	w := newNetwork(4)
 	delete(w.nodes, addr(1))
-	assert.Assert(t, !w.ask(addr(1), addr(2), addr(3)))
-	assert.Equal(t, w.sent, 5, "three questions, of which two are handed on once")
+	assert.Assert(t, !w.probe(addr(1), addr(2), addr(3)))
+	assert.Equal(t, w.sent, 5, "three probes, two of which are forwarded once")
 }
