--- a/internal/node/entry/counts.go
+++ b/internal/node/entry/counts.go
@@ -10,12 +10,12 @@
 type counters struct {
 	received, forwarded, named, ranked, returned, echoes *metrics.Counter
 
-	short, opener, foreign, size *metrics.Counter // unreadable, too small to open, ID of nobody, too large
-	unknown, nobody              *metrics.Counter // server not in the document, no server at all
-	unsent, unread, forged       *metrics.Counter // the kernel refused it, could not give it, frame not authentic
-	unusable, conflict           *metrics.Counter // document or address that cannot be used
-	silent                       *metrics.Counter // servers found silent
-	hints                        *metrics.Counter // frames that showed a newer document
+	short, smallOpener, foreign, size *metrics.Counter // unreadable, too small to open, ID of nobody, too large
+	unknown, noServer                 *metrics.Counter // server not in the document, no server at all
+	unsent, unread, forged            *metrics.Counter // the kernel refused it, could not give it, frame not authentic
+	unusable, conflict                *metrics.Counter // document or address that cannot be used
+	silent                            *metrics.Counter // servers found silent
+	hints                             *metrics.Counter // frames that showed a newer document
 }
 
 func newCounters(service string) counters {
@@ -26,24 +26,24 @@
 		return metrics.GetOrCreateCounter(fmt.Sprintf(`mangowinch_entry_dropped_total{service=%q,reason=%q}`, service, reason))
 	}
 	return counters{
-		received:  event("received"),
-		forwarded: event("forwarded"),
-		named:     event("named"),
-		ranked:    event("ranked"),
-		returned:  event("returned"),
-		echoes:    event("echoes"),
-		silent:    event("silent"),
-		hints:     event("hints"),
-		short:     dropped("short"),
-		opener:    dropped("opener"),
-		foreign:   dropped("foreign"),
-		size:      dropped("size"),
-		unknown:   dropped("unknown"),
-		nobody:    dropped("nobody"),
-		unsent:    dropped("unsent"),
-		unread:    dropped("unread"),
-		forged:    dropped("forged"),
-		unusable:  event("unusable"),
-		conflict:  event("conflict"),
+		received:    event("received"),
+		forwarded:   event("forwarded"),
+		named:       event("named"),
+		ranked:      event("ranked"),
+		returned:    event("returned"),
+		echoes:      event("echoes"),
+		silent:      event("silent"),
+		hints:       event("hints"),
+		short:       dropped("short"),
+		smallOpener: dropped("opener"),
+		foreign:     dropped("foreign"),
+		size:        dropped("size"),
+		unknown:     dropped("unknown"),
+		noServer:    dropped("nobody"),
+		unsent:      dropped("unsent"),
+		unread:      dropped("unread"),
+		forged:      dropped("forged"),
+		unusable:    event("unusable"),
+		conflict:    event("conflict"),
 	}
 }
--- a/internal/node/entry/entry.go
+++ b/internal/node/entry/entry.go
@@ -67,9 +67,9 @@
 
 // Hooks connect the entry to whoever keeps its documents. Both may be nil.
 type Hooks struct {
-	// Newer is called when a frame shows that the agent at link has a newer
+	// NewerDocument is called when a frame shows that the agent at link has a newer
 	// document of a service. It must not block.
-	Newer func(link netip.AddrPort, service string, revision order.Revision)
+	NewerDocument func(link netip.AddrPort, service string, revision order.Revision)
 	// Refresh asks for the newest documents after a pause.
 	Refresh func(ctx context.Context)
 }
@@ -137,8 +137,8 @@
 			return
 		case <-time.After(stopIdle / 10):
 		}
-		quiet := e.lastDatagram.Since(time.Now())
-		if quiet > stopIdle && time.Since(started) > stopIdle {
+		idle := e.lastDatagram.Since(time.Now())
+		if idle > stopIdle && time.Since(started) > stopIdle {
 			break
 		}
 	}
--- a/internal/node/entry/inward.go
+++ b/internal/node/entry/inward.go
@@ -25,11 +25,11 @@
 
 // callerReader forwards the datagrams of one door. It belongs to one goroutine.
 type callerReader struct {
-	entry  *Entry
-	buffer [frame.MaxSize + readSize]byte
-	header [frame.MaxSize]byte
-	ids    [frame.MaxCandidates]uint32
-	frame  frame.Header
+	entry        *Entry
+	buffer       [frame.MaxSize + readSize]byte
+	header       [frame.MaxSize]byte
+	candidateIDs [frame.MaxCandidates]uint32
+	frame        frame.Header
 }
 
 // readSocket forwards what callers send to one address until the door is closed.
@@ -101,9 +101,9 @@
 		s.count.countInvalid(err)
 		return false
 	}
-	c := v.table.Choose(w.ids[:0], route.Key(h.Destination), maxCandidates)
+	c := v.table.Choose(w.candidateIDs[:0], route.Key(h.Destination), maxCandidates)
 	if len(c.Candidates) == 0 {
-		s.count.nobody.Inc()
+		s.count.noServer.Inc()
 		return false
 	}
 	w.frame.Server = c.Server
@@ -147,7 +147,7 @@
 func (c *counters) countInvalid(err error) {
 	switch {
 	case errors.Is(err, packet.ErrOpener):
-		c.opener.Inc()
+		c.smallOpener.Inc()
 	default:
 		c.short.Inc()
 	}
--- a/internal/node/entry/woken.go
+++ b/internal/node/entry/woken.go
@@ -43,8 +43,8 @@
 
 // notifyNewer tells whoever keeps the documents that a newer one exists.
 func (e *Entry) notifyNewer(now time.Time, s *service, link netip.AddrPort, revision order.Revision) {
-	if e.hooks.Newer != nil && s.lastHint.Claim(now, hintEvery) {
+	if e.hooks.NewerDocument != nil && s.lastHint.Claim(now, hintEvery) {
 		s.count.hints.Inc()
-		e.hooks.Newer(link, s.name, revision)
+		e.hooks.NewerDocument(link, s.name, revision)
 	}
 }
--- a/internal/node/opaque/agent.go
+++ b/internal/node/opaque/agent.go
@@ -13,11 +13,11 @@
 	"mangowinch/internal/node/local"
 )
 
-// drainTimeout is how long an agent that is being stopped waits at most for the requests under way. Its
-// server's flows go on when it is back, so a long wait buys nothing.
-const drainTimeout = 1500 * time.Millisecond
+// settleTimeout bounds how long an agent that shuts down waits for requests in progress. The flows of its
+// server continue when the agent is back, so waiting longer gains nothing.
+const settleTimeout = 1500 * time.Millisecond
 
-// Agent runs an agent until ctx ends and its planned stop is done.
+// Agent runs an agent until ctx ends and its graceful shutdown is done.
 func Agent(ctx context.Context, s *carry.Settings, a Adapter, out io.Writer) (err error) {
 	defer func() { err = errors.Wrap(err, "agent") }()
 	if s.Agent == nil {
@@ -53,7 +53,7 @@
 	staying.Set(true, "")
 	return p.serve(ctx, g.Tick,
 		func(s *carry.Settings) {
-			if s.Agent != nil { // another role counts from the next start
+			if s.Agent != nil { // a changed role takes effect at the next start
 				g.SetService(s.Agent.Service)
 			}
 		},
@@ -61,7 +61,7 @@
 			staying.Set(false, "planned stop")
 			g.Leave(time.Now())
 			p.follow.Leave()
-			waitNoRequests(g, min(drainTimeout, s.Bounds.Stop-stopReserve))
+			waitNoRequests(g, min(settleTimeout, s.Bounds.Stop-stopReserve))
 		},
 		func() error { return readErrors(p.sockets.backend, g.ServerDown) },
 		func() error {
@@ -71,7 +71,7 @@
 	)
 }
 
-// waitNoRequests returns when no request is under way, or after limit.
+// waitNoRequests returns when no request is in progress, or after limit.
 func waitNoRequests(g *local.Agent, limit time.Duration) {
 	began := time.Now()
 	for time.Since(began) < limit {
--- a/internal/node/opaque/entry.go
+++ b/internal/node/opaque/entry.go
@@ -15,16 +15,17 @@
 )
 
 const (
-	// stopIdle without a caller's packet ends an entry's planned stop: the fabric asks for
-	// readiness twice a second and takes an instance out after two misses.
+	// stopIdle is the time without a caller's packet that ends an entry's graceful shutdown. The fabric
+	// checks readiness twice a second and removes an instance after two failed checks.
 	stopIdle = 1500 * time.Millisecond
-	// stopReserve is left of the time for a planned stop, so that the process ends by itself.
+	// stopReserve is the part of the time for a graceful shutdown that is left for the process to end by
+	// itself.
 	stopReserve = 500 * time.Millisecond
-	// stopPollEvery is how often a planned stop looks whether it is done.
+	// stopPollEvery is how often a graceful shutdown checks whether it is done.
 	stopPollEvery = 50 * time.Millisecond
 )
 
-// Entry runs an entry until ctx ends and its planned stop is done.
+// Entry runs an entry until ctx ends and its graceful shutdown is done.
 func Entry(ctx context.Context, s *carry.Settings, a Adapter, out io.Writer) (err error) {
 	defer func() { err = errors.Wrap(err, "entry") }()
 	if s.Entry == nil {
@@ -54,18 +55,18 @@
 	p.admin.Section("belief", func() any { return p.status() })
 	p.admin.Section("flows", func() any { return e.Len() })
 	p.prober.OnAlive, p.prober.OnAnswer = e.ProcessAlive, e.ProbeAnswered
-	staying, known, reaching := p.admin.Condition("staying"), p.admin.Condition("configuration"), p.admin.Condition("reach")
+	staying, configured, reachable := p.admin.Condition("staying"), p.admin.Condition("configuration"), p.admin.Condition("reach")
 	staying.Set(true, "")
-	reaching.Set(true, "")
-	known.Set(false, "no configuration yet")
-	var lastPacket stamp.Time // the last caller's packet
+	reachable.Set(true, "")
+	configured.Set(false, "no configuration yet")
+	var lastPacket stamp.Time // when the last packet of a caller arrived
 	return p.serve(ctx,
 		func(now time.Time) {
 			e.Tick(now)
 			if v := p.log.View(); v.Config != nil && len(v.Homes.Agents()) > 0 {
-				known.Set(true, "")
+				configured.Set(true, "")
 			}
-			reaching.Set(e.ReachesAgents(), "no agent answers")
+			reachable.Set(e.ReachesAgents(), "no agent answers")
 		},
 		func(*carry.Settings) {},
 		func() {
@@ -83,8 +84,8 @@
 	)
 }
 
-// waitNoPackets returns when callers' packets have stopped coming, or after limit. An entry that
-// closed its sockets at once would lose what the fabric still sends to it.
+// waitNoPackets returns when callers' packets have stopped arriving, or after limit. If an entry closed its
+// sockets at once, packets that the fabric still sends to it would be lost.
 func waitNoPackets(lastPacket *stamp.Time, limit time.Duration) {
 	began := time.Now()
 	for time.Since(began) < limit {
--- a/internal/node/opaque/entry_test.go
+++ b/internal/node/opaque/entry_test.go
@@ -10,8 +10,8 @@
 	"mangowinch/internal/node/stamp"
 )
 
-// An entry is asked to stop. The routers go on sending to it for a second, and then do not; it must stay for
-// as long as packets come, and end soon after.
+// Guards against an entry that shuts down while routers still send to it, as they do for a second after its
+// readiness has ended. The entry must run as long as packets arrive, and end soon after the last one.
 func TestStopWaitsUntilPacketsCease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var used stamp.Time
@@ -28,7 +28,8 @@
 	})
 }
 
-// The routers never stop, because too few other entries are ready. The entry ends in time by itself.
+// Guards against a shutdown that never ends because routers keep sending to the entry, as they do if too
+// few other entries are ready. The entry must end within its limit.
 func TestStopEndsWhileCallersGoOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var used stamp.Time
--- a/internal/node/opaque/messages.go
+++ b/internal/node/opaque/messages.go
@@ -11,28 +11,30 @@
 	"mangowinch/internal/flow/msgs"
 )
 
-// unreadable counts messages that are ours by their first byte and mean nothing to this process: cut short, damaged,
-// or of another version of the program.
+// unreadable counts messages that have the first byte of this protocol and that this process can't read:
+// truncated, damaged, or of another version of the program.
 var unreadable = metrics.NewCounter(`mangowinch_unreadable_messages_total`)
 
-// errUnknownKind says that a message is of a kind that this role doesn't take.
+// errUnknownKind is returned for a message of a kind that this role doesn't handle.
 var errUnknownKind = errors.New("unknown kind of message")
 
-// badLogEvery is how often a line is written on messages that can't be read; the counter has all of them. A
-// peer of another version sends hundreds a second.
-const badLogEvery = time.Second
+// unreadableLogEvery is the shortest time between log lines about unreadable messages, since a peer of
+// another version sends hundreds a second. The counter includes all of them.
+const unreadableLogEvery = time.Second
 
-// flowMessages takes the messages about flows that one role gets. It says whether the message was one.
-type flowMessages func(now time.Time, from netip.Addr, h msgs.Head, rest []byte) bool
+// flowHandler handles the messages about flows that one role receives. It reports whether the message is of
+// such a kind.
+type flowHandler func(now time.Time, from netip.Addr, h msgs.Head, rest []byte) bool
 
-// messages returns the reader of other processes' messages. Those about flows go to take.
-func (p *process) messages(take flowMessages) func() error {
+// messages returns the function that reads other processes' messages. Messages about flows are passed to
+// flow.
+func (p *process) messages(flow flowHandler) func() error {
 	var lastLogged time.Time
 	return func() error {
 		return p.sockets.readMessages(func(now time.Time, from netip.Addr, h msgs.Head, rest []byte) {
-			if err := p.handle(now, from, h, rest, take); err != nil {
+			if err := p.handle(now, from, h, rest, flow); err != nil {
 				unreadable.Inc()
-				if now.Sub(lastLogged) < badLogEvery {
+				if now.Sub(lastLogged) < unreadableLogEvery {
 					return
 				}
 				lastLogged = now
@@ -43,7 +45,7 @@
 }
 
 // handle handles one message.
-func (p *process) handle(now time.Time, from netip.Addr, h msgs.Head, rest []byte, take flowMessages) error {
+func (p *process) handle(now time.Time, from netip.Addr, h msgs.Head, rest []byte, flow flowHandler) error {
 	p.prober.MarkAlive(now, from)
 	switch h.Kind {
 	case msgs.KindBeacon:
@@ -68,7 +70,7 @@
 	case msgs.KindAlive:
 		return msgs.Take(h, rest, msgs.ReadAlive, func(m msgs.Alive) { p.prober.HandleAck(now, m) })
 	}
-	if !take(now, from, h, rest) {
+	if !flow(now, from, h, rest) {
 		return errUnknownKind
 	}
 	return nil
--- a/internal/node/opaque/messages_test.go
+++ b/internal/node/opaque/messages_test.go
@@ -22,8 +22,8 @@
 	"mangowinch/internal/oper/event"
 )
 
-// platform is a source that is never asked.
-type platform struct{ follow.Source }
+// unusedSource is a source that is never read.
+type unusedSource struct{ follow.Source }
 
 func newTestProcess(out io.Writer) *process {
 	events := event.New(out, "entry", "entry-1")
@@ -32,7 +32,7 @@
 		Self:   netip.MustParseAddr("10.0.0.1"),
 		Role:   msgs.Entry,
 		Log:    log,
-		Source: platform{},
+		Source: unusedSource{},
 		Send:   func(netip.Addr, []byte) {},
 		Fetch: func(context.Context, netip.Addr, order.Revision) (belief.Change, error) {
 			return belief.Change{}, context.Canceled
@@ -42,9 +42,9 @@
 	})}
 }
 
-// During a change of the program's version an instance hears messages that it can't read. Dropped without a trace,
-// they leave its operators with an instance of an old belief and no reason for it. Hundreds come in a second: all
-// are counted, and one line is written.
+// Guards against unreadable messages that are dropped without a trace. While the program's version is
+// changed, an instance receives messages that it can't read, and its operators need the reason why its view
+// stays outdated. Hundreds arrive in a second: all are counted, and one line is logged.
 func TestUnreadableMessagesAreReported(t *testing.T) {
 	var out bytes.Buffer
 	p := newTestProcess(&out)
@@ -58,8 +58,8 @@
 	beacon, news := msgs.Beacon{Role: msgs.Entry}, msgs.News{Change: []byte("no change")}
 	unknown := beacon.AppendTo(nil)
 	unknown[1] = 99
-	whole := beacon.AppendTo(nil)
-	for _, b := range [][]byte{whole[:len(whole)-1], news.AppendTo(nil), unknown} {
+	complete := beacon.AppendTo(nil)
+	for _, b := range [][]byte{complete[:len(complete)-1], news.AppendTo(nil), unknown} {
 		_, err := link.WriteTo(b, link.LocalAddr())
 		assert.NilError(t, err)
 	}
@@ -76,7 +76,7 @@
 	assert.Assert(t, strings.Contains(out.String(), `"peer":"127.0.0.1"`), out.String())
 }
 
-func TestMessagesGoToTheirReaders(t *testing.T) {
+func TestMessagesReachTheirHandlers(t *testing.T) {
 	p := newTestProcess(io.Discard)
 	from := netip.MustParseAddr("10.0.0.2")
 	taken := 0
--- a/internal/node/opaque/opaque.go
+++ b/internal/node/opaque/opaque.go
@@ -1,12 +1,12 @@
-// Package opaque puts a process of the carrier for opaque flows together: sockets, belief,
-// the entry or agent, the operators' server, and the planned stop.
+// Package opaque assembles a process of the system for opaque flows: sockets, belief, the entry or agent,
+// the operators' server, and the graceful shutdown.
 //
-// It decides nothing about flows. What it needs of the platform, a codec for packets and
-// a source of configuration, is handed in, so that any platform can be put around it.
+// It makes no decisions about flows. What depends on the platform, a codec for packets and a source of
+// configuration, is passed in, so that the process can run on any platform.
 //
-// Sockets are opened first and the belief is read beside them: an agent carries packets of its own
-// server's flows without knowing anything else, and every millisecond until then is one
-// in which callers' packets are lost.
+// Sockets are opened first, and the configuration is read concurrently. An agent forwards packets of its
+// own server's flows without any configuration, and callers' packets that arrive before its sockets are
+// open are lost.
 //
 // # Usage
 //
@@ -36,7 +36,7 @@
 	"mangowinch/internal/oper/event"
 )
 
-// Adapter is what the process needs of the platform.
+// Adapter holds what the process needs of the platform.
 type Adapter struct {
 	Codec   segs.Codec
 	Callers segs.Callers
@@ -44,7 +44,7 @@
 	Reload  func() (*carry.Settings, error) // reads the settings again
 }
 
-// process is what both roles have.
+// process holds what both roles need.
 type process struct {
 	settings *carry.Settings
 	reload   func() (*carry.Settings, error)
@@ -58,7 +58,7 @@
 	started  time.Time
 }
 
-// newProcess opens the sockets and prepares the rest.
+// newProcess opens the sockets and creates the parts that both roles need.
 func newProcess(ctx context.Context, s *carry.Settings, a Adapter, role msgs.Role, out io.Writer, changed func()) (p *process, err error) {
 	name := "entry"
 	if role == msgs.Agent {
@@ -76,7 +76,7 @@
 		Self:    s.Link.Addr(),
 		Role:    role,
 		Domain:  s.Process.Domain,
-		Seeds:   addresses(s.Seeds),
+		Seeds:   addrsOf(s.Seeds),
 		Log:     p.log,
 		Source:  a.Source,
 		Send:    p.sockets.ToPeer,
@@ -96,19 +96,19 @@
 	return p, p.admin.Open()
 }
 
-// newRand returns a source of its own: processes must not choose alike.
+// newRand returns a random source of the process's own: processes must not make the same choices.
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-func addresses(list []netip.AddrPort) (a []netip.Addr) {
+func addrsOf(list []netip.AddrPort) (a []netip.Addr) {
 	for _, s := range list {
 		a = append(a, s.Addr())
 	}
 	return a
 }
 
-// serve runs everything until ctx ends and leave, the planned stop, has returned. Changed settings
-// are handed to apply.
-func (p *process) serve(ctx context.Context, tick func(time.Time), apply func(*carry.Settings), leave func(), readers ...func() error) (err error) {
+// serve runs all parts until ctx ends and the graceful shutdown, shutDown, has returned. Changed settings
+// are passed to apply.
+func (p *process) serve(ctx context.Context, tick func(time.Time), apply func(*carry.Settings), shutDown func(), readers ...func() error) (err error) {
 	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	var g errgroup.Group
@@ -119,7 +119,7 @@
 		p.follow.Run(inner)
 		return nil
 	})
-	g.Go(func() error { return follow.Serve(inner, p.sockets.fetches, p.log) })
+	g.Go(func() error { return follow.Serve(inner, p.sockets.fetchListener, p.log) })
 	g.Go(func() error { return p.admin.Run(inner) })
 	if p.metrics != nil {
 		g.Go(func() error { return p.metrics.Run(inner) })
@@ -143,7 +143,7 @@
 	g.Go(func() error {
 		<-ctx.Done()
 		p.events.State("leaving").Send()
-		leave()
+		shutDown()
 		stop()
 		p.sockets.close()
 		return nil
@@ -154,7 +154,7 @@
 	return errors.Wrap(err, "run")
 }
 
-// tickEvery is how often tables are looked at; they are swept each second.
+// tickEvery is how often tick is called. The tables are swept once a second.
 const tickEvery = 50 * time.Millisecond
 
 func (p *process) ticks(ctx context.Context, tick func(time.Time)) {
@@ -170,7 +170,7 @@
 	}
 }
 
-// Belief is the section of /status on what the process believes.
+// Belief is the section of /status on the process's view of the configuration and servers.
 type Belief struct {
 	Revision  string   `json:"revision"` // era and number
 	Version   int64    `json:"version"`
--- a/internal/node/opaque/sockets.go
+++ b/internal/node/opaque/sockets.go
@@ -15,18 +15,18 @@
 	"mangowinch/internal/node/sock"
 )
 
-// sockets are the sockets of one process; those of the other role are nil.
+// sockets holds the sockets of one process. Those of the other role are nil.
 type sockets struct {
-	link       *net.UDPConn // between processes
-	fetches    net.Listener // TCP at the same address
-	callers    *net.UDPConn // entry: callers' packets come here; agent: callers are answered from here
-	servers    *net.UDPConn // what the server sends
-	backend    *net.UDPConn // connected to the server, so that a closed port shows
-	port       uint16       // of the link, the same everywhere
-	callerPort uint16       // the port at which callers get packets
+	link          *net.UDPConn // between processes
+	fetchListener net.Listener // TCP at the address of link
+	callers       *net.UDPConn // entry: receives callers' packets; agent: sends packets to callers
+	servers       *net.UDPConn // receives what the server sends
+	backend       *net.UDPConn // connected to the server, so that a closed port is reported as an error
+	port          uint16       // of link, the same at all processes
+	callerPort    uint16       // the port to which packets for callers are sent
 }
 
-// packetSize bounds a datagram: a packet of 1,232 bytes and the largest message around it.
+// packetSize bounds a datagram: a packet of 1,232 bytes and the largest message that contains one.
 const packetSize = 2048
 
 func openSockets(ctx context.Context, s *carry.Settings) (k *sockets, err error) {
@@ -34,7 +34,7 @@
 	if k.link, err = sock.UDP(ctx, s.LinkBind, sock.Exclusive); err != nil {
 		return nil, err
 	}
-	if k.fetches, err = sock.TCP(ctx, s.LinkBind, sock.Exclusive); err != nil {
+	if k.fetchListener, err = sock.TCP(ctx, s.LinkBind, sock.Exclusive); err != nil {
 		return nil, err
 	}
 	if s.Entry != nil {
@@ -50,7 +50,7 @@
 		return nil, err
 	}
 	k.backend, err = net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(s.Agent.Backend))
-	return k, errors.Wrap(err, "open the way to the server")
+	return k, errors.Wrap(err, "connect to the server")
 }
 
 func (k *sockets) close() {
@@ -59,7 +59,7 @@
 			c.Close()
 		}
 	}
-	k.fetches.Close()
+	k.fetchListener.Close()
 }
 
 // ToPeer sends a message to another process.
@@ -75,13 +75,13 @@
 	countSend("caller", err)
 }
 
-// ToServer sends a packet to the own server.
+// ToServer sends a packet to the agent's own server.
 func (k *sockets) ToServer(packet []byte) {
 	_, err := k.backend.Write(packet)
 	countSend("server", err)
 }
 
-// sentBytes are the bytes of messages to other processes, by kind.
+// sentBytes counts the bytes of messages to other processes, by kind.
 var sentBytes = func() (counters [msgs.Kinds]*metrics.Counter) {
 	for k := range counters {
 		counters[k] = metrics.NewCounter(`mangowinch_message_bytes_total{kind="` + msgs.Kind(k).String() + `"}`)
@@ -98,19 +98,19 @@
 	sentBytes[k].Add(len(message))
 }
 
-// countSend counts a datagram that could not be sent. It is as good as lost, and both
-// ends of a flow deal with loss.
+// countSend counts a datagram that could not be sent. The datagram is treated as lost, and both ends of a
+// flow recover from loss.
 func countSend(to string, err error) {
 	if err != nil {
 		metrics.GetOrCreateCounter(`mangowinch_send_failures_total{to="` + to + `"}`).Inc()
 	}
 }
 
-// readPause is waited after a read that failed, so that an error that stays takes no processor.
+// readPause is the pause after a failed read, so that a persistent error doesn't use up a processor.
 const readPause = 10 * time.Millisecond
 
-// read hands each datagram of a socket to take until the socket is closed.
-func read(c *net.UDPConn, take func(now time.Time, from netip.Addr, datagram []byte)) error {
+// read passes each datagram of a socket to handle until the socket is closed.
+func read(c *net.UDPConn, handle func(now time.Time, from netip.Addr, datagram []byte)) error {
 	b := make([]byte, packetSize)
 	for {
 		n, from, err := c.ReadFromUDPAddrPort(b)
@@ -122,11 +122,12 @@
 			time.Sleep(readPause)
 			continue
 		}
-		take(time.Now(), from.Addr().Unmap(), b[:n])
+		handle(time.Now(), from.Addr().Unmap(), b[:n])
 	}
 }
 
-// readErrors waits on the way to the server for the sign that nobody listens there.
+// readErrors calls refused whenever the socket to the server reports that nothing listens at the server's
+// port.
 func readErrors(c *net.UDPConn, refused func(now time.Time)) error {
 	b := make([]byte, packetSize)
 	for {
@@ -142,14 +143,14 @@
 	}
 }
 
-// readMessages hands each message of other processes to take.
-func (k *sockets) readMessages(take func(now time.Time, from netip.Addr, h msgs.Head, rest []byte)) error {
+// readMessages passes each message of other processes to handle.
+func (k *sockets) readMessages(handle func(now time.Time, from netip.Addr, h msgs.Head, rest []byte)) error {
 	return read(k.link, func(now time.Time, from netip.Addr, datagram []byte) {
 		h, rest, err := msgs.ReadHead(datagram)
 		if err != nil {
 			metrics.GetOrCreateCounter(`mangowinch_foreign_messages_total`).Inc()
 			return
 		}
-		take(now, from, h, rest)
+		handle(now, from, h, rest)
 	})
 }
--- a/internal/node/opaque/traffic.go
+++ b/internal/node/opaque/traffic.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// sampleEvery is the span whose busiest one is told.
+	// sampleEvery is the length of a sample. The busiest sample of a log line is reported.
 	sampleEvery = time.Second
-	// samplesPerLine is how many spans are told in one line.
+	// samplesPerLine is the number of samples that a log line covers.
 	samplesPerLine = 10
 )
 
-// kindBytes are bytes sent to other processes, by kind of message.
+// kindBytes holds the bytes sent to other processes, by kind of message.
 type kindBytes [msgs.Kinds]uint64
 
-// sentTotals reads the counters.
+// sentTotals returns the current values of the counters.
 func sentTotals() (sent kindBytes) {
 	for k, c := range sentBytes {
 		sent[k] = c.Get()
@@ -28,7 +28,7 @@
 	return sent
 }
 
-// minus returns what was sent since an earlier reading.
+// minus returns what was sent since the earlier totals.
 func (b *kindBytes) minus(earlier *kindBytes) (sent kindBytes) {
 	for k := range b {
 		sent[k] = b[k] - earlier[k]
@@ -36,7 +36,7 @@
 	return sent
 }
 
-// control is the bytes of all but callers' packets.
+// control returns the sum of the bytes of all messages but callers' packets.
 func (b *kindBytes) control() (sum uint64) {
 	for k, n := range b {
 		if !msgs.Kind(k).CarriesPacket() {
@@ -46,16 +46,17 @@
 	return sum
 }
 
-// traffic tells what a process sends to others besides callers' packets. A mean over a day hides the second in which everything starts or a
-// failure domain goes, and links are narrow.
+// traffic logs what a process sends to others besides callers' packets, with the busiest second. A daily
+// mean hides the second in which all processes start or a failure domain fails, and links have little
+// capacity.
 type traffic struct {
-	logged    kindBytes // counters at the last line
-	sampled   kindBytes // counters at the last sample
-	peak      uint64    // control bytes of the busiest sample since the last line
-	untilLine int       // samples until the next line
+	logged    kindBytes // totals at the last log line
+	sampled   kindBytes // totals at the last sample
+	peak      uint64    // control bytes of the busiest sample since the last log line
+	untilLine int       // samples until the next log line
 }
 
-// sample takes the counters and says whether a line is due.
+// sample records the totals and reports whether a log line is due.
 func (t *traffic) sample(now kindBytes) (due bool) {
 	span := now.minus(&t.sampled)
 	t.peak = max(t.peak, span.control())
@@ -67,7 +68,7 @@
 	return t.untilLine == 0
 }
 
-// log writes a line on what was sent since the last one.
+// log writes a log line on what was sent since the last one.
 func (t *traffic) log(events *event.Log) {
 	sent := t.sampled.minus(&t.logged)
 	kinds := zerolog.Dict()
@@ -80,7 +81,7 @@
 	t.logged, t.peak = t.sampled, 0
 }
 
-// watchTraffic writes a line now and then until ctx ends.
+// watchTraffic logs the traffic every samplesPerLine samples until ctx ends.
 func watchTraffic(ctx context.Context, events *event.Log) {
 	ticker := time.NewTicker(sampleEvery)
 	defer ticker.Stop()
--- a/internal/node/opaque/traffic_test.go
+++ b/internal/node/opaque/traffic_test.go
@@ -10,8 +10,9 @@
 	"mangowinch/internal/oper/event"
 )
 
-// Guards against a busy second that the mean of many hides, and against callers' packets that count as control.
-func TestBusiestSecondOfControlIsTold(t *testing.T) {
+// Guards against a busy second that is hidden in the mean of many, and against callers' packets that are
+// counted as control.
+func TestBusiestSecondOfControlIsLogged(t *testing.T) {
 	var out strings.Builder
 	events := event.New(&out, "entry", "entry-1")
 	var tr traffic
--- a/internal/node/start/relay.go
+++ b/internal/node/start/relay.go
@@ -38,8 +38,8 @@
 }
 
 // run relays until ctx ends. The others are told once the process is being stopped.
-func (c *relayNode) run(ctx, staying context.Context) error {
-	defer context.AfterFunc(staying, func() { c.SetState(peers.Leaving) })()
+func (c *relayNode) run(ctx, processCtx context.Context) error {
+	defer context.AfterFunc(processCtx, func() { c.SetState(peers.Leaving) })()
 	c.Run(ctx)
 	return c.dialer.Close()
 }
--- a/internal/node/start/relayagent.go
+++ b/internal/node/start/relayagent.go
@@ -13,11 +13,11 @@
 // relayAgent connects an agent with the relay, and returns what runs it. The agent
 // answers other processes itself, on its mux.
 func (p *components) relayAgent(ctx context.Context, a *agent.Agent) (run func(context.Context) error, err error) {
-	own := p.settings.Agent
+	settings := p.settings.Agent
 	c := p.newRelayNode(relay.Config{
-		Self:    peers.Member{Role: peers.Agent, Address: own.Listen},
-		Service: own.Service,
-		Server:  own.Server,
+		Self:    peers.Member{Role: peers.Agent, Address: settings.Listen},
+		Service: settings.Service,
+		Server:  settings.Server,
 		Load: func() relay.Load {
 			s := a.Status()
 			return relay.Load{Busy: s.Gate.Running, Slots: s.Gate.Slots, Queue: s.Gate.Waiting, Draining: s.Leaving != ""}
--- a/internal/node/start/start.go
+++ b/internal/node/start/start.go
@@ -52,14 +52,14 @@
 		store:    store.New(docs.Parse),
 	}
 	p.admin = admin.New(settings.Process.Operator, p.log)
-	own := Process{
+	self := Process{
 		Name:    settings.Process.Name,
 		Role:    role,
 		Domain:  settings.Process.Domain,
 		Version: build.Version(),
 		Since:   time.Now(),
 	}
-	p.admin.Section("process", func() any { return own })
+	p.admin.Section("process", func() any { return self })
 	p.admin.Section("documents", func() any { return listDocuments(p.store.View()) })
 	return p
 }
