--- a/internal/node/awake/awake.go
+++ b/internal/node/awake/awake.go
@@ -1,17 +1,16 @@
-// Package awake notices that a process was paused and has woken up late.
+// Package awake detects that a process was paused and has resumed.
 //
-// A process that is stopped for a minute (a frozen virtual machine, a debugger, a
-// long page-in) goes on where it was, with beliefs of a minute ago, and does not know
-// it. It shows as a step between two ticks of a timer that is far over the tick.
-// The runtime's monotonic clock runs on while a process is stopped, so the step is
-// seen at the first tick after the pause, before or within a tick of anything else
-// that the process does.
+// A process that is stopped for a minute (a frozen virtual machine, a debugger, a long page-in) continues
+// where it was, with state that is a minute old, and doesn't notice. The pause shows as a step between two
+// ticks of a timer that is much longer than the interval of the timer. The runtime's monotonic clock
+// continues while a process is stopped, so the step is visible at the first tick after the pause, before or
+// within a tick of anything else that the process does.
 //
-// It does not say what to refresh: whoever holds beliefs does.
+// The package doesn't decide what to refresh; the owners of the state do.
 //
 // # Usage
 //
-//	awake.Watch(ctx, func(pause time.Duration) { forgetBeliefs() })
+//	awake.Watch(ctx, func(pause time.Duration) { dropState() })
 package awake
 
 import (
@@ -20,15 +19,15 @@
 )
 
 const (
-	// Tick is how often the clock is looked at.
+	// Tick is how often the clock is checked.
 	Tick = 100 * time.Millisecond
-	// Threshold is the step that counts as a pause. A busy machine delays a tick by
-	// tens of milliseconds; what agents believe of entries ages in 400 ms, so
-	// a shorter pause is met by those beliefs' own limits.
+	// Threshold is the shortest step that counts as a pause. A busy machine delays a tick by tens of
+	// milliseconds. What agents know of entries expires after 400 ms, so a shorter pause is covered by that
+	// expiry.
 	Threshold = time.Second
 )
 
-// Pause returns how long a process was paused between two ticks, 0 if it was not.
+// Pause returns how long the process was paused between two ticks, or 0 if it was not.
 func Pause(before, now time.Time) time.Duration {
 	step := now.Sub(before)
 	if step < Threshold {
@@ -37,8 +36,8 @@
 	return step - Tick
 }
 
-// Watch calls woken after each pause, until ctx ends.
-func Watch(ctx context.Context, woken func(pause time.Duration)) {
+// Watch calls resumed after each pause, until ctx ends.
+func Watch(ctx context.Context, resumed func(pause time.Duration)) {
 	t := time.NewTicker(Tick)
 	defer t.Stop()
 	before := time.Now()
@@ -50,7 +49,7 @@
 		}
 		now := time.Now()
 		if p := Pause(before, now); p > 0 {
-			woken(p)
+			resumed(p)
 		}
 		before = now
 	}
--- a/internal/node/awake/awake_test.go
+++ b/internal/node/awake/awake_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// A busy machine delays a tick; a stopped process misses many. Only the second
-// may make a process doubt what it knows.
-func TestPauseIsToldFromDelay(t *testing.T) {
+// Guards against a tick that is delayed on a busy machine and counts as a pause, and against a pause that
+// is missed.
+func TestPauseIsDistinguishedFromDelay(t *testing.T) {
 	now := time.Unix(1000, 0)
 	assert.Equal(t, Pause(now, now.Add(Tick)), time.Duration(0))
 	assert.Equal(t, Pause(now, now.Add(Threshold-1)), time.Duration(0))
--- a/internal/node/edge/reach.go
+++ b/internal/node/edge/reach.go
@@ -35,7 +35,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if _, ok := e.Log.View().Server(from); ok && e.reach.InDoubt() {
-		e.Prober.Probe(from, nil, doubt.NoRound) // the agent may just have started
+		e.Prober.Probe(from, nil, doubt.NoRound) // the agent may just have started and be able to answer
 	}
 	e.clear(now, from)
 }
--- a/internal/node/entry/counts.go
+++ b/internal/node/entry/counts.go
@@ -6,16 +6,16 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// counters are one service's. Each dropped datagram is counted under one reason.
+// counters holds the metrics of one service. Each dropped datagram is counted under one reason.
 type counters struct {
 	received, forwarded, named, ranked, returned, echoes *metrics.Counter
 
-	short, smallOpener, foreign, size *metrics.Counter // unreadable, too small to open, ID of nobody, too large
+	short, smallOpener, foreign, size *metrics.Counter // unreadable, opening datagram too small, connection ID names no server, too large
 	unknown, noServer                 *metrics.Counter // server not in the document, no server at all
-	unsent, unread, forged            *metrics.Counter // the kernel refused it, could not give it, frame not authentic
-	unusable, conflict                *metrics.Counter // document or address that cannot be used
-	silent                            *metrics.Counter // servers found silent
-	hints                             *metrics.Counter // frames that showed a newer document
+	unsent, unread, forged            *metrics.Counter // write failed, read failed, frame not authentic
+	unusable, conflict                *metrics.Counter // document or address that can't be used, address claimed by two services
+	silent                            *metrics.Counter // servers found unresponsive
+	hints                             *metrics.Counter // frames that carried a newer revision of the document
 }
 
 func newCounters(service string) counters {
--- a/internal/node/entry/doors.go
+++ b/internal/node/entry/doors.go
@@ -9,15 +9,15 @@
 	"mangowinch/internal/node/sock"
 )
 
-// serviceSocket is one open service address.
+// serviceSocket is the open socket of a service address.
 type serviceSocket struct {
 	conn  *net.UDPConn
 	owner atomic.Pointer[service]
 }
 
-// openSockets opens the addresses of the services in force and closes those of none.
-// The caller holds e.mu. An address that moves to another service changes hands
-// in one step: from then on IDs of the former service are foreign to it.
+// openSockets opens the addresses of the services in force and closes those that no service has. The caller
+// holds e.mu. An address that moves to another service changes its owner in one step: from then on,
+// connection IDs of the former service are foreign to it.
 func (e *Entry) openSockets() {
 	wanted := make(map[netip.AddrPort]*service)
 	for _, s := range e.services {
@@ -43,8 +43,8 @@
 	}
 }
 
-// resolveConflict decides between two services that claim one address: the one that has it
-// keeps it, so that a second document's slip takes nothing from the first.
+// resolveConflict returns which of two services that claim one address gets it. The service that has the
+// address keeps it, so that a mistake in the other document doesn't affect it.
 func (e *Entry) resolveConflict(a netip.AddrPort, s, other *service) *service {
 	winner, loser := s, other
 	d := e.sockets[a]
--- a/internal/node/entry/entry.go
+++ b/internal/node/entry/entry.go
@@ -1,12 +1,12 @@
-// Package entry is the process that receives callers' datagrams and hands each to
-// the agent of the server it belongs to, and agents' datagrams back to callers.
+// Package entry implements the process that forwards callers' datagrams to the agents of the servers they
+// belong to, and agents' datagrams back to callers.
 //
-// It decides nothing itself: package route says where a datagram belongs, package
-// ident reads the server out of a connection ID, package store holds the documents.
-// It keeps no state that a flow needs. Kill it, and every flow goes on by
-// another entry; what it knows of servers (leaving, silent) only orders candidates.
+// It makes no decisions itself: package route selects the server of a datagram, package ident reads the
+// server from a connection ID, and package store holds the documents. An entry keeps no state that a flow
+// needs: if it is killed, its flows continue through another entry. Whether it takes a server for leaving or
+// unresponsive only affects the order of candidates.
 //
-// It terminates nothing and reads nothing behind a QUIC header's connection IDs.
+// It terminates no connection and reads nothing after the connection IDs of a QUIC header.
 //
 // # Usage
 //
@@ -38,12 +38,13 @@
 )
 
 const (
-	// refreshEvery bounds how long a snapshot shows a belief that time has ended.
+	// refreshEvery bounds how long a snapshot contains state that has expired.
 	refreshEvery = 500 * time.Millisecond
-	// stopIdle without a caller's datagram ends a planned stop. The fabric
-	// takes seconds to send no more; a flow that is only idle comes by another entry.
+	// stopIdle is the time without a caller's datagram that ends a graceful shutdown. The fabric takes
+	// seconds until it sends nothing more; the next datagram of a flow that is only idle arrives by another
+	// entry.
 	stopIdle = 3 * time.Second
-	// stopTimeout bounds a planned stop when the fabric never stops sending.
+	// stopTimeout bounds a graceful shutdown if the fabric never stops sending.
 	stopTimeout = 60 * time.Second
 )
 
@@ -54,30 +55,30 @@
 	log          zerolog.Logger
 	link         *net.UDPConn
 	leaving      atomic.Bool
-	lastDatagram stamp.Time // the last caller's datagram
+	lastDatagram stamp.Time // when the last datagram of a caller arrived
 	hooks        Hooks
 
-	// mu guards services and doors while the set of services changes. Datagrams
-	// are forwarded from tags and from a door's own pointer, without the lock.
+	// mu guards services and sockets while the set of services changes. Datagrams are forwarded without the
+	// lock, by way of tags and the owner pointer of a socket.
 	mu       sync.Mutex
 	services map[string]*service
 	sockets  map[netip.AddrPort]*serviceSocket
 	tags     atomic.Pointer[map[uint64]*service]
 }
 
-// Hooks connect the entry to whoever keeps its documents. Both may be nil.
+// Hooks connect the entry to the component that keeps its documents. Both may be nil.
 type Hooks struct {
-	// NewerDocument is called when a frame shows that the agent at link has a newer
-	// document of a service. It must not block.
+	// NewerDocument is called when a frame shows that the agent at link has a newer document of a service.
+	// It must not block.
 	NewerDocument func(link netip.AddrPort, service string, revision order.Revision)
-	// Refresh asks for the newest documents after a pause.
+	// Refresh requests the newest documents after a pause of the process.
 	Refresh func(ctx context.Context)
 }
 
-// SetHooks is to be called before Run.
+// SetHooks sets the hooks. It must be called before Run.
 func (e *Entry) SetHooks(h Hooks) { e.hooks = h }
 
-// New opens the link and returns an entry that serves no address yet.
+// New opens the link and returns an entry that has no service address yet.
 func New(settings *prefs.Settings, documents *store.Store, log zerolog.Logger) (e *Entry, err error) {
 	defer func() { err = errors.Wrap(err, "start entry") }()
 	if settings.Entry == nil {
@@ -99,8 +100,8 @@
 	return e, nil
 }
 
-// Run forwards until ctx ends and then makes a planned stop: it tells agents that
-// it leaves, and goes on forwarding until the fabric sends nothing more.
+// Run forwards until ctx ends and then shuts down gracefully: it tells agents that it leaves, and goes on
+// forwarding until the fabric sends nothing more.
 func (e *Entry) Run(ctx context.Context) (err error) {
 	defer func() { err = errors.Wrap(err, "run entry") }()
 	var g errgroup.Group
@@ -125,11 +126,11 @@
 	return g.Wait()
 }
 
-// drain waits until callers' datagrams stop coming. A balancer that closed its
-// sockets at once would lose what the fabric still sends to it.
+// drain goes on forwarding until callers' datagrams stop arriving. If an entry closed its sockets at once,
+// datagrams that the fabric still sends to it would be lost.
 func (e *Entry) drain(ctx context.Context) {
 	e.leaving.Store(true)
-	e.log.Info().Msg("leaving: forwarding goes on until the fabric sends nothing more")
+	e.log.Info().Msg("graceful shutdown started; forwarding until the fabric sends nothing more")
 	started := time.Now()
 	for time.Since(started) < stopTimeout {
 		select {
@@ -145,5 +146,5 @@
 	e.log.Info().Dur("after", time.Since(started)).Msg("left")
 }
 
-// Leaving says whether a planned stop has begun.
+// Leaving reports whether a graceful shutdown has begun.
 func (e *Entry) Leaving() bool { return e.leaving.Load() }
--- a/internal/node/entry/inward.go
+++ b/internal/node/entry/inward.go
@@ -13,17 +13,18 @@
 )
 
 const (
-	// readSize is the largest datagram read, in bytes; larger ones are cut and
-	// then dropped as too large.
+	// readSize is the largest datagram read, in bytes. Larger ones are truncated and then dropped as too
+	// large.
 	readSize = 2048
-	// readPause keeps a socket that fails each time from taking a processor.
+	// readPause is the pause after a failed read, so that a socket that always fails doesn't use up a
+	// processor.
 	readPause = 10 * time.Millisecond
-	// maxCandidates is how many servers a flow's first datagrams name: the choice,
-	// and two more for agents that are leaving.
+	// maxCandidates is how many servers a flow's first datagrams name: the selected one, and two more for
+	// agents that are leaving.
 	maxCandidates = 3
 )
 
-// callerReader forwards the datagrams of one door. It belongs to one goroutine.
+// callerReader forwards the datagrams of one service socket. It is used by one goroutine.
 type callerReader struct {
 	entry        *Entry
 	buffer       [frame.MaxSize + readSize]byte
@@ -32,7 +33,7 @@
 	frame        frame.Header
 }
 
-// readSocket forwards what callers send to one address until the door is closed.
+// readSocket forwards what callers send to one address until the socket is closed.
 func (e *Entry) readSocket(d *serviceSocket) {
 	w := &callerReader{entry: e}
 	for {
@@ -41,8 +42,8 @@
 			if isClosed(err) {
 				return
 			}
-			// The kernel may report what became of an earlier datagram. Ending here
-			// would make the address deaf at this entry, and nobody would notice.
+			// The kernel may report an error that belongs to an earlier datagram. If the loop ended here,
+			// this entry would receive nothing more at the address, and nothing would show it.
 			d.owner.Load().count.unread.Inc()
 			time.Sleep(readPause)
 			continue
@@ -53,10 +54,10 @@
 	}
 }
 
-// isClosed says whether a read failed because the socket was closed here.
+// isClosed reports whether a read failed because this process closed the socket.
 func isClosed(err error) bool { return errors.Is(err, net.ErrClosed) }
 
-// forward sends the datagram of n bytes in the buffer to the server it belongs to.
+// forward sends the datagram of n bytes in the buffer to its server.
 func (w *callerReader) forward(now time.Time, s *service, v *snapshot, from netip.AddrPort, n int) {
 	w.entry.lastDatagram.Set(now)
 	datagram := w.buffer[frame.MaxSize:][:n]
@@ -83,8 +84,8 @@
 	w.send(s, v, n)
 }
 
-// selectServer finds the server: by the connection ID, or by rank. It reports false
-// when the datagram is dropped.
+// selectServer selects the server by the connection ID or by rank. It returns false if the datagram is
+// dropped.
 func (w *callerReader) selectServer(now time.Time, s *service, v *snapshot, datagram []byte, h packet.Header) bool {
 	owner, err := v.ring.Open(h.Destination)
 	if err == nil {
@@ -93,7 +94,7 @@
 		return true
 	}
 	if !h.Long {
-		// A short header names an agent's own ID, or is damaged or forged.
+		// A short header carries a connection ID that an agent issued, or is damaged or forged.
 		s.count.foreign.Inc()
 		return false
 	}
@@ -116,12 +117,11 @@
 	return true
 }
 
-// send puts the header right before the datagram in the buffer, so that nothing
-// is copied but the header.
+// send writes the header right before the datagram in the buffer, so that the datagram is not copied.
 func (w *callerReader) send(s *service, v *snapshot, n int) {
 	agent, ok := v.agents[w.frame.Server]
 	if !ok {
-		// The server has left the document. Its flows ended with it.
+		// The server was removed from the document, and its flows have ended with it.
 		s.count.unknown.Inc()
 		return
 	}
@@ -143,7 +143,7 @@
 	return 0
 }
 
-// countInvalid counts a datagram that cannot be read.
+// countInvalid counts a datagram that can't be read.
 func (c *counters) countInvalid(err error) {
 	switch {
 	case errors.Is(err, packet.ErrOpener):
--- a/internal/node/entry/outward.go
+++ b/internal/node/entry/outward.go
@@ -11,13 +11,13 @@
 	"mangowinch/internal/flow/frame"
 )
 
-// Frames that belong to no service in force are counted for the whole entry.
+// Frames that belong to no service in force are counted for the entry as a whole.
 var (
 	strayFrames = metrics.GetOrCreateCounter(`mangowinch_entry_dropped_total{service="",reason="service"}`)
 	shortFrames = metrics.GetOrCreateCounter(`mangowinch_entry_dropped_total{service="",reason="short"}`)
 )
 
-// readLink takes agents' frames until ctx ends.
+// readLink reads agents' frames until ctx ends.
 func (e *Entry) readLink(ctx context.Context) (err error) {
 	defer func() { err = errors.Wrap(err, "read link") }()
 	var buffer [frame.MaxSize + readSize]byte
@@ -80,8 +80,8 @@
 	s.count.returned.Inc()
 }
 
-// echo answers a probe to where it came from, so that the answer proves both
-// directions.
+// echo answers a probe to the address that it came from, so that the answer proves that both directions
+// work.
 func (e *Entry) echo(s *service, v *snapshot, probe *frame.Header, from netip.AddrPort) {
 	answer := frame.Header{
 		Kind:     frame.Echo,
--- a/internal/node/entry/services.go
+++ b/internal/node/entry/services.go
@@ -21,41 +21,41 @@
 	"mangowinch/internal/node/stamp"
 )
 
-// previousFor is how long the servers of the document before are asked about flows:
-// a handshake takes 10 s at most by our settings, and entries get a document
-// within 7 s of each other.
+// previousFor is how long the servers of the previous document are still queried about flows, since they
+// may hold them. A handshake takes up to 10 s by these settings, and entries receive a document within 7 s
+// of each other.
 const previousFor = 17 * time.Second
 
-// leavingFor is how long a server's word that it leaves is believed after it was last
-// heard. A leaving server with flows repeats it in each frame. One that was started again
-// is given no flow while it is believed, so it sends none and could not take its word
-// back. Believing it too short costs a flow one hop: its agent passes it on.
+// leavingFor is how long a server counts as leaving after the last frame in which it said so. A leaving
+// server with flows repeats this in each frame. A server that was restarted gets no flow while it counts as
+// leaving, so it sends no frames that would correct the state. If the time is too short, a flow takes one
+// more hop: the agent hands it over.
 const leavingFor = 5 * time.Second
 
-// loadScale is what frames carry for a demand of all of a server's slots.
+// loadScale is the value in frames for a load of all of a server's slots.
 const loadScale = 1000
 
-// service is what the entry knows of one service.
+// service is the entry's state of one service.
 type service struct {
 	name    string
 	tag     uint64
 	current atomic.Pointer[snapshot]
 	socket  atomic.Pointer[serviceSocket]
 	count   counters
-	// lastHint is the last call of Hooks.Newer.
+	// lastHint is the time of the last call of Hooks.NewerDocument.
 	lastHint stamp.Time
 
-	// mu guards the beliefs that snapshots are made of.
+	// mu guards the fields below, from which snapshots are made.
 	mu              sync.Mutex
 	watch           *route.Watch
 	weights         *shift.Weights
 	lastStep        time.Time            // when weights last moved
-	leavingReported map[uint32]time.Time // when a server last said itself that it leaves
+	leavingReported map[uint32]time.Time // when a server last reported that it is leaving
 	previous        []route.Server
-	serversChanged  time.Time // when the servers last changed by document
+	serversChanged  time.Time // when a document last changed the set of servers
 }
 
-// snapshot is immutable.
+// snapshot is the immutable state by which datagrams of a service are forwarded.
 type snapshot struct {
 	document *docs.Service
 	revision order.Revision
@@ -64,7 +64,7 @@
 	agents   map[uint32]netip.AddrPort
 }
 
-// syncServices is the controller that makes services and doors what the documents say.
+// syncServices keeps services and sockets in line with the documents until ctx ends.
 func (e *Entry) syncServices(ctx context.Context) {
 	t := time.NewTicker(refreshEvery)
 	defer t.Stop()
@@ -85,7 +85,7 @@
 	}
 }
 
-// apply takes a view of the documents into force.
+// apply puts the documents of a view in force.
 func (e *Entry) apply(v *store.View) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -120,8 +120,8 @@
 	}
 }
 
-// setDocument makes a document the service's own. A document that names an unknown key
-// leaves the last good one in force.
+// setDocument puts a document of a service in force. If the document names an unknown key, the last valid
+// document stays in force.
 func (e *Entry) setDocument(s *service, d *store.Entry) {
 	ring, err := rings.New(e.settings.Keys, d.Service)
 	if err != nil {
@@ -162,8 +162,8 @@
 	return m
 }
 
-// publish fills in the beliefs of this moment and makes a snapshot current. The
-// caller holds s.mu.
+// publish updates a snapshot with the present state of the servers and makes it current. The caller holds
+// s.mu.
 func (s *service) publish(now time.Time, next *snapshot) {
 	next.table.Now = nil
 	shares := s.weights.Weights()
@@ -191,9 +191,9 @@
 	return list
 }
 
-// coarseWeight rounds a server's weight to steps of an eighth. Entries hear the same
-// reports at different moments; with fine weights hardly two would rank all flows alike, and
-// the second datagram of a first flight would go another way more often.
+// coarseWeight rounds a server's weight to steps of 1/8. Entries receive the same reports at different
+// times. With exact weights, hardly any two entries would rank all flows alike, and the second datagram of
+// a first flight would go to another server more often.
 func coarseWeight(shares []shift.Weight, id uint32) float64 {
 	const steps = 8
 	for _, w := range shares {
@@ -204,7 +204,8 @@
 	return 1
 }
 
-// refreshAll lets beliefs that time has ended out of the snapshots.
+// refreshAll moves the weights of services for which that is due, and removes expired state from the
+// snapshots.
 func (e *Entry) refreshAll(now time.Time) {
 	for _, s := range *e.tags.Load() {
 		s.mu.Lock()
@@ -217,26 +218,25 @@
 	}
 }
 
-// refresh makes a snapshot anew from the beliefs of now. The caller holds s.mu.
+// refresh replaces the snapshot by one with the present state. The caller holds s.mu.
 func (s *service) refresh(now time.Time) {
 	next := *s.current.Load()
 	s.publish(now, &next)
 }
 
-// isLeaving says whether a server is believed to leave by its own word. The caller holds
-// s.mu.
+// isLeaving reports whether a server counts as leaving by its own frames. The caller holds s.mu.
 func (s *service) isLeaving(now time.Time, server uint32) bool {
 	said, ok := s.leavingReported[server]
 	return ok && now.Sub(said) < leavingFor
 }
 
-// recordFrame takes in what a server's frame says of the server.
+// recordFrame records what a server's frame says about the server.
 func (s *service) recordFrame(now time.Time, h *frame.Header) {
 	server, leaving := h.Server, h.Flags&frame.Leaving != 0
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, ok := s.current.Load().agents[server]; !ok {
-		return // of another document; what is believed is bounded by the one in force
+		return // of another document; only servers of the one in force are tracked, so that memory stays bounded
 	}
 	changed := s.watch.Heard(now, server)
 	s.weights.Report(now, server, shift.Load{Demand: float64(h.Load) / loadScale, Leaving: leaving})
@@ -250,7 +250,7 @@
 	}
 }
 
-// recordOpened notes that a flow was sent to a server.
+// recordOpened records that a flow was sent to a server.
 func (s *service) recordOpened(now time.Time, server uint32) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/entry/services_test.go
+++ b/internal/node/entry/services_test.go
@@ -20,16 +20,16 @@
 	return s
 }
 
-// A server leaves by its own word, ends, and is started again under the same ID. The
-// entry still took it for leaving and gave it no flow; so it sent no frame, and nothing
-// ever corrected the entry. The belief must end some time after the last such word.
-func TestLeavingIsNotBelievedForEver(t *testing.T) {
+// Guards against a server that counts as leaving for ever. The server reports that it leaves, ends, and
+// restarts under the same ID. While the entry sends it no flow, the server sends no frame that would
+// correct the entry, so the state must expire.
+func TestLeavingExpires(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := twoServers(now)
 	s.recordFrame(now, &frame.Header{Server: 1, Flags: frame.Leaving})
 	assert.Assert(t, s.current.Load().table.Now[0].Leaving)
 	now = now.Add(leavingFor / 2)
-	s.recordFrame(now, &frame.Header{Server: 1, Flags: frame.Leaving}) // it still has feeds
+	s.recordFrame(now, &frame.Header{Server: 1, Flags: frame.Leaving}) // the server still has feeds
 	now = now.Add(leavingFor - 1)
 	s.refresh(now)
 	assert.Assert(t, s.current.Load().table.Now[0].Leaving)
@@ -37,9 +37,9 @@
 	assert.Assert(t, !s.current.Load().table.Now[0].Leaving)
 }
 
-// Servers are replaced for months. What is believed of one that the document no longer
-// has must not stay in memory.
-func TestBeliefsAreBoundedByTheDocument(t *testing.T) {
+// Guards against state of servers that the document no longer has: servers are replaced for months, and the
+// memory must stay bounded.
+func TestServerStateIsBoundedByTheDocument(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := twoServers(now)
 	for id := range uint32(1000) {
@@ -48,9 +48,9 @@
 	assert.Equal(t, len(s.leavingReported), 2)
 }
 
-// The kernel reports an error for one read. The address used to be read no more, and
-// each caller lost the datagrams that the fabric sent to this entry, for good.
-func TestReadErrorsEndOnlyAClosedDoor(t *testing.T) {
+// Guards against a read loop that ends on a transient error from the kernel. The entry would read the
+// address no more, and every datagram that the fabric sends to it would be lost for good.
+func TestOnlyAClosedSocketEndsTheReadLoop(t *testing.T) {
 	assert.Assert(t, !isClosed(&net.OpError{Op: "read", Err: net.UnknownNetworkError("refused")}))
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
 	assert.NilError(t, err)
--- a/internal/node/entry/status.go
+++ b/internal/node/entry/status.go
@@ -9,7 +9,7 @@
 	"mangowinch/internal/flow/order"
 )
 
-// Service is one service as an operator sees it.
+// Service is the state of one service in /status.
 type Service struct {
 	Name     string         `json:"name"`
 	Revision order.Revision `json:"revision"`
@@ -17,20 +17,20 @@
 	Servers  []Server       `json:"servers"`
 }
 
-// Server is what the entry believes of a server.
+// Server is the state of a server as the entry sees it.
 type Server struct {
 	ID     uint32         `json:"id"`
 	Name   string         `json:"name"`
 	Agent  netip.AddrPort `json:"agent"`
 	State  string         `json:"state"`  // serving, leaving or silent
-	Reason string         `json:"reason"` // where that belief comes from
+	Reason string         `json:"reason"` // source of the state
 	Weight float64        `json:"weight"` // share of new flows, relative to the others
 }
 
-// InForce is the number of services in force.
+// InForce returns the number of services in force.
 func (e *Entry) InForce() int { return len(*e.tags.Load()) }
 
-// Status lists the services in force and what is believed of their servers.
+// Status returns the services in force and the state of their servers.
 func (e *Entry) Status() (list []Service) {
 	for _, s := range *e.tags.Load() {
 		list = append(list, s.status())
--- a/internal/node/entry/woken.go
+++ b/internal/node/entry/woken.go
@@ -11,19 +11,19 @@
 	"mangowinch/internal/flow/route"
 )
 
-// hintEvery spaces the calls of Hooks.Newer for one service: every frame of a busy
-// service carries a revision, and the document needs some milliseconds to come.
+// hintEvery is the shortest time between calls of Hooks.NewerDocument for one service. Every frame of a
+// busy service carries a revision, and fetching the document takes some milliseconds.
 const hintEvery = 200 * time.Millisecond
 
 var wokenTotal = metrics.GetOrCreateCounter(`mangowinch_entry_woken_total`)
 
-// onWake drops what a paused entry believed of servers. Flows that it opened before
-// the pause look unanswered for as long as it slept, since the answers wait in its
-// own socket: it would pass over servers that are well. It goes on forwarding
-// meanwhile, for agents decide by themselves, and asks for newer documents.
+// onWake drops the state of the servers after a pause of the process. Flows that were opened before the
+// pause seem unanswered for its whole length, because the answers wait in the entry's own socket, so the
+// entry would avoid servers that work. Meanwhile it goes on forwarding, since agents decide by themselves,
+// and requests newer documents.
 func (e *Entry) onWake(ctx context.Context, pause time.Duration) {
 	wokenTotal.Inc()
-	e.log.Info().Dur("pause", pause).Msg("woken late")
+	e.log.Info().Dur("pause", pause).Msg("process resumed after a pause")
 	for _, s := range *e.tags.Load() {
 		s.resetBeliefs(time.Now())
 	}
@@ -41,7 +41,7 @@
 	s.refresh(now)
 }
 
-// notifyNewer tells whoever keeps the documents that a newer one exists.
+// notifyNewer reports through the hook that a newer document exists.
 func (e *Entry) notifyNewer(now time.Time, s *service, link netip.AddrPort, revision order.Revision) {
 	if e.hooks.NewerDocument != nil && s.lastHint.Claim(now, hintEvery) {
 		s.count.hints.Inc()
--- a/internal/node/gate/gate.go
+++ b/internal/node/gate/gate.go
@@ -1,5 +1,5 @@
-// Package gate lets requests of many goroutines through the admission of one
-// server: it carries out what package admit decides, and decides nothing itself.
+// Package gate blocks goroutines with requests until the admission of one backend server lets them run. It
+// carries out the decisions of package admit and makes none itself.
 //
 // # Usage
 //
@@ -8,7 +8,7 @@
 //	if pass == nil {
 //		return refused // not run
 //	}
-//	defer pass.Leave() // or pass.Fail()
+//	defer pass.Release() // or pass.Fail()
 package gate
 
 import (
@@ -22,7 +22,7 @@
 	"mangowinch/internal/work/result"
 )
 
-// Request is what wants to enter.
+// Request is a request for a slot.
 type Request struct {
 	Class    string
 	Caller   queue.Caller
@@ -31,12 +31,12 @@
 
 // Gate is the admission of one server.
 type Gate struct {
-	// mu guards all below. Package admit is not safe for concurrent use, and a
-	// decision and its consequences must be one step: a slot given up between the
-	// two would start nobody.
+	// mu guards the fields below. Package admit is not safe for concurrent use, and a decision and its
+	// consequences must be one step: if a slot was released between the two, no waiting request would
+	// start.
 	mu      sync.Mutex
 	admit   *admit.Gate
-	waiting map[uint64]chan result.Result // receives one result: Ran stands for "start"
+	waiting map[uint64]chan result.Result // each receives one result: Ran stands for "start"
 	last    uint64
 	timer   *time.Timer
 	expiry  time.Time // when the timer fires; zero if it is not set
@@ -51,7 +51,7 @@
 	}
 }
 
-// Pass is the right to one slot.
+// Pass is the right to use one slot.
 type Pass struct {
 	gate  *Gate
 	id    uint64
@@ -59,13 +59,13 @@
 	once  sync.Once
 }
 
-// Release gives the slot back after work whose time is a measure of the class. Only the
-// first call of Leave or Fail counts.
+// Release releases the slot after work whose duration counts for the estimate of its class. Only the first
+// call of Release or Fail has an effect.
 func (p *Pass) Release() { p.end(time.Since(p.since)) }
 
-// Fail gives the slot back after work that failed or was broken off. Its time measures
-// nothing: a server that fails each request at once would seem fast, and be given more
-// requests than it can answer once it is well.
+// Fail releases the slot after work that failed or was aborted. Its duration doesn't count: a server that
+// fails each request at once would seem fast, and would be given more requests than it can answer once it
+// works again.
 func (p *Pass) Fail() { p.end(0) }
 
 func (p *Pass) end(took time.Duration) {
@@ -76,8 +76,8 @@
 	})
 }
 
-// Enter waits for a slot. Without one it returns no pass, and the result of a
-// request that did not run.
+// Enter waits for a slot. If there is none, it returns no pass, and the result of a request that did not
+// run.
 func (g *Gate) Enter(ctx context.Context, r Request) (pass *Pass, refused result.Result) {
 	id, turn, refused := g.arrive(r)
 	if turn == nil {
@@ -89,7 +89,7 @@
 	case <-ctx.Done():
 	}
 	if res, ended := g.cancel(id, turn); ended {
-		// A slot was given in the moment the caller went away; it goes back.
+		// A slot was assigned at the moment when the caller went away; it is released.
 		if pass, _ := g.pass(id, res); pass != nil {
 			pass.Release()
 		}
@@ -104,7 +104,8 @@
 	return &Pass{gate: g, id: id, since: time.Now()}, result.Result{}
 }
 
-// arrive returns the channel on which the request's turn comes, nil if it is refused.
+// arrive submits a request. It returns the channel that receives the request's result, or nil if the
+// request is refused.
 func (g *Gate) arrive(r Request) (id uint64, turn chan result.Result, refused result.Result) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -121,11 +122,11 @@
 		turn = nil
 		refused = result.Result{Outcome: result.NotRun, Reason: d.Reason, After: d.After}
 	}
-	g.apply(admit.Change{}) // the next expiry may be this request's
+	g.apply(admit.Change{}) // this request may be the next to expire
 	return id, turn, refused
 }
 
-// cancel takes a waiting request out. It reports what was decided if that came first.
+// cancel removes a waiting request. If its result was decided before, cancel returns the result and true.
 func (g *Gate) cancel(id uint64, turn chan result.Result) (res result.Result, ended bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -139,8 +140,8 @@
 	return result.Result{}, false
 }
 
-// apply tells requests what has become of them, and sets the timer for the next
-// one that time ends. The caller holds g.mu.
+// apply sends results to the requests that a decision affects, and sets the timer for the next request that
+// expires. The caller holds g.mu.
 func (g *Gate) apply(c admit.Change) {
 	for _, id := range c.Started {
 		g.deliver(id, result.Result{Outcome: result.Ran})
@@ -163,7 +164,7 @@
 
 func (g *Gate) deliver(id uint64, res result.Result) {
 	if turn := g.waiting[id]; turn != nil {
-		turn <- res // has room for one, and is told once
+		turn <- res // never blocks: the channel holds one result, and one is sent
 		delete(g.waiting, id)
 	}
 }
@@ -175,14 +176,14 @@
 	g.apply(g.admit.Expire(time.Now()))
 }
 
-// SetLimits puts a new document in force.
+// SetLimits puts the limits of a new document in force.
 func (g *Gate) SetLimits(l admit.Limits) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.apply(g.admit.SetLimits(time.Now(), l))
 }
 
-// Drain ends all waiting as not run, so that it can be placed elsewhere at once.
+// Drain ends all waiting requests as not run, so that they can be placed elsewhere at once.
 func (g *Gate) Drain() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -193,8 +194,8 @@
 	g.apply(c)
 }
 
-// RetryAfter is when a caller is to come back whose request the gate did not refuse itself;
-// it counts as refused.
+// RetryAfter returns when a caller should retry a request that was refused by another component than the
+// gate. The request counts as refused.
 func (g *Gate) RetryAfter() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/node/gate/gate_test.go
+++ b/internal/node/gate/gate_test.go
@@ -27,8 +27,8 @@
 	return Request{Class: "lookup", Caller: queue.Caller{Name: "fund"}, Deadline: time.Now().Add(deadline)}
 }
 
-// Ten callers' lookups of 10 ms come at once before one slot and a queue of four. Five run,
-// never two at a time; five are refused the moment they come.
+// Guards against slots or a queue beyond their limits. Ten callers send lookups of 10 ms at once to one
+// slot and a queue of four. Five run, one at a time, and five are refused on arrival.
 func TestSlotsAndQueueAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGate()
@@ -65,21 +65,21 @@
 	})
 }
 
-// A caller goes away while its lookup waits. The lookup behind it must get the
-// slot, and the slot must not be lost with the one that left.
+// Guards against a slot that is lost with a caller that goes away while its lookup waits. The lookup behind
+// it must get the slot.
 func TestGoneCallerFreesItsPlace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGate()
 		first, _ := g.Enter(t.Context(), lookup(time.Second))
 		ctx, leave := context.WithCancel(t.Context())
-		gone := make(chan result.Result)
+		canceled := make(chan result.Result)
 		go func() {
 			_, res := g.Enter(ctx, lookup(time.Second))
-			gone <- res
+			canceled <- res
 		}()
 		synctest.Wait()
 		leave()
-		assert.Equal(t, (<-gone).Reason, result.Gone)
+		assert.Equal(t, (<-canceled).Reason, result.Gone)
 		first.Release()
 		next, _ := g.Enter(t.Context(), lookup(time.Second))
 		assert.Assert(t, next != nil)
@@ -88,8 +88,8 @@
 	})
 }
 
-// A lookup waits behind one that takes too long. It is answered when it can no
-// longer make its deadline, not when the slot is free.
+// Guards against lookups that wait behind a slow one until the slot is free. A lookup must be answered as
+// soon as it can no longer meet its deadline.
 func TestWaitingEndsInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGate()
@@ -101,28 +101,28 @@
 	})
 }
 
-// The server is told to leave while work waits. All of it comes back at once as not
-// run, to be placed elsewhere; what runs goes on.
+// Guards against work that keeps waiting at a server that drains. All of it must end at once as not run, to
+// be placed elsewhere, while running work continues.
 func TestDrainGivesWaitingBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGate()
 		first, _ := g.Enter(t.Context(), lookup(time.Minute))
-		back := make(chan result.Result)
+		drained := make(chan result.Result)
 		go func() {
 			_, res := g.Enter(t.Context(), lookup(time.Minute))
-			back <- res
+			drained <- res
 		}()
 		synctest.Wait()
 		g.Drain()
-		assert.Equal(t, (<-back).Reason, result.LeavingServer)
+		assert.Equal(t, (<-drained).Reason, result.LeavingServer)
 		assert.Equal(t, g.Stats().Running, 1)
 		first.Release()
 	})
 }
 
-// Story: a server is down for ten seconds. Those who come late in the outage are told to stay away
-// for longer than the first, and not all for the same time.
-func TestComeBackFollowsTheOutage(t *testing.T) {
+// Guards against callers that all retry at the same time after an outage. A server is down for 10 s.
+// Callers refused late in the outage get a longer retry time than the first, and not all the same.
+func TestRetryAfterGrowsWithTheOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := New(admit.Limits{Slots: 4})
 		first := g.RetryAfter()
@@ -130,20 +130,20 @@
 			time.Sleep(100 * time.Millisecond)
 			g.RetryAfter()
 		}
-		told := map[time.Duration]bool{}
+		seen := map[time.Duration]bool{}
 		for range 10 {
 			last := g.RetryAfter()
 			assert.Assert(t, last >= 10*time.Second && first < last)
-			told[last] = true
+			seen[last] = true
 		}
-		assert.Assert(t, len(told) > 1)
+		assert.Assert(t, len(seen) > 1)
 	})
 }
 
-// A server fails every lookup in a millisecond for a while. Its estimate must stay what
-// answered lookups took: else, once the server is well, more is let in than it can
-// answer in time.
-func TestFailuresMeasureNothing(t *testing.T) {
+// Guards against failed lookups in the estimate of a class. A server fails every lookup within a
+// millisecond for a while. If these counted, more lookups would be admitted than the server can answer in
+// time once it works again.
+func TestFailuresDoNotCountInTheEstimate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGate()
 		for range 100 {
@@ -156,7 +156,7 @@
 			pass, _ := g.Enter(t.Context(), lookup(time.Minute))
 			time.Sleep(time.Millisecond)
 			pass.Fail()
-			pass.Release() // the second call counts for nothing
+			pass.Release() // the second call has no effect
 		}
 		assert.DeepEqual(t, g.Stats().Classes[0], before)
 		assert.Equal(t, g.Stats().Running, 0)
--- a/internal/node/rings/rings.go
+++ b/internal/node/rings/rings.go
@@ -1,8 +1,7 @@
-// Package rings brings a service document and the keys of one process together.
+// Package rings creates key rings from a service document and the keys of the process.
 //
-// A document names keys, settings hold their material. A document that names a key
-// this process does not hold is an error of the deployment, found here and nowhere
-// else, so that entry and agent say the same of it.
+// A document names keys, and the settings hold their material. A document that names a key the process
+// lacks is a deployment error. It is detected only here, so that entries and agents report it alike.
 //
 // # Usage
 //
@@ -17,11 +16,11 @@
 	"mangowinch/internal/flow/ident"
 )
 
-// ErrKey says that a document names a key that the settings do not hold.
+// ErrKey is returned if a document names a key that the settings lack.
 var ErrKey = errors.New("key is not in the settings")
 
-// New derives the ring of a service. It returns ErrKey if the current key is not
-// held; a former key not held is left out, since its flows end by themselves.
+// New returns the key ring of a service. It returns ErrKey if the settings lack the current key. A former
+// key that they lack is left out, since the flows that use it end by themselves.
 func New(keys map[string]prefs.Key, s *docs.Service) (ring *ident.Ring, err error) {
 	defer func() { err = errors.Wrapf(err, "keys of service %q", s.Name) }()
 	current, ok := keys[s.Current]
--- a/internal/node/sock/retire.go
+++ b/internal/node/sock/retire.go
@@ -5,14 +5,13 @@
 	"sync"
 )
 
-// Retiring is a listener that can stop taking connections without ending whoever
-// serves it: a server whose listener fails ends the connections it has, and with
-// them the requests on them.
+// Retiring is a listener that can stop accepting connections without an error from Accept. A server ends
+// its connections, and with them the requests in progress, when Accept of its listener fails.
 type Retiring struct {
 	net.Listener
 	retired chan struct{}
 	closed  chan struct{}
-	once    [2]sync.Once // of Retire and Close
+	once    [2]sync.Once // for Retire and Close
 }
 
 // NewRetiring wraps a listener.
@@ -20,8 +19,8 @@
 	return &Retiring{Listener: l, retired: make(chan struct{}), closed: make(chan struct{})}
 }
 
-// Retire closes the socket, so that new connections go to whoever shares the address.
-// Accept then waits until Close.
+// Retire closes the socket, so that new connections go to the other process that shares the address. Accept
+// then blocks until Close.
 func (r *Retiring) Retire() (err error) {
 	r.once[0].Do(func() {
 		close(r.retired)
--- a/internal/node/sock/sock.go
+++ b/internal/node/sock/sock.go
@@ -1,9 +1,8 @@
 // Package sock opens the sockets of entries and agents.
 //
-// An agent is replaced by starting its successor beside it: for hours, while the
-// last feeds end, two processes hold one address. A shared socket (SO_REUSEPORT)
-// lets both open it; the kernel then gives each sender's datagrams to one of them, and
-// package agent passes on what is the other's.
+// An agent is replaced by starting its successor beside it: for hours, until the last feeds end, two
+// processes hold one address. A shared socket (SO_REUSEPORT) lets both open it. The kernel then delivers
+// each sender's datagrams to one of them, and package agent forwards those that belong to the other.
 //
 // # Usage
 //
@@ -21,17 +20,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// Use says whether another process may open the same address.
+// Use is whether other processes may open the same address.
 type Use bool
 
-// The uses.
+// The values of Use.
 const (
 	Exclusive Use = false
-	Shared    Use = true // every process that opens it must say so
+	Shared    Use = true // every process that opens the address must use it
 )
 
-// bufferSize is asked of the kernel for each UDP socket, in bytes, so that a burst
-// outlasts a pause of some milliseconds. The kernel may grant less.
+// bufferSize is the buffer size in bytes that is requested for each UDP socket, so that a burst survives a
+// pause of some milliseconds. The kernel may grant less.
 const bufferSize = 4 << 20
 
 // UDP opens a UDP socket.
--- a/internal/node/sock/sock_test.go
+++ b/internal/node/sock/sock_test.go
@@ -8,9 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// An agent's process is being replaced. Once it takes no new connections, each must
-// reach its successor, and whoever serves the old listener must not end, for the
-// requests on its connections would end with it.
+// Guards against a replaced agent process that still gets new connections, and against a server that ends
+// when its listener is retired: the requests on its connections would end with it.
 func TestRetiredListenerLeavesTheAddressToItsSuccessor(t *testing.T) {
 	first, err := TCP(t.Context(), netip.MustParseAddrPort("127.0.0.1:0"), Shared)
 	assert.NilError(t, err)
--- a/internal/node/stamp/stamp.go
+++ b/internal/node/stamp/stamp.go
@@ -1,15 +1,16 @@
-// Package stamp keeps a moment that several goroutines set and read, by the steady clock.
+// Package stamp implements a time that several goroutines set and read without a lock, based on the
+// monotonic clock.
 //
-// The time of day may jump while a process runs. A moment kept as Unix nanoseconds would then look longer ago
-// than it is, or as if it had yet to come: an entry that is being stopped would take a jump for silence and close its
-// sockets on packets that still come, and an agent would take its other process for dead. Times as the runtime gives
-// them carry the steady clock, but no atomic holds one without allocating.
+// The wall clock may jump while a process runs. A time kept as Unix nanoseconds would then seem older than
+// it is, or to lie in the future. An entry that shuts down would take a jump for the end of traffic and
+// close its sockets while packets still arrive, and an agent would take the other process at its address
+// for dead. A time.Time carries the monotonic clock, but no atomic type holds one without an allocation.
 //
 // # Usage
 //
-//	var heard stamp.Time
-//	heard.Set(time.Now())
-//	if heard.Since(time.Now()) > limit { ... }
+//	var lastSeen stamp.Time
+//	lastSeen.Set(time.Now())
+//	if lastSeen.Since(time.Now()) > limit { ... }
 package stamp
 
 import (
@@ -18,22 +19,23 @@
 	"time"
 )
 
-// epoch is what moments are counted from; anything but the time of day would do.
+// epoch is the time from which offsets are counted. Any reading of the monotonic clock would do.
 var epoch = time.Now()
 
-// Time is a moment; the zero Time is never.
-type Time struct{ offset atomic.Int64 } // nanoseconds after begin, 0: never
+// Time is a time, or never, which is the zero value.
+type Time struct{ offset atomic.Int64 } // nanoseconds after epoch, 0: never
 
-// Set makes it now.
+// Set sets the time to now.
 func (t *Time) Set(now time.Time) { t.offset.Store(nanos(now)) }
 
-// Clear makes it never.
+// Clear sets the time to never.
 func (t *Time) Clear() { t.offset.Store(0) }
 
-// Since is how long ago it was, the longest Duration if it is never.
+// Since returns the time elapsed until now, or the longest Duration if the time is never.
 func (t *Time) Since(now time.Time) time.Duration { return elapsed(t.offset.Load(), now) }
 
-// Claim makes it now if it was at least every ago. Of several goroutines one gets true.
+// Claim sets the time to now if at least every has elapsed, and reports whether it did. Of several
+// goroutines that call it at once, only one gets true.
 func (t *Time) Claim(now time.Time, every time.Duration) bool {
 	last := t.offset.Load()
 	return elapsed(last, now) >= every && t.offset.CompareAndSwap(last, nanos(now))
--- a/internal/node/stamp/stamp_test.go
+++ b/internal/node/stamp/stamp_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestNeverIsLongAgo(t *testing.T) {
+func TestZeroTimeIsLongAgo(t *testing.T) {
 	var m Time
 	now := time.Now()
 	assert.Assert(t, m.Since(now) > 100*365*24*time.Hour)
@@ -20,15 +20,15 @@
 	assert.Assert(t, m.Since(now) > 100*365*24*time.Hour)
 }
 
-// The time of day jumps ahead by an hour between two looks. The moment is counted from the process's begin by the
-// steady clock, so that its number doesn't depend on the time of day.
-func TestOnlyTheSteadyClockCounts(t *testing.T) {
+// Guards against a time that changes when the wall clock jumps. The stored offset counts from the start of
+// the process by the monotonic clock.
+func TestTimeUsesTheMonotonicClock(t *testing.T) {
 	var m Time
 	m.Set(epoch.Add(3 * time.Second))
 	assert.Equal(t, time.Duration(m.offset.Load()), 3*time.Second)
 }
 
-func TestOneOfManyClaims(t *testing.T) {
+func TestOnlyOneGoroutineClaims(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var m Time
 		var claims atomic.Int32
--- a/internal/node/start/ready.go
+++ b/internal/node/start/ready.go
@@ -8,12 +8,11 @@
 	"mangowinch/internal/conf/store"
 )
 
-// readyEvery is how often a process that is not ready yet looks again.
+// readyEvery is how often a process that is not ready checks its readiness.
 const readyEvery = 50 * time.Millisecond
 
-// watchReady keeps the condition document until it is met: a process is ready once it
-// works by a document and lacks none that it knows of. From then on some document is
-// always in force.
+// watchReady updates the readiness condition for documents until it is met: a process is ready once it has
+// a document in force and lacks none that it knows of. From then on some document is always in force.
 func (p *components) watchReady(ctx context.Context, r runner) {
 	c := p.admin.Condition("document")
 	t := time.NewTicker(readyEvery)
@@ -32,10 +31,9 @@
 	}
 }
 
-// notReadyReason says why a process is not ready, "" if it is. A document that was fetched
-// is not yet one that is worked by: it may name a key or a server that the settings
-// do not have. And an entry that has some of its documents would lose the datagrams of
-// the other services, for which it has opened no socket.
+// notReadyReason returns why a process is not ready, or "" if it is. A fetched document need not be in
+// force: it may name a key or a server that the settings lack. An entry that has only some of its documents
+// is not ready either, because it has no sockets for the other services and their datagrams would be lost.
 func notReadyReason(v *store.View, inForce, missing int) string {
 	switch {
 	case inForce == 0 && len(v.Entries) > 0:
--- a/internal/node/start/ready_test.go
+++ b/internal/node/start/ready_test.go
@@ -8,11 +8,10 @@
 	"mangowinch/internal/conf/store"
 )
 
-// An agent's settings lack the key that its document names. The document was fetched and
-// is without fault, but the agent cannot work by it and serves nobody; called ready it
-// would be counted on. An entry with a part of its documents is no better: it drops
+// Guards against a process that is ready and can't serve. An agent whose settings lack the key of its
+// document has fetched a valid document but can't use it. An entry with only some of its documents drops
 // what callers of the other services send.
-func TestReadyMeansAtWork(t *testing.T) {
+func TestReadyNeedsAllDocumentsInForce(t *testing.T) {
 	fetched := &store.View{Entries: map[string]*store.Entry{"tracing-core": {}}}
 	faulty := &store.View{Faults: map[string]*store.Fault{"tracing-core": {}}}
 	for _, c := range []struct {
--- a/internal/node/start/relay.go
+++ b/internal/node/start/relay.go
@@ -12,13 +12,13 @@
 	"mangowinch/internal/ctrl/relay"
 )
 
-// relayNode is the relay of a process with what it needs of its own.
+// relayNode is the relay of a process and its dialer.
 type relayNode struct {
 	*relay.Node
 	dialer *link.Dialer
 }
 
-// newRelayNode fills in what both roles have alike.
+// newRelayNode creates the relay of a process and fills in the settings that are the same for both roles.
 func (p *components) newRelayNode(c relay.Config) *relayNode {
 	c.Self.Name = p.settings.Process.Name
 	c.Self.Domain = p.settings.Process.Domain
@@ -37,7 +37,8 @@
 	return &relayNode{n, dialer}
 }
 
-// run relays until ctx ends. The others are told once the process is being stopped.
+// run relays until ctx ends. The other processes are notified when processCtx ends, which is when the
+// graceful shutdown begins.
 func (c *relayNode) run(ctx, processCtx context.Context) error {
 	defer context.AfterFunc(processCtx, func() { c.SetState(peers.Leaving) })()
 	c.Run(ctx)
--- a/internal/node/start/relayagent.go
+++ b/internal/node/start/relayagent.go
@@ -10,8 +10,8 @@
 	"mangowinch/internal/node/agent"
 )
 
-// relayAgent connects an agent with the relay, and returns what runs it. The agent
-// answers other processes itself, on its mux.
+// relayAgent connects an agent with the relay and returns the function that runs the relay. The agent
+// serves other processes' requests on its own mux.
 func (p *components) relayAgent(ctx context.Context, a *agent.Agent) (run func(context.Context) error, err error) {
 	settings := p.settings.Agent
 	c := p.newRelayNode(relay.Config{
--- a/internal/node/start/relayentry.go
+++ b/internal/node/start/relayentry.go
@@ -17,11 +17,11 @@
 	"mangowinch/internal/node/sock"
 )
 
-// maxLinks bounds the connections that others hold to an entry: at the size to design
-// for some 30 come from neighbours and agents, more in a failure domain's restart.
+// maxLinks bounds the connections that other processes hold to an entry. At the designed size about 30 come
+// from neighbours and agents, more while a failure domain restarts.
 const maxLinks = 1024
 
-// relayEntry connects an entry with the relay, and returns what runs it.
+// relayEntry connects an entry with the relay and returns the function that runs the relay.
 func (p *components) relayEntry(ctx context.Context, e *entry.Entry) (run func(context.Context) error, err error) {
 	c := p.newRelayNode(relay.Config{
 		Self: peers.Member{Role: peers.Entry, Address: p.settings.Entry.Link},
--- a/internal/node/start/start.go
+++ b/internal/node/start/start.go
@@ -1,11 +1,10 @@
-// Package start puts a process together from its settings: documents, the process
-// of its role, and the operators' server. It is the one place that knows all parts;
-// none of them knows it.
+// Package start assembles a process from its settings: documents, the entry or agent, and the operators'
+// server. It is the only package that depends on all of them, and none of them depends on it.
 //
 // # Usage
 //
 //	settings, err := prefs.Load("entry.ini")
-//	err = start.Entry(ctx, settings) // until ctx ends and the planned stop is done
+//	err = start.Entry(ctx, settings) // until ctx ends and the graceful shutdown is done
 package start
 
 import (
@@ -29,19 +28,19 @@
 	"mangowinch/internal/oper/logs"
 )
 
-// components are what every process has.
+// components holds what the processes of both roles need.
 type components struct {
 	settings *prefs.Settings
 	log      zerolog.Logger
 	store    *store.Store
 	admin    *admin.Server
-	missing  func() int // documents that a peer has newer
+	missing  func() int // number of documents of which a peer has a newer revision
 }
 
 // runner is a process of either role.
 type runner interface {
 	Run(ctx context.Context) error
-	// InForce is the number of documents that the process works by.
+	// InForce returns the number of documents in force at the process.
 	InForce() int
 }
 
@@ -64,7 +63,7 @@
 	return p
 }
 
-// Entry runs an entry until ctx ends and its planned stop is done.
+// Entry runs an entry until ctx ends and its graceful shutdown is done.
 func Entry(ctx context.Context, settings *prefs.Settings) (err error) {
 	p := newComponents(settings, "entry")
 	if err := p.admin.Open(); err != nil {
@@ -82,7 +81,7 @@
 	return p.run(ctx, e, control)
 }
 
-// Agent runs an agent until ctx ends and its planned stop is done.
+// Agent runs an agent until ctx ends and its graceful shutdown is done.
 func Agent(ctx context.Context, settings *prefs.Settings) (err error) {
 	p := newComponents(settings, "agent")
 	if settings.Agent == nil {
@@ -95,7 +94,7 @@
 	if err != nil {
 		return err
 	}
-	watchCtx, stop := context.WithCancel(context.WithoutCancel(ctx)) // a planned stop may take hours
+	watchCtx, stop := context.WithCancel(context.WithoutCancel(ctx)) // a graceful shutdown may take hours
 	defer stop()
 	go pair.Watch(watchCtx)
 	a, err := agent.New(settings, p.store, &tls.Config{GetCertificate: pair.GetCertificate}, p.log)
@@ -110,11 +109,11 @@
 	return p.run(ctx, a, control)
 }
 
-// run keeps documents and the operators' server going until the process has ended.
+// run runs the relay, the readiness checks and the operators' server until the process has ended.
 func (p *components) run(ctx context.Context, r runner, control func(context.Context) error) error {
 	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	// A process that is being stopped works on for hours and is not ready for more.
+	// A process that shuts down serves its flows for hours, and is not ready for more.
 	staying := p.admin.Condition("staying")
 	staying.Set(true, "")
 	defer context.AfterFunc(ctx, func() { staying.Set(false, "planned stop") })()
--- a/internal/node/start/status.go
+++ b/internal/node/start/status.go
@@ -9,7 +9,7 @@
 	"mangowinch/internal/flow/order"
 )
 
-// Process is what a process is, in /status.
+// Process is the section of /status on the process.
 type Process struct {
 	Name    string    `json:"name"`
 	Role    string    `json:"role"`
