--- a/internal/node/edge/edge.go
+++ b/internal/node/edge/edge.go
@@ -96,10 +96,10 @@
 	packet      []byte                    // for the reset being sent
 }
 
-// coldPeriod is how long a server counts as cold, by its last entry in the view. The server may become cold
-// again without a restart, when the evacuation of its failure domain ends.
+// coldPeriod is how long a server counts as cold, by the server's latest item in the view. The server may
+// become cold again without a restart, when the evacuation of its failure domain ends.
 type coldPeriod struct {
-	remaining time.Duration // as the entry in the view says
+	remaining time.Duration // as stated by the item
 	until     time.Time
 }
 
