--- a/internal/node/agent/place.go
+++ b/internal/node/agent/place.go
@@ -108,11 +108,11 @@
 	busy := a.usage.Share(now)
 	a.usageMu.Unlock()
 	return place.Hint{
-		Running: s.Running,
-		Waiting: s.Waiting,
-		Busy:    busy,
-		Service: s.Service(),
-		Leaving: !a.standing.accepting(),
+		Running:     s.Running,
+		Waiting:     s.Waiting,
+		Utilization: busy,
+		Service:     s.ServiceTime(),
+		Leaving:     !a.standing.accepting(),
 	}
 }
 
--- a/internal/node/doubt/doubt.go
+++ b/internal/node/doubt/doubt.go
@@ -40,7 +40,7 @@
 
 // failureBounds declares an agent failed 0.95 s after the first unanswered packet. An agent that was killed
 // is back after 0.65 s.
-var failureBounds = detect.Bounds{Doubt: 150 * time.Millisecond, Wait: 200 * time.Millisecond, Checks: 4}
+var failureBounds = detect.Config{SuspectAfter: 150 * time.Millisecond, ProbeTimeout: 200 * time.Millisecond, Probes: 4}
 
 // maxProbesPerTick bounds how many suspected agents are probed in a tick. When a failure domain fails, an
 // observer may suspect a thousand agents at once; the others are probed in the next ticks.
@@ -93,7 +93,7 @@
 		d.Tick(now, detect.Open)
 		w.suspects[a] = d
 	}
-	d.Asked(now)
+	d.Sent(now)
 }
 
 // SuspectUnlessSeen is Suspect for an agent from which nothing was received recently. It is for observers
@@ -107,7 +107,7 @@
 // Failed reports whether an agent has failed, by this observer's probes or by another's report.
 func (w *Monitor) Failed(a netip.Addr) bool {
 	d := w.suspects[a]
-	if d != nil && d.Lost() {
+	if d != nil && d.Failed() {
 		return true
 	}
 	_, reported := w.reported[a]
@@ -148,15 +148,15 @@
 			break
 		}
 		switch d.Tick(now, d.round.path()) {
-		case detect.Check:
+		case detect.Probe:
 			if current == nil {
 				current = w.beginRound(now, agents)
 			}
 			probed++
 			w.probe(a, d, current, agents)
-		case detect.Lost:
+		case detect.Failed:
 			failed = append(failed, a)
-		case detect.Fine:
+		case detect.None:
 		}
 	}
 	return failed
--- a/internal/node/doubt/round.go
+++ b/internal/node/doubt/round.go
@@ -40,12 +40,12 @@
 }
 
 // path returns the state of the observer's path, by the answers of the witnesses.
-func (r *round) path() detect.Way {
+func (r *round) path() detect.Path {
 	switch {
 	case r == nil || len(r.unanswered) == len(r.witnesses):
 		return detect.Blocked
 	case len(r.unanswered) > 0:
-		return detect.Patchy
+		return detect.Partial
 	default:
 		return detect.Open
 	}
--- a/internal/node/doubt/told.go
+++ b/internal/node/doubt/told.go
@@ -34,12 +34,12 @@
 		return nil
 	}
 	for a, d := range w.suspects {
-		if d.Lost() && len(list) < msgs.MaxLost {
+		if d.Failed() && len(list) < msgs.MaxLost {
 			list = append(list, msgs.Silent{Agent: a})
 		}
 	}
 	for a, at := range w.reported {
-		if d := w.suspects[a]; (d == nil || !d.Lost()) && len(list) < msgs.MaxLost {
+		if d := w.suspects[a]; (d == nil || !d.Failed()) && len(list) < msgs.MaxLost {
 			list = append(list, msgs.Silent{Agent: a, Age: uint16(now.Sub(at).Milliseconds())})
 		}
 	}
--- a/internal/node/edge/bulk.go
+++ b/internal/node/edge/bulk.go
@@ -24,13 +24,13 @@
 
 // admit reports whether a new flow may be placed now. Otherwise the flow is queued, or it is refused.
 func (e *Entry) admit(now time.Time, v *belief.View, s *segs.Segment, datagram []byte) bool {
-	if e.bulk.Waits(s.Flow) {
+	if e.bulk.Contains(s.Flow) {
 		return false // a copy of an opening packet that is queued already
 	}
-	switch e.bulk.Open(now, s.Flow, e.Callers.Age(s.Ack), datagram) {
+	switch e.bulk.Admit(now, s.Flow, e.Callers.Age(s.Ack), datagram) {
 	case bulk.Hold:
 		linkWaits.Inc()
-		e.Events.Flow(event.Ordinary, "link-waits", s.Flow).Int("waiting", e.bulk.Waiting()).Stringer("revision", v.Revision).Send()
+		e.Events.Flow(event.Ordinary, "link-waits", s.Flow).Int("waiting", e.bulk.Len()).Stringer("revision", v.Revision).Send()
 		return false
 	case bulk.Refuse:
 		e.refuse(now, s, "link")
@@ -43,17 +43,17 @@
 // trackBulk records what a caller has sent on an open flow.
 func (e *Entry) trackBulk(now time.Time, s *segs.Segment, size int) {
 	if s.Len > 0 {
-		e.bulk.Sent(now, s.Flow, size)
+		e.bulk.RecordSent(now, s.Flow, size)
 	}
 	if s.Flags&(segs.Fin|segs.Rst) != 0 {
-		e.bulk.Closed(s.Flow)
+		e.bulk.Close(s.Flow)
 		e.placeWaiting(now)
 	}
 }
 
 // placeWaiting refuses queued flows that have waited too long and places those that the link has room for.
 func (e *Entry) placeWaiting(now time.Time) {
-	for w, ok := e.bulk.Late(now); ok; w, ok = e.bulk.Late(now) {
+	for w, ok := e.bulk.NextExpired(now); ok; w, ok = e.bulk.NextExpired(now) {
 		e.refuse(now, &segs.Segment{Flow: w.Flow, Flags: segs.Syn}, "link")
 	}
 	for w, ok := e.bulk.Next(now); ok; w, ok = e.bulk.Next(now) {
@@ -62,7 +62,7 @@
 }
 
 // placeOneWaiting places one flow that was queued.
-func (e *Entry) placeOneWaiting(now time.Time, w *bulk.Waiting) {
+func (e *Entry) placeOneWaiting(now time.Time, w *bulk.QueuedFlow) {
 	s, err := e.Codec.Decode(w.Packet, segs.CallerEnd)
 	if err != nil {
 		countDropped("malformed")
--- a/internal/node/edge/edge.go
+++ b/internal/node/edge/edge.go
@@ -149,7 +149,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	v := e.Log.View()
-	e.chooser.Keep(v.Homes.Agents())
+	e.chooser.Retain(v.Homes.Agents())
 	present := map[string]bool{}
 	for _, a := range v.Homes.Agents() {
 		s, _ := v.Server(a)
--- a/internal/node/edge/lost.go
+++ b/internal/node/edge/lost.go
@@ -49,7 +49,7 @@
 // checkSuspects probes the suspected agents and queues the flows of agents that have failed to be reset.
 func (e *Entry) checkSuspects(now time.Time) {
 	v := e.Log.View()
-	exempt := func(agent netip.Addr) bool { return e.reach.Lost() || e.Ctrl.Leaving(agent) }
+	exempt := func(agent netip.Addr) bool { return e.reach.Failed() || e.Ctrl.Leaving(agent) }
 	for _, agent := range e.suspects.Tick(now, v.Homes.Agents(), exempt) {
 		before := len(e.toReset)
 		e.toReset = append(e.toReset, e.flows.Of(agent)...)
--- a/internal/node/edge/place.go
+++ b/internal/node/edge/place.go
@@ -14,7 +14,7 @@
 
 // open places a new flow, or handles a copy of its opening packet.
 func (e *Entry) open(now time.Time, v *belief.View, route *belief.Route, s *segs.Segment, datagram []byte) {
-	if e.reach.Lost() {
+	if e.reach.Failed() {
 		e.refuse(now, s, "cut-off")
 		return
 	}
@@ -42,7 +42,7 @@
 	if last.Opened || p.Told {
 		return false // the answer to the caller was lost or is still in transit
 	}
-	e.chooser.Silent(now, last.Agent)
+	e.chooser.NoReply(now, last.Agent)
 	e.suspect(now, last.Agent)
 	unanswered.Inc()
 	e.Events.Flow(event.Failure, "unanswered", s.Flow).Stringer("agent", last.Agent).Uint32("copy", s.Ack).Send()
@@ -61,7 +61,7 @@
 	p.Tries++
 	e.chooser.Placed(agent)
 	if !e.Off.Reach {
-		e.reach.Asked(now)
+		e.reach.Sent(now)
 	}
 	placed.Inc()
 	class := event.Ordinary
@@ -100,7 +100,7 @@
 			Slots:    s.Slots,
 			Draining: s.State == belief.Draining || e.Ctrl.Leaving(s.Addr.Addr()),
 			Cold:     now.Before(e.cold[s.ID].until),
-			Lost:     e.suspects.Failed(s.Addr.Addr()),
+			Failed:   e.suspects.Failed(s.Addr.Addr()),
 		})
 	}
 	return list
--- a/internal/node/edge/reach.go
+++ b/internal/node/edge/reach.go
@@ -23,7 +23,7 @@
 
 // reachBounds declares the entry cut off 0.55 s after the first opening packet that no agent answered.
 // Answers take 2 ms between failure domains, 20 ms between regions, and about 100 ms through a full link.
-var reachBounds = detect.Bounds{Doubt: 150 * time.Millisecond, Wait: 200 * time.Millisecond, Checks: 2}
+var reachBounds = detect.Config{SuspectAfter: 150 * time.Millisecond, ProbeTimeout: 200 * time.Millisecond, Probes: 2}
 
 // probeFanout is the number of agents that are probed in a round. With 1% of the packets lost in each
 // direction, all four probes of a round go unanswered once in six million rounds.
@@ -34,7 +34,7 @@
 func (e *Entry) ProcessAlive(now time.Time, from netip.Addr) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if _, ok := e.Log.View().Server(from); ok && e.reach.InDoubt() {
+	if _, ok := e.Log.View().Server(from); ok && e.reach.AwaitingReply() {
 		e.Prober.Probe(from, nil, doubt.NoRound) // the agent may just have started and be able to answer
 	}
 	e.clear(now, from)
@@ -53,7 +53,7 @@
 	if _, ok := e.Log.View().Server(from); !ok {
 		return
 	}
-	if e.reach.Heard() {
+	if e.reach.Received() {
 		e.Events.State("reached").Send()
 	}
 }
@@ -62,20 +62,20 @@
 func (e *Entry) ReachesAgents() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return !e.reach.Lost()
+	return !e.reach.Failed()
 }
 
 // checkReach probes some agents if opening packets have gone unanswered.
 func (e *Entry) checkReach(now time.Time) {
 	switch e.reach.Tick(now, detect.Open) {
-	case detect.Check:
+	case detect.Probe:
 		for _, a := range e.sample(e.Log.View().Homes.Agents(), probeFanout) {
 			e.Prober.Probe(a, nil, doubt.NoRound)
 		}
 		reachProbes.Inc()
-	case detect.Lost:
+	case detect.Failed:
 		e.Events.State("cut-off").Int("agents", len(e.Log.View().Homes.Agents())).Send()
-	case detect.Fine:
+	case detect.None:
 	}
 }
 
--- a/internal/node/entry/services.go
+++ b/internal/node/entry/services.go
@@ -209,7 +209,7 @@
 func (e *Entry) refreshAll(now time.Time) {
 	for _, s := range *e.tags.Load() {
 		s.mu.Lock()
-		if now.Sub(s.lastStep) >= shift.Default.Every {
+		if now.Sub(s.lastStep) >= shift.Default.Interval {
 			s.weights.Step(now)
 			s.lastStep = now
 		}
--- a/internal/node/gate/gate.go
+++ b/internal/node/gate/gate.go
@@ -120,7 +120,7 @@
 		g.waiting[id] = turn
 	default:
 		turn = nil
-		refused = result.Result{Outcome: result.NotRun, Reason: d.Reason, After: d.After}
+		refused = result.Result{Outcome: result.NotRun, Reason: d.Reason, After: d.RetryAfter}
 	}
 	g.apply(admit.Change{}) // this request may be the next to expire
 	return id, turn, refused
@@ -147,7 +147,7 @@
 		g.deliver(id, result.Result{Outcome: result.Ran})
 	}
 	for _, r := range c.Refused {
-		g.deliver(r.ID, result.Result{Outcome: result.NotRun, Reason: r.Reason, After: r.After})
+		g.deliver(r.ID, result.Result{Outcome: result.NotRun, Reason: r.Reason, After: r.RetryAfter})
 	}
 	next := g.admit.NextExpiry()
 	if next.Equal(g.expiry) {
@@ -189,7 +189,7 @@
 	defer g.mu.Unlock()
 	var c admit.Change
 	for _, id := range g.admit.Drain() {
-		c.Refused = append(c.Refused, admit.Refused{ID: id, Reason: result.LeavingServer})
+		c.Refused = append(c.Refused, admit.Refusal{ID: id, Reason: result.LeavingServer})
 	}
 	g.apply(c)
 }
@@ -199,7 +199,7 @@
 func (g *Gate) RetryAfter() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.admit.After(time.Now())
+	return g.admit.RetryAfter(time.Now())
 }
 
 // Stats returns a copy of the gate's state.
--- a/internal/node/local/lost.go
+++ b/internal/node/local/lost.go
@@ -52,7 +52,7 @@
 
 // keepPassed keeps a packet that goes to an owner which hasn't been heard lately, and puts the owner in doubt.
 func (a *Agent) keepPassed(now time.Time, owner netip.Addr, m msgs.Carry, s *segs.Segment) {
-	if a.Off.Lost || a.Ctrl.Leaving(owner) {
+	if a.Off.Lost || a.Control.Leaving(owner) {
 		return
 	}
 	a.doubted.SuspectUnlessSeen(now, owner)
@@ -96,7 +96,7 @@
 		return
 	}
 	for _, other := range agents {
-		if other != a.Self && !a.Ctrl.Leaving(other) {
+		if other != a.Self && !a.Control.Leaving(other) {
 			a.doubted.Suspect(now, other)
 		}
 	}
@@ -105,14 +105,14 @@
 // watchDoubted asks the agents in doubt, and notes who is lost.
 func (a *Agent) watchDoubted(now time.Time) {
 	v := a.Log.View()
-	for _, other := range a.doubted.Tick(now, v.Homes.Agents(), a.Ctrl.Leaving) {
+	for _, other := range a.doubted.Tick(now, v.Homes.Agents(), a.Control.Leaving) {
 		a.Events.State("agent-lost").Stringer("agent", other).Stringer("revision", v.Revision).Send()
 	}
 	a.seekPassed(now)
 }
 
-// Heard notes that another process is alive: a message has come from it, or from one that has heard it.
-func (a *Agent) Heard(now time.Time, from netip.Addr) {
+// MarkAlive notes that another process is alive: a message has come from it, or from one that has heard it.
+func (a *Agent) MarkAlive(now time.Time, from netip.Addr) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.doubted.MarkAlive(now, from) {
@@ -120,8 +120,8 @@
 	}
 }
 
-// Answered notes that another process has answered a question of a round.
-func (a *Agent) Answered(now time.Time, from netip.Addr, round uint32) {
+// ProbeAnswered notes that another process has answered a question of a round.
+func (a *Agent) ProbeAnswered(now time.Time, from netip.Addr, round uint32) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.doubted.Acked(now, from, round)
