--- a/internal/node/entry/entry.go
+++ b/internal/node/entry/entry.go
@@ -1,12 +1,12 @@
-// Package entry is the process that receives callers' datagrams and hands each to
-// the agent of the server it belongs to, and agents' datagrams back to callers.
+// Package entry implements the process that forwards callers' datagrams to the agents of the servers they
+// belong to, and agents' datagrams back to callers.
 //
-// It decides nothing itself: package route says where a datagram belongs, package
-// ident reads the server out of a connection ID, package store holds the documents.
-// It keeps no state that a flow needs. Kill it, and every flow goes on by
-// another entry; what it knows of servers (leaving, silent) only orders candidates.
+// It makes no decisions itself: package route selects the server of a datagram, package ident reads the
+// server from a connection ID, and package store holds the documents. An entry keeps no state that a flow
+// needs: if it is killed, its flows continue through another entry. Whether it takes a server for leaving or
+// unresponsive only affects the order of candidates.
 //
-// It terminates nothing and reads nothing behind a QUIC header's connection IDs.
+// It terminates no connection and reads nothing after the connection IDs of a QUIC header.
 //
 // # Usage
 //
@@ -38,52 +38,53 @@
 )
 
 const (
-	// refreshEvery bounds how long a snapshot shows a belief that time has ended.
+	// refreshEvery bounds how long a snapshot contains state that has expired.
 	refreshEvery = 500 * time.Millisecond
-	// quietTime without a caller's datagram ends a planned stop. The fabric
-	// takes seconds to send no more; a flow that is only idle comes by another entry.
-	quietTime = 3 * time.Second
-	// stopTime bounds a planned stop when the fabric never stops sending.
-	stopTime = 60 * time.Second
+	// stopIdle is the time without a caller's datagram that ends a graceful shutdown. The fabric takes
+	// seconds until it sends nothing more; the next datagram of a flow that is only idle arrives by another
+	// entry.
+	stopIdle = 3 * time.Second
+	// stopTimeout bounds a graceful shutdown if the fabric never stops sending.
+	stopTimeout = 60 * time.Second
 )
 
 // Entry is one running entry.
 type Entry struct {
-	settings *prefs.Settings
-	store    *store.Store
-	log      zerolog.Logger
-	link     *net.UDPConn
-	leaving  atomic.Bool
-	lastUsed stamp.Time // the last caller's datagram
-	hooks    Hooks
+	settings     *prefs.Settings
+	store        *store.Store
+	log          zerolog.Logger
+	link         *net.UDPConn
+	leaving      atomic.Bool
+	lastDatagram stamp.Time // when the last datagram of a caller arrived
+	hooks        Hooks
 
-	// mu guards services and doors while the set of services changes. Datagrams
-	// are forwarded from tags and from a door's own pointer, without the lock.
+	// mu guards services and sockets while the set of services changes. Datagrams are forwarded without the
+	// lock, by way of tags and the owner pointer of a socket.
 	mu       sync.Mutex
 	services map[string]*service
-	doors    map[netip.AddrPort]*door
+	sockets  map[netip.AddrPort]*serviceSocket
 	tags     atomic.Pointer[map[uint64]*service]
 }
 
-// Hooks connect the entry to whoever keeps its documents. Both may be nil.
+// Hooks connect the entry to the component that keeps its documents. Both may be nil.
 type Hooks struct {
-	// Newer is called when a frame shows that the agent at link has a newer
-	// document of a service. It must not block.
-	Newer func(link netip.AddrPort, service string, revision order.Revision)
-	// Refresh asks for the newest documents after a pause.
+	// NewerDocument is called when a frame shows that the agent at link has a newer document of a service.
+	// It must not block.
+	NewerDocument func(link netip.AddrPort, service string, revision order.Revision)
+	// Refresh requests the newest documents after a pause of the process.
 	Refresh func(ctx context.Context)
 }
 
-// SetHooks is to be called before Run.
+// SetHooks sets the hooks. It must be called before Run.
 func (e *Entry) SetHooks(h Hooks) { e.hooks = h }
 
-// New opens the link and returns an entry that serves no address yet.
+// New opens the link and returns an entry that has no service address yet.
 func New(settings *prefs.Settings, documents *store.Store, log zerolog.Logger) (e *Entry, err error) {
 	defer func() { err = errors.Wrap(err, "start entry") }()
 	if settings.Entry == nil {
 		return nil, errors.New("the settings have no section entry")
 	}
-	link, err := sock.UDP(context.Background(), settings.Entry.Link, sock.Alone)
+	link, err := sock.UDP(context.Background(), settings.Entry.Link, sock.Exclusive)
 	if err != nil {
 		return nil, err
 	}
@@ -93,14 +94,14 @@
 		log:      log,
 		link:     link,
 		services: make(map[string]*service),
-		doors:    make(map[netip.AddrPort]*door),
+		sockets:  make(map[netip.AddrPort]*serviceSocket),
 	}
 	e.tags.Store(&map[uint64]*service{})
 	return e, nil
 }
 
-// Run forwards until ctx ends and then makes a planned stop: it tells agents that
-// it leaves, and goes on forwarding until the fabric sends nothing more.
+// Run forwards until ctx ends and then shuts down gracefully: it tells agents that it leaves, and goes on
+// forwarding until the fabric sends nothing more.
 func (e *Entry) Run(ctx context.Context) (err error) {
 	defer func() { err = errors.Wrap(err, "run entry") }()
 	var g errgroup.Group
@@ -108,16 +109,16 @@
 	defer stop()
 	g.Go(func() error { return e.readLink(inner) })
 	g.Go(func() error {
-		e.keepServices(inner)
+		e.syncServices(inner)
 		return nil
 	})
 	g.Go(func() error {
-		awake.Watch(inner, func(pause time.Duration) { e.woken(inner, pause) })
+		awake.Watch(inner, func(pause time.Duration) { e.onWake(inner, pause) })
 		return nil
 	})
 	g.Go(func() error {
 		<-ctx.Done()
-		e.leave(inner)
+		e.drain(inner)
 		stop()
 		e.link.Close()
 		return nil
@@ -125,25 +126,25 @@
 	return g.Wait()
 }
 
-// leave waits until callers' datagrams stop coming. A balancer that closed its
-// sockets at once would lose what the fabric still sends to it.
-func (e *Entry) leave(ctx context.Context) {
+// drain goes on forwarding until callers' datagrams stop arriving. If an entry closed its sockets at once,
+// datagrams that the fabric still sends to it would be lost.
+func (e *Entry) drain(ctx context.Context) {
 	e.leaving.Store(true)
-	e.log.Info().Msg("leaving: forwarding goes on until the fabric sends nothing more")
+	e.log.Info().Msg("graceful shutdown started; forwarding until the fabric sends nothing more")
 	started := time.Now()
-	for time.Since(started) < stopTime {
+	for time.Since(started) < stopTimeout {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(quietTime / 10):
+		case <-time.After(stopIdle / 10):
 		}
-		quiet := e.lastUsed.Since(time.Now())
-		if quiet > quietTime && time.Since(started) > quietTime {
+		idle := e.lastDatagram.Since(time.Now())
+		if idle > stopIdle && time.Since(started) > stopIdle {
 			break
 		}
 	}
 	e.log.Info().Dur("after", time.Since(started)).Msg("left")
 }
 
-// Leaving says whether a planned stop has begun.
+// Leaving reports whether a graceful shutdown has begun.
 func (e *Entry) Leaving() bool { return e.leaving.Load() }
--- a/internal/node/entry/inward.go
+++ b/internal/node/entry/inward.go
@@ -13,52 +13,53 @@
 )
 
 const (
-	// readSize is the largest datagram read, in bytes; larger ones are cut and
-	// then dropped as too large.
+	// readSize is the largest datagram read, in bytes. Larger ones are truncated and then dropped as too
+	// large.
 	readSize = 2048
-	// readPause keeps a socket that fails each time from taking a processor.
+	// readPause is the pause after a failed read, so that a socket that always fails doesn't use up a
+	// processor.
 	readPause = 10 * time.Millisecond
-	// candidates is how many servers a flow's first datagrams name: the choice,
-	// and two more for agents that are leaving.
-	candidates = 3
+	// maxCandidates is how many servers a flow's first datagrams name: the selected one, and two more for
+	// agents that are leaving.
+	maxCandidates = 3
 )
 
-// inward forwards the datagrams of one door. It belongs to one goroutine.
-type inward struct {
-	entry  *Entry
-	buffer [frame.MaxSize + readSize]byte
-	header [frame.MaxSize]byte
-	ids    [frame.MaxCandidates]uint32
-	frame  frame.Header
+// callerReader forwards the datagrams of one service socket. It is used by one goroutine.
+type callerReader struct {
+	entry        *Entry
+	buffer       [frame.MaxSize + readSize]byte
+	header       [frame.MaxSize]byte
+	candidateIDs [frame.MaxCandidates]uint32
+	frame        frame.Header
 }
 
-// readDoor forwards what callers send to one address until the door is closed.
-func (e *Entry) readDoor(d *door) {
-	w := &inward{entry: e}
+// readSocket forwards what callers send to one address until the socket is closed.
+func (e *Entry) readSocket(d *serviceSocket) {
+	w := &callerReader{entry: e}
 	for {
 		n, from, err := d.conn.ReadFromUDPAddrPort(w.buffer[frame.MaxSize:])
 		if err != nil {
-			if closed(err) {
+			if isClosed(err) {
 				return
 			}
-			// The kernel may report what became of an earlier datagram. Ending here
-			// would make the address deaf at this entry, and nobody would notice.
+			// The kernel may report an error that belongs to an earlier datagram. If the loop ended here,
+			// this entry would receive nothing more at the address, and nothing would show it.
 			d.owner.Load().count.unread.Inc()
 			time.Sleep(readPause)
 			continue
 		}
 		s := d.owner.Load()
 		s.count.received.Inc()
-		w.forward(time.Now(), s, s.now.Load(), from, n)
+		w.forward(time.Now(), s, s.current.Load(), from, n)
 	}
 }
 
-// closed says whether a read failed because the socket was closed here.
-func closed(err error) bool { return errors.Is(err, net.ErrClosed) }
+// isClosed reports whether a read failed because this process closed the socket.
+func isClosed(err error) bool { return errors.Is(err, net.ErrClosed) }
 
-// forward sends the datagram of n bytes in the buffer to the server it belongs to.
-func (w *inward) forward(now time.Time, s *service, v *snapshot, from netip.AddrPort, n int) {
-	w.entry.lastUsed.Set(now)
+// forward sends the datagram of n bytes in the buffer to its server.
+func (w *callerReader) forward(now time.Time, s *service, v *snapshot, from netip.AddrPort, n int) {
+	w.entry.lastDatagram.Set(now)
 	datagram := w.buffer[frame.MaxSize:][:n]
 	if n > frame.MaxPayload {
 		s.count.size.Inc()
@@ -66,7 +67,7 @@
 	}
 	h, err := packet.Parse(datagram)
 	if err != nil {
-		s.count.refuse(err)
+		s.count.countInvalid(err)
 		return
 	}
 	w.frame = frame.Header{
@@ -77,15 +78,15 @@
 		Caller:   netip.AddrPortFrom(from.Addr().Unmap(), from.Port()),
 		Entry:    w.entry.settings.Entry.Link,
 	}
-	if !w.address(now, s, v, datagram, h) {
+	if !w.selectServer(now, s, v, datagram, h) {
 		return
 	}
 	w.send(s, v, n)
 }
 
-// address finds the server: by the connection ID, or by rank. It reports false
-// when the datagram is dropped.
-func (w *inward) address(now time.Time, s *service, v *snapshot, datagram []byte, h packet.Header) bool {
+// selectServer selects the server by the connection ID or by rank. It returns false if the datagram is
+// dropped.
+func (w *callerReader) selectServer(now time.Time, s *service, v *snapshot, datagram []byte, h packet.Header) bool {
 	owner, err := v.ring.Open(h.Destination)
 	if err == nil {
 		w.frame.Server = owner.Server
@@ -93,17 +94,17 @@
 		return true
 	}
 	if !h.Long {
-		// A short header names an agent's own ID, or is damaged or forged.
+		// A short header carries a connection ID that an agent issued, or is damaged or forged.
 		s.count.foreign.Inc()
 		return false
 	}
 	if err := packet.CheckOpener(datagram, h); err != nil {
-		s.count.refuse(err)
+		s.count.countInvalid(err)
 		return false
 	}
-	c := v.table.Choose(w.ids[:0], route.Key(h.Destination), candidates)
+	c := v.table.Choose(w.candidateIDs[:0], route.Key(h.Destination), maxCandidates)
 	if len(c.Candidates) == 0 {
-		s.count.nobody.Inc()
+		s.count.noServer.Inc()
 		return false
 	}
 	w.frame.Server = c.Server
@@ -112,16 +113,15 @@
 		w.frame.Flags |= frame.Former
 	}
 	s.count.ranked.Inc()
-	s.opened(now, c.Server)
+	s.recordOpened(now, c.Server)
 	return true
 }
 
-// send puts the header right before the datagram in the buffer, so that nothing
-// is copied but the header.
-func (w *inward) send(s *service, v *snapshot, n int) {
+// send writes the header right before the datagram in the buffer, so that the datagram is not copied.
+func (w *callerReader) send(s *service, v *snapshot, n int) {
 	agent, ok := v.agents[w.frame.Server]
 	if !ok {
-		// The server has left the document. Its flows ended with it.
+		// The server was removed from the document, and its flows have ended with it.
 		s.count.unknown.Inc()
 		return
 	}
@@ -143,11 +143,11 @@
 	return 0
 }
 
-// refuse counts a datagram that cannot be read.
-func (c *counters) refuse(err error) {
+// countInvalid counts a datagram that can't be read.
+func (c *counters) countInvalid(err error) {
 	switch {
 	case errors.Is(err, packet.ErrOpener):
-		c.opener.Inc()
+		c.smallOpener.Inc()
 	default:
 		c.short.Inc()
 	}
--- a/internal/node/entry/outward.go
+++ b/internal/node/entry/outward.go
@@ -11,13 +11,13 @@
 	"mangowinch/internal/flow/frame"
 )
 
-// Frames that belong to no service in force are counted for the whole entry.
+// Frames that belong to no service in force are counted for the entry as a whole.
 var (
 	strayFrames = metrics.GetOrCreateCounter(`mangowinch_entry_dropped_total{service="",reason="service"}`)
 	shortFrames = metrics.GetOrCreateCounter(`mangowinch_entry_dropped_total{service="",reason="short"}`)
 )
 
-// readLink takes agents' frames until ctx ends.
+// readLink reads agents' frames until ctx ends.
 func (e *Entry) readLink(ctx context.Context) (err error) {
 	defer func() { err = errors.Wrap(err, "read link") }()
 	var buffer [frame.MaxSize + readSize]byte
@@ -30,11 +30,11 @@
 			}
 			return err
 		}
-		e.takeFrame(buffer[:n], &h, from)
+		e.handleFrame(buffer[:n], &h, from)
 	}
 }
 
-func (e *Entry) takeFrame(b []byte, h *frame.Header, from netip.AddrPort) {
+func (e *Entry) handleFrame(b []byte, h *frame.Header, from netip.AddrPort) {
 	tag, err := frame.Service(b)
 	if err != nil {
 		shortFrames.Inc()
@@ -45,7 +45,7 @@
 		strayFrames.Inc()
 		return
 	}
-	v := s.now.Load()
+	v := s.current.Load()
 	payload, err := frame.Parse(b, v.ring, h)
 	if err != nil {
 		s.count.forged.Inc()
@@ -53,12 +53,12 @@
 	}
 	now := time.Now()
 	if h.Revision > v.revision {
-		e.hint(now, s, from, h.Revision)
+		e.notifyNewer(now, s, from, h.Revision)
 	}
-	s.heard(now, h)
+	s.recordFrame(now, h)
 	switch h.Kind {
 	case frame.Return:
-		s.giveBack(h.Caller, payload)
+		s.sendToCaller(h.Caller, payload)
 	case frame.Probe:
 		e.echo(s, v, h, from)
 	default:
@@ -66,9 +66,9 @@
 	}
 }
 
-// giveBack sends a server's datagram to its caller from the service's address.
-func (s *service) giveBack(caller netip.AddrPort, payload []byte) {
-	d := s.door.Load()
+// sendToCaller sends a server's datagram to its caller from the service's address.
+func (s *service) sendToCaller(caller netip.AddrPort, payload []byte) {
+	d := s.socket.Load()
 	if d == nil {
 		s.count.unsent.Inc()
 		return
@@ -80,8 +80,8 @@
 	s.count.returned.Inc()
 }
 
-// echo answers a probe to where it came from, so that the answer proves both
-// directions.
+// echo answers a probe to the address that it came from, so that the answer proves that both directions
+// work.
 func (e *Entry) echo(s *service, v *snapshot, probe *frame.Header, from netip.AddrPort) {
 	answer := frame.Header{
 		Kind:     frame.Echo,
--- a/internal/node/entry/status.go
+++ b/internal/node/entry/status.go
@@ -9,7 +9,7 @@
 	"mangowinch/internal/flow/order"
 )
 
-// Service is one service as an operator sees it.
+// Service is the state of one service in /status.
 type Service struct {
 	Name     string         `json:"name"`
 	Revision order.Revision `json:"revision"`
@@ -17,20 +17,20 @@
 	Servers  []Server       `json:"servers"`
 }
 
-// Server is what the entry believes of a server.
+// Server is the state of a server as the entry sees it.
 type Server struct {
 	ID     uint32         `json:"id"`
 	Name   string         `json:"name"`
 	Agent  netip.AddrPort `json:"agent"`
 	State  string         `json:"state"`  // serving, leaving or silent
-	Reason string         `json:"reason"` // where that belief comes from
+	Reason string         `json:"reason"` // source of the state
 	Weight float64        `json:"weight"` // share of new flows, relative to the others
 }
 
-// InForce is the number of services in force.
+// InForce returns the number of services in force.
 func (e *Entry) InForce() int { return len(*e.tags.Load()) }
 
-// Status lists the services in force and what is believed of their servers.
+// Status returns the services in force and the state of their servers.
 func (e *Entry) Status() (list []Service) {
 	for _, s := range *e.tags.Load() {
 		list = append(list, s.status())
@@ -42,13 +42,13 @@
 func (s *service) status() Service {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v := s.now.Load()
+	v := s.current.Load()
 	out := Service{Name: s.name, Revision: v.revision, Address: v.document.Address.String()}
 	for i, r := range v.table.Now {
 		d := &v.document.Servers[i]
 		server := Server{ID: d.ID, Name: d.Name, Agent: d.Agent, State: "serving", Weight: r.Weight}
 		switch {
-		case s.leaves(time.Now(), d.ID):
+		case s.isLeaving(time.Now(), d.ID):
 			server.State, server.Reason = "leaving", "its own word"
 		case r.Leaving:
 			server.State, server.Reason = "leaving", "document"
--- a/internal/node/gate/gate.go
+++ b/internal/node/gate/gate.go
@@ -1,5 +1,5 @@
-// Package gate lets requests of many goroutines through the admission of one
-// server: it carries out what package admit decides, and decides nothing itself.
+// Package gate blocks goroutines with requests until the admission of one backend server lets them run. It
+// carries out the decisions of package admit and makes none itself.
 //
 // # Usage
 //
@@ -8,7 +8,7 @@
 //	if pass == nil {
 //		return refused // not run
 //	}
-//	defer pass.Leave() // or pass.Fail()
+//	defer pass.Release() // or pass.Fail()
 package gate
 
 import (
@@ -22,7 +22,7 @@
 	"mangowinch/internal/work/result"
 )
 
-// Request is what wants to enter.
+// Request is a request for a slot.
 type Request struct {
 	Class    string
 	Caller   queue.Caller
@@ -31,12 +31,12 @@
 
 // Gate is the admission of one server.
 type Gate struct {
-	// mu guards all below. Package admit is not safe for concurrent use, and a
-	// decision and its consequences must be one step: a slot given up between the
-	// two would start nobody.
+	// mu guards the fields below. Package admit is not safe for concurrent use, and a decision and its
+	// consequences must be one step: if a slot was released between the two, no waiting request would
+	// start.
 	mu      sync.Mutex
 	admit   *admit.Gate
-	waiting map[uint64]chan result.Result // receives one result: Ran stands for "start"
+	waiting map[uint64]chan result.Result // each receives one result: Ran stands for "start"
 	last    uint64
 	timer   *time.Timer
 	expiry  time.Time // when the timer fires; zero if it is not set
@@ -51,7 +51,7 @@
 	}
 }
 
-// Pass is the right to one slot.
+// Pass is the right to use one slot.
 type Pass struct {
 	gate  *Gate
 	id    uint64
@@ -59,25 +59,25 @@
 	once  sync.Once
 }
 
-// Leave gives the slot back after work whose time is a measure of the class. Only the
-// first call of Leave or Fail counts.
-func (p *Pass) Leave() { p.end(time.Since(p.since)) }
+// Release releases the slot after work whose duration counts for the estimate of its class. Only the first
+// call of Release or Fail has an effect.
+func (p *Pass) Release() { p.end(time.Since(p.since)) }
 
-// Fail gives the slot back after work that failed or was broken off. Its time measures
-// nothing: a server that fails each request at once would seem fast, and be given more
-// requests than it can answer once it is well.
+// Fail releases the slot after work that failed or was aborted. Its duration doesn't count: a server that
+// fails each request at once would seem fast, and would be given more requests than it can answer once it
+// works again.
 func (p *Pass) Fail() { p.end(0) }
 
 func (p *Pass) end(took time.Duration) {
 	p.once.Do(func() {
 		p.gate.mu.Lock()
 		defer p.gate.mu.Unlock()
-		p.gate.carry(p.gate.admit.Done(time.Now(), p.id, took))
+		p.gate.apply(p.gate.admit.Done(time.Now(), p.id, took))
 	})
 }
 
-// Enter waits for a slot. Without one it returns no pass, and the result of a
-// request that did not run.
+// Enter waits for a slot. If there is none, it returns no pass, and the result of a request that did not
+// run.
 func (g *Gate) Enter(ctx context.Context, r Request) (pass *Pass, refused result.Result) {
 	id, turn, refused := g.arrive(r)
 	if turn == nil {
@@ -89,9 +89,9 @@
 	case <-ctx.Done():
 	}
 	if res, ended := g.cancel(id, turn); ended {
-		// A slot was given in the moment the caller went away; it goes back.
+		// A slot was assigned at the moment when the caller went away; it is released.
 		if pass, _ := g.pass(id, res); pass != nil {
-			pass.Leave()
+			pass.Release()
 		}
 	}
 	return nil, result.Result{Outcome: result.NotRun, Reason: result.Gone}
@@ -104,7 +104,8 @@
 	return &Pass{gate: g, id: id, since: time.Now()}, result.Result{}
 }
 
-// arrive returns the channel on which the request's turn comes, nil if it is refused.
+// arrive submits a request. It returns the channel that receives the request's result, or nil if the
+// request is refused.
 func (g *Gate) arrive(r Request) (id uint64, turn chan result.Result, refused result.Result) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -121,11 +122,11 @@
 		turn = nil
 		refused = result.Result{Outcome: result.NotRun, Reason: d.Reason, After: d.RetryAfter}
 	}
-	g.carry(admit.Change{}) // the next expiry may be this request's
+	g.apply(admit.Change{}) // this request may be the next to expire
 	return id, turn, refused
 }
 
-// cancel takes a waiting request out. It reports what was decided if that came first.
+// cancel removes a waiting request. If its result was decided before, cancel returns the result and true.
 func (g *Gate) cancel(id uint64, turn chan result.Result) (res result.Result, ended bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -135,18 +136,18 @@
 	default:
 	}
 	delete(g.waiting, id)
-	g.carry(g.admit.Cancel(time.Now(), id))
+	g.apply(g.admit.Cancel(time.Now(), id))
 	return result.Result{}, false
 }
 
-// carry tells requests what has become of them, and sets the timer for the next
-// one that time ends. The caller holds g.mu.
-func (g *Gate) carry(c admit.Change) {
+// apply sends results to the requests that a decision affects, and sets the timer for the next request that
+// expires. The caller holds g.mu.
+func (g *Gate) apply(c admit.Change) {
 	for _, id := range c.Started {
-		g.tell(id, result.Result{Outcome: result.Ran})
+		g.deliver(id, result.Result{Outcome: result.Ran})
 	}
 	for _, r := range c.Refused {
-		g.tell(r.ID, result.Result{Outcome: result.NotRun, Reason: r.Reason, After: r.RetryAfter})
+		g.deliver(r.ID, result.Result{Outcome: result.NotRun, Reason: r.Reason, After: r.RetryAfter})
 	}
 	next := g.admit.NextExpiry()
 	if next.Equal(g.expiry) {
@@ -161,9 +162,9 @@
 	}
 }
 
-func (g *Gate) tell(id uint64, res result.Result) {
+func (g *Gate) deliver(id uint64, res result.Result) {
 	if turn := g.waiting[id]; turn != nil {
-		turn <- res // has room for one, and is told once
+		turn <- res // never blocks: the channel holds one result, and one is sent
 		delete(g.waiting, id)
 	}
 }
@@ -172,17 +173,17 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.expiry = time.Time{}
-	g.carry(g.admit.Expire(time.Now()))
+	g.apply(g.admit.Expire(time.Now()))
 }
 
-// SetLimits puts a new document in force.
+// SetLimits puts the limits of a new document in force.
 func (g *Gate) SetLimits(l admit.Limits) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.carry(g.admit.SetLimits(time.Now(), l))
+	g.apply(g.admit.SetLimits(time.Now(), l))
 }
 
-// Drain ends all waiting as not run, so that it can be placed elsewhere at once.
+// Drain ends all waiting requests as not run, so that they can be placed elsewhere at once.
 func (g *Gate) Drain() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -190,12 +191,12 @@
 	for _, id := range g.admit.Drain() {
 		c.Refused = append(c.Refused, admit.Refusal{ID: id, Reason: result.LeavingServer})
 	}
-	g.carry(c)
+	g.apply(c)
 }
 
-// After is when a caller is to come back whose request the gate did not refuse itself;
-// it counts as refused.
-func (g *Gate) After() time.Duration {
+// RetryAfter returns when a caller should retry a request that was refused by another component than the
+// gate. The request counts as refused.
+func (g *Gate) RetryAfter() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.admit.RetryAfter(time.Now())
--- a/internal/node/local/caller.go
+++ b/internal/node/local/caller.go
@@ -277,7 +277,7 @@
 		return
 	}
 	if owner, ok := a.home.Find(s.Flow, s.Ack); ok && owner != a.Self {
-		if a.suspects.Lost(owner) {
+		if a.suspects.Failed(owner) {
 			a.startLookup(now, m, s)
 			return
 		}
--- a/internal/node/local/local.go
+++ b/internal/node/local/local.go
@@ -61,7 +61,7 @@
 	Backend          netip.AddrPort
 	Log              *belief.Log
 	Control          Control
-	Prober           doubt.Voucher // its answers are reported to Agent.MarkAlive
+	Prober           doubt.Prober // its answers are reported to Agent.MarkAlive
 	Codec            segs.Codec
 	Callers          segs.Callers
 	Wire             Wire
@@ -108,7 +108,7 @@
 	probes           map[segs.Flow]probe
 	lookups          map[segs.Flow]*lookup         // lookups by this agent as a home
 	rounds           *seek.Rounds                  // rounds of this agent as a lead
-	suspects         *doubt.Watch                  // agents that have left a message unanswered
+	suspects         *doubt.Monitor                // agents that have left a message unanswered
 	forwardedPackets map[segs.Flow]forwardedPacket // as a home: packets sent to suspected owners
 	leaving          bool
 	breaker          trip.Breaker
--- a/internal/node/local/lost.go
+++ b/internal/node/local/lost.go
@@ -27,10 +27,10 @@
 // expectedAgents returns the agents whose answers a lead waits for.
 func (a *Agent) expectedAgents() []netip.Addr {
 	all := a.Log.View().Homes.Agents()
-	if a.suspects.None() {
+	if a.suspects.AllHealthy() {
 		return all
 	}
-	present := slices.DeleteFunc(slices.Clone(all), a.suspects.Lost)
+	present := slices.DeleteFunc(slices.Clone(all), a.suspects.Failed)
 	if 2*len(present) <= len(all) {
 		return all
 	}
@@ -59,8 +59,8 @@
 	if a.Off.Lost || a.Control.Leaving(owner) {
 		return
 	}
-	a.suspects.DoubtUnheard(now, owner)
-	if s.Len == 0 || len(a.forwardedPackets) >= maxForwarded || !a.suspects.InDoubt(owner) {
+	a.suspects.SuspectUnlessSeen(now, owner)
+	if s.Len == 0 || len(a.forwardedPackets) >= maxForwarded || !a.suspects.Suspected(owner) {
 		return
 	}
 	p := forwardedPacket{owner: owner, carry: m, packet: slices.Clone(m.Packet), at: now}
@@ -73,12 +73,12 @@
 func (a *Agent) lookUpForwarded(now time.Time) {
 	for f, p := range a.forwardedPackets {
 		switch {
-		case a.suspects.Lost(p.owner):
+		case a.suspects.Failed(p.owner):
 			delete(a.forwardedPackets, f)
 			if s, err := a.Codec.Decode(p.packet, segs.CallerEnd); err == nil {
 				a.startLookup(now, p.carry, &s)
 			}
-		case !a.suspects.InDoubt(p.owner) || now.Sub(p.at) > forwardedRetention:
+		case !a.suspects.Suspected(p.owner) || now.Sub(p.at) > forwardedRetention:
 			delete(a.forwardedPackets, f)
 		}
 	}
@@ -86,7 +86,7 @@
 
 // sendFailed notifies a process of the failed agents, so that it need not detect them by itself.
 func (a *Agent) sendFailed(now time.Time, to netip.Addr) {
-	list := a.suspects.Tell(now, to)
+	list := a.suspects.FailuresFor(now, to)
 	if len(list) == 0 {
 		return
 	}
@@ -102,7 +102,7 @@
 	}
 	for _, other := range agents {
 		if other != a.Self && !a.Control.Leaving(other) {
-			a.suspects.Doubt(now, other)
+			a.suspects.Suspect(now, other)
 		}
 	}
 }
@@ -121,7 +121,7 @@
 func (a *Agent) MarkAlive(now time.Time, from netip.Addr) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.suspects.Heard(now, from) {
+	if a.suspects.MarkAlive(now, from) {
 		a.Events.State("agent-back").Stringer("agent", from).Send()
 	}
 }
@@ -130,5 +130,5 @@
 func (a *Agent) ProbeAnswered(now time.Time, from netip.Addr, round uint32) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.suspects.Answered(now, from, round)
+	a.suspects.Acked(now, from, round)
 }
--- a/internal/node/opaque/entry.go
+++ b/internal/node/opaque/entry.go
@@ -15,23 +15,24 @@
 )
 
 const (
-	// quietFor without a caller's packet ends an entry's planned stop: the fabric asks for
-	// readiness twice a second and takes an instance out after two misses.
-	quietFor = 1500 * time.Millisecond
-	// stopReserve is left of the time for a planned stop, so that the process ends by itself.
+	// stopIdle is the time without a caller's packet that ends an entry's graceful shutdown. The fabric
+	// checks readiness twice a second and removes an instance after two failed checks.
+	stopIdle = 1500 * time.Millisecond
+	// stopReserve is the part of the time for a graceful shutdown that is left for the process to end by
+	// itself.
 	stopReserve = 500 * time.Millisecond
-	// stopStep is how often a planned stop looks whether it is done.
-	stopStep = 50 * time.Millisecond
+	// stopPollEvery is how often a graceful shutdown checks whether it is done.
+	stopPollEvery = 50 * time.Millisecond
 )
 
-// Entry runs an entry until ctx ends and its planned stop is done.
+// Entry runs an entry until ctx ends and its graceful shutdown is done.
 func Entry(ctx context.Context, s *carry.Settings, a Adapter, out io.Writer) (err error) {
 	defer func() { err = errors.Wrap(err, "entry") }()
 	if s.Entry == nil {
 		return errors.New("the settings have no section entry")
 	}
 	var e *edge.Entry
-	p, err := newProcess(ctx, s, a, msgs.Entry, out, func() { e.Changed(time.Now()) })
+	p, err := newProcess(ctx, s, a, msgs.Entry, out, func() { e.ViewChanged(time.Now()) })
 	if err != nil {
 		return err
 	}
@@ -40,7 +41,7 @@
 		Domain:  s.Process.Domain,
 		Log:     p.log,
 		Ctrl:    p.follow,
-		Vouch:   p.vouch,
+		Prober:  p.prober,
 		Codec:   a.Codec,
 		Callers: a.Callers,
 		Rate:    s.Rate,
@@ -51,31 +52,31 @@
 		Rand:    newRand(),
 		Off:     s.Without,
 	})
-	p.admin.Section("belief", func() any { return p.belief() })
+	p.admin.Section("belief", func() any { return p.status() })
 	p.admin.Section("flows", func() any { return e.Len() })
-	p.vouch.OnAlive, p.vouch.OnAnswer = e.Heard, e.Answered
-	staying, known, reaching := p.admin.Condition("staying"), p.admin.Condition("configuration"), p.admin.Condition("reach")
+	p.prober.OnAlive, p.prober.OnAnswer = e.ProcessAlive, e.ProbeAnswered
+	staying, configured, reachable := p.admin.Condition("staying"), p.admin.Condition("configuration"), p.admin.Condition("reach")
 	staying.Set(true, "")
-	reaching.Set(true, "")
-	known.Set(false, "no configuration yet")
-	var used stamp.Time // the last caller's packet
+	reachable.Set(true, "")
+	configured.Set(false, "no configuration yet")
+	var lastPacket stamp.Time // when the last packet of a caller arrived
 	return p.serve(ctx,
 		func(now time.Time) {
 			e.Tick(now)
 			if v := p.log.View(); v.Config != nil && len(v.Homes.Agents()) > 0 {
-				known.Set(true, "")
+				configured.Set(true, "")
 			}
-			reaching.Set(e.Reaches(), "no agent answers")
+			reachable.Set(e.ReachesAgents(), "no agent answers")
 		},
 		func(*carry.Settings) {},
 		func() {
 			staying.Set(false, "planned stop")
 			p.follow.Leave()
-			waitQuiet(&used, s.Bounds.Stop-stopReserve)
+			waitNoPackets(&lastPacket, s.Bounds.Stop-stopReserve)
 		},
 		func() error {
 			return read(p.sockets.callers, func(now time.Time, _ netip.Addr, datagram []byte) {
-				used.Set(now)
+				lastPacket.Set(now)
 				e.FromCaller(now, datagram)
 			})
 		},
@@ -83,13 +84,13 @@
 	)
 }
 
-// waitQuiet returns when callers' packets have stopped coming, or after limit. An entry that
-// closed its sockets at once would lose what the fabric still sends to it.
-func waitQuiet(used *stamp.Time, limit time.Duration) {
+// waitNoPackets returns when callers' packets have stopped arriving, or after limit. If an entry closed its
+// sockets at once, packets that the fabric still sends to it would be lost.
+func waitNoPackets(lastPacket *stamp.Time, limit time.Duration) {
 	began := time.Now()
 	for time.Since(began) < limit {
-		time.Sleep(stopStep)
-		if time.Since(began) > quietFor && used.Since(time.Now()) > quietFor {
+		time.Sleep(stopPollEvery)
+		if time.Since(began) > stopIdle && lastPacket.Since(time.Now()) > stopIdle {
 			return
 		}
 	}
--- a/internal/node/opaque/entry_test.go
+++ b/internal/node/opaque/entry_test.go
@@ -10,8 +10,8 @@
 	"mangowinch/internal/node/stamp"
 )
 
-// An entry is asked to stop. The routers go on sending to it for a second, and then do not; it must stay for
-// as long as packets come, and end soon after.
+// Guards against an entry that shuts down while routers still send to it, as they do for a second after its
+// readiness has ended. The entry must run as long as packets arrive, and end soon after the last one.
 func TestStopWaitsUntilPacketsCease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var used stamp.Time
@@ -22,13 +22,14 @@
 				time.Sleep(50 * time.Millisecond)
 			}
 		}()
-		waitQuiet(&used, 5*time.Second)
+		waitNoPackets(&used, 5*time.Second)
 		took := time.Since(began)
-		assert.Assert(t, took > time.Second+quietFor-2*stopStep && took < time.Second+quietFor+2*stopStep, "%s", took)
+		assert.Assert(t, took > time.Second+stopIdle-2*stopPollEvery && took < time.Second+stopIdle+2*stopPollEvery, "%s", took)
 	})
 }
 
-// The routers never stop, because too few other entries are ready. The entry ends in time by itself.
+// Guards against a shutdown that never ends because routers keep sending to the entry, as they do if too
+// few other entries are ready. The entry must end within its limit.
 func TestStopEndsWhileCallersGoOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var used stamp.Time
@@ -44,8 +45,8 @@
 			}
 		}()
 		began := time.Now()
-		waitQuiet(&used, 5*time.Second)
+		waitNoPackets(&used, 5*time.Second)
 		close(done)
-		assert.Assert(t, time.Since(began) <= 5*time.Second+stopStep)
+		assert.Assert(t, time.Since(began) <= 5*time.Second+stopPollEvery)
 	})
 }
--- a/internal/node/opaque/traffic.go
+++ b/internal/node/opaque/traffic.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// sampleEvery is the span whose busiest one is told.
+	// sampleEvery is the length of a sample. The busiest sample of a log line is reported.
 	sampleEvery = time.Second
-	// samplesTold is how many spans are told in one line.
-	samplesTold = 10
+	// samplesPerLine is the number of samples that a log line covers.
+	samplesPerLine = 10
 )
 
-// kindBytes are bytes sent to other processes, by kind of message.
+// kindBytes holds the bytes sent to other processes, by kind of message.
 type kindBytes [msgs.Kinds]uint64
 
-// sentSoFar reads the counters.
-func sentSoFar() (sent kindBytes) {
+// sentTotals returns the current values of the counters.
+func sentTotals() (sent kindBytes) {
 	for k, c := range sentBytes {
 		sent[k] = c.Get()
 	}
 	return sent
 }
 
-// minus returns what was sent since an earlier reading.
+// minus returns what was sent since the earlier totals.
 func (b *kindBytes) minus(earlier *kindBytes) (sent kindBytes) {
 	for k := range b {
 		sent[k] = b[k] - earlier[k]
@@ -36,7 +36,7 @@
 	return sent
 }
 
-// control is the bytes of all but callers' packets.
+// control returns the sum of the bytes of all messages but callers' packets.
 func (b *kindBytes) control() (sum uint64) {
 	for k, n := range b {
 		if !msgs.Kind(k).CarriesPacket() {
@@ -46,41 +46,42 @@
 	return sum
 }
 
-// traffic tells what a process sends to others besides callers' packets. A mean over a day hides the second in which everything starts or a
-// failure domain goes, and links are narrow.
+// traffic logs what a process sends to others besides callers' packets, with the busiest second. A daily
+// mean hides the second in which all processes start or a failure domain fails, and links have little
+// capacity.
 type traffic struct {
-	told kindBytes // counters at the last line
-	last kindBytes // counters at the last sample
-	most uint64    // control bytes of the busiest sample since the last line
-	left int       // samples until the next line
+	logged    kindBytes // totals at the last log line
+	sampled   kindBytes // totals at the last sample
+	peak      uint64    // control bytes of the busiest sample since the last log line
+	untilLine int       // samples until the next log line
 }
 
-// sample takes the counters and says whether a line is due.
+// sample records the totals and reports whether a log line is due.
 func (t *traffic) sample(now kindBytes) (due bool) {
-	span := now.minus(&t.last)
-	t.most = max(t.most, span.control())
-	t.last = now
-	if t.left == 0 {
-		t.left = samplesTold
+	span := now.minus(&t.sampled)
+	t.peak = max(t.peak, span.control())
+	t.sampled = now
+	if t.untilLine == 0 {
+		t.untilLine = samplesPerLine
 	}
-	t.left--
-	return t.left == 0
+	t.untilLine--
+	return t.untilLine == 0
 }
 
-// tell writes a line on what was sent since the last one.
-func (t *traffic) tell(events *event.Log) {
-	sent := t.last.minus(&t.told)
+// log writes a log line on what was sent since the last one.
+func (t *traffic) log(events *event.Log) {
+	sent := t.sampled.minus(&t.logged)
 	kinds := zerolog.Dict()
 	for k, n := range sent {
 		if n > 0 {
 			kinds.Uint64(msgs.Kind(k).String(), n)
 		}
 	}
-	events.State("traffic").Uint64("control", sent.control()).Uint64("busiest", t.most).Dict("kinds", kinds).Send()
-	t.told, t.most = t.last, 0
+	events.State("traffic").Uint64("control", sent.control()).Uint64("busiest", t.peak).Dict("kinds", kinds).Send()
+	t.logged, t.peak = t.sampled, 0
 }
 
-// watchTraffic writes a line now and then until ctx ends.
+// watchTraffic logs the traffic every samplesPerLine samples until ctx ends.
 func watchTraffic(ctx context.Context, events *event.Log) {
 	ticker := time.NewTicker(sampleEvery)
 	defer ticker.Stop()
@@ -91,8 +92,8 @@
 			return
 		case <-ticker.C:
 		}
-		if t.sample(sentSoFar()) {
-			t.tell(events)
+		if t.sample(sentTotals()) {
+			t.log(events)
 		}
 	}
 }
--- a/internal/node/opaque/traffic_test.go
+++ b/internal/node/opaque/traffic_test.go
@@ -10,21 +10,22 @@
 	"mangowinch/internal/oper/event"
 )
 
-// Guards against a busy second that the mean of many hides, and against callers' packets that count as control.
-func TestBusiestSecondOfControlIsTold(t *testing.T) {
+// Guards against a busy second that is hidden in the mean of many, and against callers' packets that are
+// counted as control.
+func TestBusiestSecondOfControlIsLogged(t *testing.T) {
 	var out strings.Builder
 	events := event.New(&out, "entry", "entry-1")
 	var tr traffic
 	var sent kindBytes
 	lines := 0
-	for i := range 2 * samplesTold {
+	for i := range 2 * samplesPerLine {
 		sent[msgs.KindCarry] += 1_000_000
 		sent[msgs.KindBeacon] += 100
 		if i == 3 {
 			sent[msgs.KindNews] += 5000
 		}
 		if tr.sample(sent) {
-			tr.tell(events)
+			tr.log(events)
 			lines++
 		}
 	}
--- a/internal/node/sock/sock.go
+++ b/internal/node/sock/sock.go
@@ -1,9 +1,8 @@
 // Package sock opens the sockets of entries and agents.
 //
-// An agent is replaced by starting its successor beside it: for hours, while the
-// last feeds end, two processes hold one address. A shared socket (SO_REUSEPORT)
-// lets both open it; the kernel then gives each sender's datagrams to one of them, and
-// package agent passes on what is the other's.
+// An agent is replaced by starting its successor beside it: for hours, until the last feeds end, two
+// processes hold one address. A shared socket (SO_REUSEPORT) lets both open it. The kernel then delivers
+// each sender's datagrams to one of them, and package agent forwards those that belong to the other.
 //
 // # Usage
 //
@@ -21,18 +20,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// Use says whether another process may open the same address.
+// Use is whether other processes may open the same address.
 type Use bool
 
-// The uses.
+// The values of Use.
 const (
-	Alone  Use = false
-	Shared Use = true // every process that opens it must say so
+	Exclusive Use = false
+	Shared    Use = true // every process that opens the address must use it
 )
 
-// buffer is asked of the kernel for each UDP socket, in bytes, so that a burst
-// outlasts a pause of some milliseconds. The kernel may grant less.
-const buffer = 4 << 20
+// bufferSize is the buffer size in bytes that is requested for each UDP socket, so that a burst survives a
+// pause of some milliseconds. The kernel may grant less.
+const bufferSize = 4 << 20
 
 // UDP opens a UDP socket.
 func UDP(ctx context.Context, address netip.AddrPort, use Use) (conn *net.UDPConn, err error) {
@@ -43,8 +42,8 @@
 		return nil, err
 	}
 	conn = p.(*net.UDPConn)
-	_ = conn.SetReadBuffer(buffer)
-	_ = conn.SetWriteBuffer(buffer)
+	_ = conn.SetReadBuffer(bufferSize)
+	_ = conn.SetWriteBuffer(bufferSize)
 	return conn, nil
 }
 
@@ -56,16 +55,16 @@
 }
 
 func config(use Use) net.ListenConfig {
-	if use == Alone {
+	if use == Exclusive {
 		return net.ListenConfig{}
 	}
-	return net.ListenConfig{Control: share}
+	return net.ListenConfig{Control: setReusePort}
 }
 
-func share(_, _ string, c syscall.RawConn) error {
-	var failed error
+func setReusePort(_, _ string, c syscall.RawConn) error {
+	var optErr error
 	err := c.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+		optErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 	})
-	return errors.CombineErrors(err, failed)
+	return errors.CombineErrors(err, optErr)
 }
--- a/internal/node/start/relayentry.go
+++ b/internal/node/start/relayentry.go
@@ -17,24 +17,24 @@
 	"mangowinch/internal/node/sock"
 )
 
-// maxLinks bounds the connections that others hold to an entry: at the size to design
-// for some 30 come from neighbours and agents, more in a failure domain's restart.
+// maxLinks bounds the connections that other processes hold to an entry. At the designed size about 30 come
+// from neighbours and agents, more while a failure domain restarts.
 const maxLinks = 1024
 
-// relayEntry connects an entry with the relay, and returns what runs it.
-func (p *parts) relayEntry(ctx context.Context, e *entry.Entry) (run func(context.Context) error, err error) {
-	c := p.newControl(relay.Config{
+// relayEntry connects an entry with the relay and returns the function that runs the relay.
+func (p *components) relayEntry(ctx context.Context, e *entry.Entry) (run func(context.Context) error, err error) {
+	c := p.newRelayNode(relay.Config{
 		Self: peers.Member{Role: peers.Entry, Address: p.settings.Entry.Link},
 	})
 	e.SetHooks(entry.Hooks{
-		Newer:   func(link netip.AddrPort, service string, revision order.Revision) { c.Heard(service, revision, link) },
-		Refresh: c.Refresh,
+		NewerDocument: func(link netip.AddrPort, service string, revision order.Revision) { c.Heard(service, revision, link) },
+		Refresh:       c.Refresh,
 	})
 	mux := drpcmux.New()
 	if err := c.Register(mux); err != nil {
 		return nil, err
 	}
-	l, err := sock.TCP(ctx, p.settings.Entry.Link, sock.Alone)
+	l, err := sock.TCP(ctx, p.settings.Entry.Link, sock.Exclusive)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/node/start/start.go
+++ b/internal/node/start/start.go
@@ -1,11 +1,10 @@
-// Package start puts a process together from its settings: documents, the process
-// of its role, and the operators' server. It is the one place that knows all parts;
-// none of them knows it.
+// Package start assembles a process from its settings: documents, the entry or agent, and the operators'
+// server. It is the only package that depends on all of them, and none of them depends on it.
 //
 // # Usage
 //
 //	settings, err := prefs.Load("entry.ini")
-//	err = start.Entry(ctx, settings) // until ctx ends and the planned stop is done
+//	err = start.Entry(ctx, settings) // until ctx ends and the graceful shutdown is done
 package start
 
 import (
@@ -29,44 +28,44 @@
 	"mangowinch/internal/oper/logs"
 )
 
-// parts are what every process has.
-type parts struct {
+// components holds what the processes of both roles need.
+type components struct {
 	settings *prefs.Settings
 	log      zerolog.Logger
 	store    *store.Store
 	admin    *admin.Server
-	wanted   func() int // documents that a peer has newer
+	missing  func() int // number of documents of which a peer has a newer revision
 }
 
 // runner is a process of either role.
 type runner interface {
 	Run(ctx context.Context) error
-	// InForce is the number of documents that the process works by.
+	// InForce returns the number of documents in force at the process.
 	InForce() int
 }
 
-func newParts(settings *prefs.Settings, role string) *parts {
-	p := &parts{
+func newComponents(settings *prefs.Settings, role string) *components {
+	p := &components{
 		settings: settings,
 		log:      logs.New(os.Stderr, role, settings.Process.Name),
 		store:    store.New(docs.Parse),
 	}
 	p.admin = admin.New(settings.Process.Operator, p.log)
-	own := Process{
+	self := Process{
 		Name:    settings.Process.Name,
 		Role:    role,
 		Domain:  settings.Process.Domain,
 		Version: build.Version(),
 		Since:   time.Now(),
 	}
-	p.admin.Section("process", func() any { return own })
+	p.admin.Section("process", func() any { return self })
 	p.admin.Section("documents", func() any { return listDocuments(p.store.View()) })
 	return p
 }
 
-// Entry runs an entry until ctx ends and its planned stop is done.
+// Entry runs an entry until ctx ends and its graceful shutdown is done.
 func Entry(ctx context.Context, settings *prefs.Settings) (err error) {
-	p := newParts(settings, "entry")
+	p := newComponents(settings, "entry")
 	if err := p.admin.Open(); err != nil {
 		return err
 	}
@@ -82,9 +81,9 @@
 	return p.run(ctx, e, control)
 }
 
-// Agent runs an agent until ctx ends and its planned stop is done.
+// Agent runs an agent until ctx ends and its graceful shutdown is done.
 func Agent(ctx context.Context, settings *prefs.Settings) (err error) {
-	p := newParts(settings, "agent")
+	p := newComponents(settings, "agent")
 	if settings.Agent == nil {
 		return errors.New("the settings have no section agent")
 	}
@@ -95,9 +94,9 @@
 	if err != nil {
 		return err
 	}
-	watching, stop := context.WithCancel(context.WithoutCancel(ctx)) // a planned stop may take hours
+	watchCtx, stop := context.WithCancel(context.WithoutCancel(ctx)) // a graceful shutdown may take hours
 	defer stop()
-	go pair.Watch(watching)
+	go pair.Watch(watchCtx)
 	a, err := agent.New(settings, p.store, &tls.Config{GetCertificate: pair.GetCertificate}, p.log)
 	if err != nil {
 		return err
@@ -110,11 +109,11 @@
 	return p.run(ctx, a, control)
 }
 
-// run keeps documents and the operators' server going until the process has ended.
-func (p *parts) run(ctx context.Context, r runner, control func(context.Context) error) error {
+// run runs the relay, the readiness checks and the operators' server until the process has ended.
+func (p *components) run(ctx context.Context, r runner, control func(context.Context) error) error {
 	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	// A process that is being stopped works on for hours and is not ready for more.
+	// A process that shuts down serves its flows for hours, and is not ready for more.
 	staying := p.admin.Condition("staying")
 	staying.Set(true, "")
 	defer context.AfterFunc(ctx, func() { staying.Set(false, "planned stop") })()
