--- a/internal/flow/owner/agent.go
+++ b/internal/flow/owner/agent.go
@@ -9,83 +9,83 @@
 	"mangowinch/internal/load/parts"
 )
 
-// Own is a flow that an agent's server holds, or is about to.
-type Own struct {
-	Seq      uint32     // first sequence number of the server, or a later one that it was seen to send
-	Accepted bool       // the server has accepted it
-	Open     bool       // a packet of the caller that fits has followed
-	Proved   bool       // the server has answered on it after the handshake
-	Origin   netip.Addr // entry that sent the last packet
-	Began    time.Time
-	Used     time.Time  // last packet in either direction
-	Asked    time.Time  // the caller's data that has no answer yet came then; zero: none
-	Home     netip.Addr // where it is registered
-	Worked   bool       // a request has come on it
-	Ack      uint32     // what the caller acknowledged last, 0 before its first packet after the opening ones
-	accepted time.Time  // when the server answered the opening packet; zero: not seen
-	end      uint32     // sequence number after the caller's last data
-	started  bool       // end is known
-	callerUp bool       // the caller hasn't sent FIN
-	serverUp bool
+// Flow is the state of a flow that an agent's server holds or is about to accept.
+type Flow struct {
+	Seq          uint32     // first sequence number of the server, or a later one that it sent
+	Accepted     bool       // the server has accepted the flow
+	Open         bool       // the caller has sent a matching packet since
+	Established  bool       // the server has sent a packet after the handshake
+	Origin       netip.Addr // entry that sent the last packet
+	Created      time.Time
+	LastUsed     time.Time  // last packet in either direction
+	PendingSince time.Time  // arrival of the caller's data that is still unanswered; zero: none
+	Home         netip.Addr // agent at which the flow is registered
+	Requested    bool       // a request has arrived on the flow
+	Ack          uint32     // the caller's last acknowledgement; 0 before its first packet after the opening ones
+	acceptedAt   time.Time  // when the server answered the opening packet; zero: not observed
+	dataEnd      uint32     // sequence number after the caller's last data
+	dataEndKnown bool       // dataEnd is set
+	callerOpen   bool       // no FIN or RST has closed the caller's end
+	serverOpen   bool
 }
 
-// Busy says whether a request is under way.
-func (o *Own) Busy() bool { return !o.Asked.IsZero() }
+// Busy reports whether a request is in progress.
+func (o *Flow) Busy() bool { return !o.PendingSince.IsZero() }
 
-// Fits says whether a caller's packet with this acknowledgement belongs to the server's flow.
-func (o *Own) Fits(ack uint32) bool { return o.Accepted && (o.Open || segs.Begins(ack, o.Seq)) }
+// Fits reports whether a caller's packet with the acknowledgement ack belongs to the server's flow.
+func (o *Flow) Fits(ack uint32) bool { return o.Accepted && (o.Open || segs.Begins(ack, o.Seq)) }
 
-// Resting says whether the flow is open, neither end has closed, and no request is under way.
-func (o *Own) Resting() bool {
-	return o.Proved && o.callerUp && o.serverUp && !o.Busy() && o.Ack != 0
+// Idle reports whether the flow is open at both ends and has no request in progress.
+func (o *Flow) Idle() bool {
+	return o.Established && o.callerOpen && o.serverOpen && !o.Busy() && o.Ack != 0
 }
 
-// Over says whether both ends have closed.
-func (o *Own) Over() bool { return !o.callerUp && !o.serverUp }
+// Closed reports whether both ends have closed the flow.
+func (o *Flow) Closed() bool { return !o.callerOpen && !o.serverOpen }
 
-// Agent is an agent's table of its own server's flows. It counts requests under way (work.go).
+// Agent is an agent's table of the flows of its own server. It also counts requests in progress (work.go).
 type Agent struct {
-	limit int
-	flows map[segs.Flow]*Own
-	work  requests
-	sweep time.Time
+	limit     int
+	flows     map[segs.Flow]*Flow
+	requests  requests
+	lastSweep time.Time
 }
 
 // NewAgent returns a table of at most limit flows.
 func NewAgent(limit int, off parts.Off) *Agent {
-	return &Agent{limit: limit, flows: map[segs.Flow]*Own{}, work: requests{off: off}}
+	return &Agent{limit: limit, flows: map[segs.Flow]*Flow{}, requests: requests{off: off}}
 }
 
-// Get returns a flow, or nil.
-func (t *Agent) Get(f segs.Flow) *Own { return t.flows[f] }
+// Get returns the state of a flow, or nil if the flow is unknown.
+func (t *Agent) Get(f segs.Flow) *Flow { return t.flows[f] }
 
-// Add begins a flow; it returns nil if the table is full.
-func (t *Agent) Add(now time.Time, f segs.Flow) *Own {
+// Add returns the state of a flow and creates it if needed. It returns nil if the flow is new and the table is full.
+func (t *Agent) Add(now time.Time, f segs.Flow) *Flow {
 	if o := t.flows[f]; o != nil {
 		return o
 	}
 	if len(t.flows) >= t.limit {
 		return nil
 	}
-	o := &Own{Began: now, Used: now, callerUp: true, serverUp: true}
+	o := &Flow{Created: now, LastUsed: now, callerOpen: true, serverOpen: true}
 	t.flows[f] = o
-	t.work.opened(now, o)
+	t.requests.opened(now, o)
 	return o
 }
 
-// Delete forgets a flow.
+// Delete removes a flow.
 func (t *Agent) Delete(f segs.Flow) {
 	if o := t.flows[f]; o != nil {
-		o.Asked, o.Worked = time.Time{}, true
+		o.PendingSince, o.Requested = time.Time{}, true
 		delete(t.flows, f)
 	}
 }
 
-// Len is the number of flows.
+// Len returns the number of flows.
 func (t *Agent) Len() int { return len(t.flows) }
 
 // All calls yield with each flow until it returns false.
-func (t *Agent) All(yield func(segs.Flow, *Own) bool) {
+func (t *Agent) All(yield func(segs.Flow, *Flow) bool) {
 	for f, o := range t.flows {
 		if !yield(f, o) {
 			return
@@ -93,172 +93,172 @@
 	}
 }
 
-// Accept notes that the server has answered a flow's opening packet with its first sequence number.
-func (t *Agent) Accept(now time.Time, o *Own, seq uint32) {
-	o.Accepted, o.Seq, o.accepted = true, seq, now
+// Accept records that the server has answered a flow's opening packet with its first sequence number.
+func (t *Agent) Accept(now time.Time, o *Flow, seq uint32) {
+	o.Accepted, o.Seq, o.acceptedAt = true, seq, now
 }
 
-// Learn notes that the server holds a flow whose opening wasn't seen; seq is at or before all that
-// the caller may acknowledge.
-func (t *Agent) Learn(o *Own, seq uint32) {
-	o.Accepted, o.Seq, o.Open, o.Worked = true, seq, true, true
+// Learn records that the server holds a flow whose opening was not observed. seq is not after any
+// sequence number that the caller may acknowledge.
+func (t *Agent) Learn(o *Flow, seq uint32) {
+	o.Accepted, o.Seq, o.Open, o.Requested = true, seq, true, true
 }
 
-// FromCaller notes a packet that goes to the server.
-func (t *Agent) FromCaller(now time.Time, o *Own, s *segs.Segment) {
-	o.Used, o.Ack = now, s.Ack
-	if s.Len > 0 && !o.Worked {
-		o.Worked = true
-		if !o.accepted.IsZero() {
-			t.work.began(now.Sub(o.accepted))
+// FromCaller records a packet that is sent to the server.
+func (t *Agent) FromCaller(now time.Time, o *Flow, s *segs.Segment) {
+	o.LastUsed, o.Ack = now, s.Ack
+	if s.Len > 0 && !o.Requested {
+		o.Requested = true
+		if !o.acceptedAt.IsZero() {
+			t.requests.addDelay(now.Sub(o.acceptedAt))
 		}
 	}
-	if o.fresh(s) && o.Asked.IsZero() {
-		o.Asked = now
-		t.work.asked(now, o)
+	if o.addData(s) && o.PendingSince.IsZero() {
+		o.PendingSince = now
+		t.requests.asked(now, o)
 	}
 	if s.Flags&(segs.Fin|segs.Rst) != 0 {
-		o.callerUp = false
-		o.Asked = time.Time{} // it waits no more
+		o.callerOpen = false
+		o.PendingSince = time.Time{} // the caller no longer waits for an answer
 	}
 }
 
-// fresh says whether the caller's packet has data that it hasn't sent before. A caller repeats data
-// whose acknowledgement was lost, also after the answer; counted as a request it would have
-// no answer, and the server would seem busy for good.
-func (o *Own) fresh(s *segs.Segment) bool {
+// addData records the data of a caller's packet and reports whether it is new. A caller retransmits data
+// whose acknowledgement was lost, even after the answer. Counted as a request, such data would never be
+// answered, and the server would seem busy for good.
+func (o *Flow) addData(s *segs.Segment) bool {
 	if s.Len == 0 {
 		return false
 	}
 	end := s.Seq + uint32(s.Len)
-	if o.started && int32(end-o.end) <= 0 {
+	if o.dataEndKnown && int32(end-o.dataEnd) <= 0 {
 		return false
 	}
-	o.end, o.started = end, true
+	o.dataEnd, o.dataEndKnown = end, true
 	return true
 }
 
-// FromServer notes a packet that the server sent. Took is how long the request took that
-// it answers, 0 if it answers none.
-func (t *Agent) FromServer(now time.Time, o *Own, s *segs.Segment) (took time.Duration) {
-	o.Used = now
+// FromServer records a packet that the server sent. It returns the duration of the request that the
+// packet answers, or 0 if it answers none.
+func (t *Agent) FromServer(now time.Time, o *Flow, s *segs.Segment) (took time.Duration) {
+	o.LastUsed = now
 	if s.Len > 0 {
-		o.Worked = true
+		o.Requested = true
 	}
 	if !s.Accepting() {
-		o.Proved = true
+		o.Established = true
 	}
-	if s.Has(segs.Ack) && (!o.started || int32(s.Ack-o.end) > 0) {
-		o.end, o.started = s.Ack, true // what the server has is nothing new if it comes again
+	if s.Has(segs.Ack) && (!o.dataEndKnown || int32(s.Ack-o.dataEnd) > 0) {
+		o.dataEnd, o.dataEndKnown = s.Ack, true // a retransmission of what the server has acknowledged is not new data
 	}
 	if o.Busy() && answers(s) {
-		took = now.Sub(o.Asked)
-		t.work.answered(took)
-		o.Asked = time.Time{}
+		took = now.Sub(o.PendingSince)
+		t.requests.answered(took)
+		o.PendingSince = time.Time{}
 	}
 	if s.Flags&(segs.Fin|segs.Rst) != 0 {
-		o.serverUp = false
-		o.Asked = time.Time{}
+		o.serverOpen = false
+		o.PendingSince = time.Time{}
 	}
 	if s.Has(segs.Rst) {
-		o.callerUp = false
+		o.callerOpen = false
 	}
 	return took
 }
 
-// answers says whether a server's packet is an answer's first to come. On a flow for one request the packet that closes it may
-// overtake the data before it; not counted as an answer, a server of such flows would seem never to answer any.
+// answers reports whether a server's packet counts as the first of an answer. On a flow for one request, the closing
+// packet may overtake the data before it. If it did not count, a server of such flows would seem never to answer.
 func answers(s *segs.Segment) bool { return s.Len > 0 || s.Has(segs.Fin) && !s.Has(segs.Rst) }
 
-// Lives bound how long flows are remembered.
-type Lives struct {
+// Lifetimes bounds how long flows are kept.
+type Lifetimes struct {
 	Idle    time.Duration // without a packet
-	Life    time.Duration // since the flow began
-	Over    time.Duration // after both ends have closed
-	Opening time.Duration // without an answer of the server
+	MaxAge  time.Duration // since the flow began
+	Closed  time.Duration // after both ends have closed
+	Opening time.Duration // without the server's answer to the opening packet
 }
 
-// Expire forgets flows that have ended or were left.
-func (t *Agent) Expire(now time.Time, l Lives) {
-	if now.Sub(t.sweep) < sweepEvery {
+// Expire removes flows that have ended or exceed one of the lifetimes.
+func (t *Agent) Expire(now time.Time, l Lifetimes) {
+	if now.Sub(t.lastSweep) < sweepInterval {
 		return
 	}
-	t.sweep = now
+	t.lastSweep = now
 	for f, o := range t.flows {
-		unused := now.Sub(o.Used)
-		if unused > l.Idle || now.Sub(o.Began) > l.Life ||
-			o.Over() && unused > l.Over || !o.Accepted && unused > l.Opening {
+		unused := now.Sub(o.LastUsed)
+		if unused > l.Idle || now.Sub(o.Created) > l.MaxAge ||
+			o.Closed() && unused > l.Closed || !o.Accepted && unused > l.Opening {
 			t.Delete(f)
 		}
 	}
 }
 
-// registration is a flow that another agent owns.
+// registration records that an agent owns a flow.
 type registration struct {
-	agent netip.Addr
-	seq   uint32
-	at    time.Time
-	next  *registration // an earlier one, of another agent
+	agent        netip.Addr
+	seq          uint32
+	registeredAt time.Time
+	previous     *registration // an earlier registration by another agent, or nil
 }
 
-// Home is what an agent remembers as the home of flows.
+// Home holds the location records of the flows that an agent is the home of.
 type Home struct {
-	limit int
-	flows map[segs.Flow]registration
-	sweep time.Time
+	limit     int
+	flows     map[segs.Flow]registration
+	lastSweep time.Time
 }
 
-// NewHome returns a memory of at most limit flows.
+// NewHome returns a table of at most limit flows.
 func NewHome(limit int) *Home { return &Home{limit: limit, flows: map[segs.Flow]registration{}} }
 
-// Len is the number of flows.
+// Len returns the number of flows.
 func (h *Home) Len() int { return len(h.flows) }
 
-// Register remembers that an agent owns a flow. When two servers accepted, both are
-// kept; two is as many as copies of an opening packet reach, but for one in a thousand.
+// Register records that an agent owns a flow. If two servers accepted the flow, both are kept: the copies of
+// an opening packet reach more than two servers only once in a thousand flows.
 func (h *Home) Register(now time.Time, agent netip.Addr, p msgs.Place) {
-	before, known := h.flows[p.Flow]
+	prev, known := h.flows[p.Flow]
 	if !known && len(h.flows) >= h.limit {
-		return // found by asking all
+		return // a lookup at all agents finds the flow
 	}
-	r := registration{agent: agent, seq: p.Seq, at: now}
+	r := registration{agent: agent, seq: p.Seq, registeredAt: now}
 	switch {
-	case known && before.agent != agent:
-		before.next = nil
-		r.next = &before
+	case known && prev.agent != agent:
+		prev.previous = nil
+		r.previous = &prev
 	case known:
-		r.next = before.next
+		r.previous = prev.previous
 	}
 	h.flows[p.Flow] = r
 }
 
-// Find returns the owner for a packet with an acknowledgement.
-func (h *Home) Find(f segs.Flow, ack uint32) (agent netip.Addr, ok bool) {
+// Owner returns the owner of a flow for a packet with the acknowledgement ack.
+func (h *Home) Owner(f segs.Flow, ack uint32) (agent netip.Addr, ok bool) {
 	r, ok := h.flows[f]
 	if !ok {
 		return netip.Addr{}, false
 	}
-	if r.next != nil && segs.Distance(ack, r.next.seq) < segs.Distance(ack, r.seq) {
-		return r.next.agent, true
+	if r.previous != nil && segs.Distance(ack, r.previous.seq) < segs.Distance(ack, r.seq) {
+		return r.previous.agent, true
 	}
 	return r.agent, true
 }
 
-// Delete forgets a flow if the agent is the one registered.
+// Delete removes a flow if the agent is its latest registered owner.
 func (h *Home) Delete(f segs.Flow, agent netip.Addr) {
 	if r, ok := h.flows[f]; ok && r.agent == agent {
 		delete(h.flows, f)
 	}
 }
 
-// Expire forgets registrations older than life.
+// Expire removes registrations older than life.
 func (h *Home) Expire(now time.Time, life time.Duration) {
-	if now.Sub(h.sweep) < sweepEvery {
+	if now.Sub(h.lastSweep) < sweepInterval {
 		return
 	}
-	h.sweep = now
+	h.lastSweep = now
 	for f, r := range h.flows {
-		if now.Sub(r.at) > life {
+		if now.Sub(r.registeredAt) > life {
 			delete(h.flows, f)
 		}
 	}
--- a/internal/flow/owner/entry.go
+++ b/internal/flow/owner/entry.go
@@ -1,18 +1,18 @@
-// Package owner remembers which agent owns a flow: at an entry to send its packets
-// there, at an agent to know the flows of its own server and to be the home of others'.
+// Package owner holds the tables that record which agent owns a flow. An entry uses one to send a
+// flow's packets to its owner; an agent uses others to track the flows of its own server and, as the home
+// of flows (the agent that keeps their location records), to answer where they are.
 //
-// The owner of a flow is the agent beside the server that holds it. Nothing here is the only copy:
-// what a process forgets or never knew is found again through homes (package
-// homes) and by asking agents. So tables are bounded, and a full one refuses new flows and
-// forgets none that are open.
+// The owner of a flow is the agent beside the server that holds it. No table is the only copy: a process
+// that lacks a record recovers it through the flow's home (package homes) and by querying agents. Tables
+// are therefore bounded, and a full one refuses new flows rather than evict open ones.
 //
-// The package sends nothing and has no clock; it is not safe for concurrent use.
+// The package sends nothing and has no clock. It is not safe for concurrent use.
 //
 // # Usage
 //
 //	t := owner.NewEntry(limit)
 //	p := t.Get(flow)
-//	agent, ok := p.For(ack)
+//	agent, ok := p.AgentFor(ack)
 package owner
 
 import (
@@ -22,36 +22,36 @@
 	"mangowinch/internal/flow/segs"
 )
 
-// Candidate is an agent to which a flow's opening packet was sent.
+// Candidate is an agent to which a flow's opening packet was sent, or whose server accepted the flow.
 type Candidate struct {
-	Agent  netip.Addr
-	Seq    uint32 // first sequence number of its server, if Opened
-	Opened bool   // its server accepted the flow
+	Agent    netip.Addr
+	Seq      uint32 // first sequence number of its server, if Accepted
+	Accepted bool   // its server has accepted the flow
 }
 
-// Places is what an entry knows of one flow: the agents tried, the last one last. Two servers
-// may both accept when the first was slow and a copy of the opening packet went to
-// a second; the caller's acknowledgement tells which one it chose.
-type Places struct {
+// EntryFlow is an entry's state of one flow, with the agents tried, the latest one last. Two servers may both
+// accept a flow if the first is slow and a copy of the opening packet goes to a second one. The caller's
+// acknowledgement then shows which server it chose.
+type EntryFlow struct {
 	Candidates []Candidate
-	Used       time.Time // last packet
-	Tries      int       // agents that got an opening packet, also those that refused
-	Told       bool      // an agent said that it owns the flow
-	HandedBack bool      // an agent has handed the opening packet back
-	Ack        uint32    // what the caller acknowledged last, 0 before its first packet after the opening ones
-	// Owner is the agent whose server is known to hold the open flow: the agent has said so, or the caller has acknowledged the
-	// number with which the server accepted it. A server that accepted may not be the one that the caller
-	// chose, so Candidates alone don't tell. Invalid: not known.
-	Owner netip.Addr
-	end   uint32 // sequence number after the caller's last data
+	LastUsed   time.Time // last packet
+	Attempts   int       // opening packets sent to agents, including refused ones
+	Claimed    bool      // an agent has announced that it owns the flow
+	Returned   bool      // an agent has returned the opening packet
+	Ack        uint32    // the caller's last acknowledgement; 0 before its first packet after the opening ones
+	// Owner is the agent whose server is known to hold the open flow: the agent has announced it, or the caller
+	// has acknowledged the sequence number with which the server accepted the flow. Candidates alone do not show
+	// the owner, because not every server that accepts is the one that the caller chooses. The zero Addr means unknown.
+	Owner   netip.Addr
+	dataEnd uint32 // sequence number after the caller's last data
 }
 
-// Repeats notes a packet of the open flow and says whether its data is that of the last one again: what the caller sent
-// has had no answer.
-func (p *Places) Repeats(s *segs.Segment) bool {
+// Observe records a caller's packet on the open flow and reports whether it retransmits the data of the previous
+// one, which means that this data has not been answered.
+func (p *EntryFlow) Observe(s *segs.Segment) bool {
 	p.Ack = s.Ack
 	for _, c := range p.Candidates {
-		if !p.Owner.IsValid() && c.Opened && segs.Begins(s.Ack, c.Seq) {
+		if !p.Owner.IsValid() && c.Accepted && segs.Begins(s.Ack, c.Seq) {
 			p.Owner = c.Agent
 		}
 	}
@@ -59,64 +59,65 @@
 		return false
 	}
 	end := s.Seq + uint32(s.Len)
-	again := end == p.end
-	p.end = end
+	again := end == p.dataEnd
+	p.dataEnd = end
 	return again
 }
 
-// Tried returns the agents that got an opening packet.
-func (p *Places) Tried() (agents []netip.Addr) {
+// Tried returns the agents of all candidates.
+func (p *EntryFlow) Tried() (agents []netip.Addr) {
 	for _, c := range p.Candidates {
 		agents = append(agents, c.Agent)
 	}
 	return agents
 }
 
-// Last returns the agent tried last.
-func (p *Places) Last() (c *Candidate) {
+// Last returns the candidate that was added last, or nil if there is none.
+func (p *EntryFlow) Last() (c *Candidate) {
 	if len(p.Candidates) == 0 {
 		return nil
 	}
 	return &p.Candidates[len(p.Candidates)-1]
 }
 
-// For returns the agent for a packet with an acknowledgement: of those whose
-// servers accepted, the one whose numbers it is nearest to, else the one tried last.
-func (p *Places) For(ack uint32) (agent netip.Addr, ok bool) {
+// AgentFor returns the agent to which a packet with the acknowledgement ack belongs: among the agents whose
+// servers accepted, the one whose first sequence number precedes ack most closely, else the one tried last.
+func (p *EntryFlow) AgentFor(ack uint32) (agent netip.Addr, ok bool) {
 	if len(p.Candidates) == 0 {
 		return netip.Addr{}, false
 	}
 	best := p.Last()
 	for i := range p.Candidates {
 		c := &p.Candidates[i]
-		if c.Opened && (!best.Opened || segs.Distance(ack, c.Seq) < segs.Distance(ack, best.Seq)) {
+		if c.Accepted && (!best.Accepted || segs.Distance(ack, c.Seq) < segs.Distance(ack, best.Seq)) {
 			best = c
 		}
 	}
 	return best.Agent, true
 }
 
-// Opened notes that an agent's server accepted the flow.
-func (p *Places) Opened(agent netip.Addr, seq uint32) {
+// MarkAccepted records that an agent's server has accepted the flow.
+func (p *EntryFlow) MarkAccepted(agent netip.Addr, seq uint32) {
 	for i := range p.Candidates {
 		if p.Candidates[i].Agent == agent {
-			p.Candidates[i].Seq, p.Candidates[i].Opened = seq, true
+			p.Candidates[i].Seq, p.Candidates[i].Accepted = seq, true
 			return
 		}
 	}
-	p.Candidates = append(p.Candidates, Candidate{Agent: agent, Seq: seq, Opened: true})
+	p.Candidates = append(p.Candidates, Candidate{Agent: agent, Seq: seq, Accepted: true})
 }
 
-// Returned notes that an agent has handed the opening packet back. If it had said that the flow waits there, nobody has the flow now;
-// remembered as waiting, it would be placed nowhere, and its caller would wait until it gives up.
-func (p *Places) Returned(agent netip.Addr) {
+// MarkReturned records that an agent has returned the opening packet. If that agent had announced that the flow
+// waits there, no agent has the flow any more. With the outdated claim, the flow would not be placed elsewhere, and
+// its caller would wait until it gives up.
+func (p *EntryFlow) MarkReturned(agent netip.Addr) {
 	if last := p.Last(); last != nil && last.Agent == agent && !p.Owner.IsValid() {
-		p.Told = false
+		p.Claimed = false
 	}
 }
 
-// Drop removes an agent that doesn't hold the flow.
-func (p *Places) Drop(agent netip.Addr) {
+// Remove removes an agent that does not hold the flow.
+func (p *EntryFlow) Remove(agent netip.Addr) {
 	for i := range p.Candidates {
 		if p.Candidates[i].Agent == agent {
 			p.Candidates = append(p.Candidates[:i:i], p.Candidates[i+1:]...)
@@ -125,40 +126,40 @@
 	}
 }
 
-// Entry is an entry's table.
+// Entry is an entry's table of flows.
 type Entry struct {
-	limit int
-	flows map[segs.Flow]*Places
-	sweep time.Time
+	limit     int
+	flows     map[segs.Flow]*EntryFlow
+	lastSweep time.Time
 }
 
 // NewEntry returns a table of at most limit flows.
-func NewEntry(limit int) *Entry { return &Entry{limit: limit, flows: map[segs.Flow]*Places{}} }
+func NewEntry(limit int) *Entry { return &Entry{limit: limit, flows: map[segs.Flow]*EntryFlow{}} }
 
-// Len is the number of flows.
+// Len returns the number of flows.
 func (t *Entry) Len() int { return len(t.flows) }
 
-// Get returns what is known of a flow, or nil.
-func (t *Entry) Get(f segs.Flow) *Places { return t.flows[f] }
+// Get returns the state of a flow, or nil if the flow is unknown.
+func (t *Entry) Get(f segs.Flow) *EntryFlow { return t.flows[f] }
 
-// Add begins a flow; it returns nil if the table is full.
-func (t *Entry) Add(now time.Time, f segs.Flow) *Places {
+// Add returns the state of a flow and creates it if needed. It returns nil if the flow is new and the table is full.
+func (t *Entry) Add(now time.Time, f segs.Flow) *EntryFlow {
 	if p := t.flows[f]; p != nil {
 		return p
 	}
 	if len(t.flows) >= t.limit {
 		return nil
 	}
-	p := &Places{Used: now}
+	p := &EntryFlow{LastUsed: now}
 	t.flows[f] = p
 	return p
 }
 
-// Delete forgets a flow.
+// Delete removes a flow.
 func (t *Entry) Delete(f segs.Flow) { delete(t.flows, f) }
 
-// Of returns the flows that an agent is known to own and on which the caller has sent something.
-func (t *Entry) Of(agent netip.Addr) (flows []segs.Flow) {
+// OwnedBy returns the flows that an agent is known to own and on which the caller has sent a packet after the opening ones.
+func (t *Entry) OwnedBy(agent netip.Addr) (flows []segs.Flow) {
 	for f, p := range t.flows {
 		if p.Owner == agent && p.Ack != 0 {
 			flows = append(flows, f)
@@ -167,17 +168,17 @@
 	return flows
 }
 
-// sweepEvery is how often all flows are looked at.
-const sweepEvery = time.Second
+// sweepInterval is the time between two scans of a table for expired flows.
+const sweepInterval = time.Second
 
-// Expire forgets flows without a packet for longer than idle.
+// Expire removes flows without a packet for longer than idle and returns their number.
 func (t *Entry) Expire(now time.Time, idle time.Duration) (expired int) {
-	if now.Sub(t.sweep) < sweepEvery {
+	if now.Sub(t.lastSweep) < sweepInterval {
 		return 0
 	}
-	t.sweep = now
+	t.lastSweep = now
 	for f, p := range t.flows {
-		if now.Sub(p.Used) > idle {
+		if now.Sub(p.LastUsed) > idle {
 			delete(t.flows, f)
 			expired++
 		}
--- a/internal/flow/owner/owner_test.go
+++ b/internal/flow/owner/owner_test.go
@@ -23,9 +23,10 @@
 	return &segs.Segment{Flow: flow, Flags: segs.Ack, Seq: seq, Len: 100}
 }
 
-// Two servers accepted a flow and the caller chose one. The other's first number fitted the caller's by chance
-// once in 64, so the packet went to a server that returned it, and the open flow was reset.
-func TestHalfOpenFlowTakesNoForeignPacket(t *testing.T) {
+// Two servers accept a flow and the caller chooses one. If the check were too loose, the caller's acknowledgement would
+// match the other server's sequence number by chance once in 64 flows: that server would return the packet, and the
+// open flow would be reset.
+func TestHalfOpenFlowFitsOnlyPacketsOfItsServer(t *testing.T) {
 	table := NewAgent(10, parts.Off{})
 	o := table.Add(now, flow)
 	o.Accepted, o.Seq = true, 1000
@@ -35,18 +36,18 @@
 	assert.Assert(t, !o.Fits(1000))
 }
 
-// An entry has sent an opening packet and its copy to two agents, and both servers accepted.
+// An entry sends an opening packet and its copy to two agents, and both servers accept.
 func TestPacketGoesToTheServerThatItAcknowledges(t *testing.T) {
-	p := &Places{Candidates: []Candidate{{Agent: one}, {Agent: two}}}
-	p.Opened(one, 5000)
-	p.Opened(two, 900_000)
+	p := &EntryFlow{Candidates: []Candidate{{Agent: one}, {Agent: two}}}
+	p.MarkAccepted(one, 5000)
+	p.MarkAccepted(two, 900_000)
 	for ack, want := range map[uint32]netip.Addr{5001: one, 90_000: one, 900_001: two, 1_200_000: two} {
-		got, ok := p.For(ack)
+		got, ok := p.AgentFor(ack)
 		assert.Assert(t, ok)
 		assert.Equal(t, got, want, ack)
 	}
-	p.Drop(two)
-	got, _ := p.For(1_200_000)
+	p.Remove(two)
+	got, _ := p.AgentFor(1_200_000)
 	assert.Equal(t, got, one)
 }
 
@@ -54,14 +55,14 @@
 	h := NewHome(10)
 	h.Register(now, one, msgs.Place{Flow: flow, Seq: 5000})
 	h.Register(now, two, msgs.Place{Flow: flow, Seq: 900_000})
-	got, ok := h.Find(flow, 5001)
+	got, ok := h.Owner(flow, 5001)
 	assert.Assert(t, ok)
 	assert.Equal(t, got, one)
-	got, _ = h.Find(flow, 900_300)
+	got, _ = h.Owner(flow, 900_300)
 	assert.Equal(t, got, two)
 }
 
-// A full table must not forget an open flow for a new one.
+// A full table must not evict an open flow for a new one.
 func TestFullTablesRefuseNewFlows(t *testing.T) {
 	other := flow
 	other.CallerPort++
@@ -71,7 +72,8 @@
 	assert.Assert(t, a.Add(now, flow) != nil && e.Add(now, flow) != nil)
 }
 
-// A caller that gave up, or whose answer was never seen, must not hold a slot of the server for the rest of the flow.
+// A request that its caller gave up, or whose answer was never observed, must not use a slot of the server for the
+// rest of the flow.
 func TestRequestsWithoutAnAnswerAreOverdue(t *testing.T) {
 	table := NewAgent(10, parts.Off{})
 	o := table.Add(now, flow)
@@ -79,15 +81,15 @@
 	table.FromCaller(now, o, data(1))
 	assert.Equal(t, table.Expected(now), 1)
 	table.FromCaller(now, o, data(1))
-	assert.Equal(t, table.Expected(now), 1, "the same data again")
+	assert.Equal(t, table.Expected(now), 1, "retransmitted data is no new request")
 
-	late := now.Add(overdueLeast + time.Millisecond)
+	late := now.Add(minOverdueAge + time.Millisecond)
 	assert.Equal(t, table.Expected(late), 0)
 	assert.Equal(t, table.Overdue(late), 1)
-	assert.Equal(t, table.Overdue(now.Add(rememberOverdue)), 0)
+	assert.Equal(t, table.Overdue(now.Add(overdueRetention)), 0)
 }
 
-// An answer ends a request; so does the caller's end.
+// An answer ends a request, and so does the caller's closing of the flow.
 func TestAnswersEndRequests(t *testing.T) {
 	table := NewAgent(10, parts.Off{})
 	o := table.Add(now, flow)
@@ -102,7 +104,8 @@
 	assert.Equal(t, table.Expected(now), 0)
 }
 
-// Guards against a server that seems never to answer: the packet that closes a flow overtakes the answer's data.
+// The packet that closes a flow may overtake the answer's data. If it did not count as an answer, the server would seem
+// never to answer.
 func TestClosingPacketBeforeItsDataIsAnAnswer(t *testing.T) {
 	table := NewAgent(10, parts.Off{})
 	o := table.Add(now, flow)
@@ -114,12 +117,12 @@
 	assert.Equal(t, took, time.Duration(0), "counted once")
 }
 
-// An agent has restarted and learns a flow from its server's acknowledgement, while the caller repeats the
-// request that the server already has.
+// A restarted agent learns a flow from its server's acknowledgement, while the caller retransmits a request that the
+// server already has. The retransmission must not count as a request.
 func TestAcknowledgedDataIsNoRequest(t *testing.T) {
 	table := NewAgent(10, parts.Off{})
 	o := table.Add(now, flow)
-	o.Worked = true
+	o.Requested = true
 	table.FromServer(now, o, &segs.Segment{Flow: flow, FromServer: true, Flags: segs.Ack, Ack: 101, Len: 200})
 	table.FromCaller(now, o, data(1))
 	assert.Equal(t, table.Expected(now), 0)
@@ -127,8 +130,8 @@
 	assert.Equal(t, table.Expected(now), 1)
 }
 
-// After a power loss callers have waited for a second, and a flow that opens at last is one that its caller has given up. Each
-// kept a slot for 300 ms, so that servers were idle while callers who still waited were not let in.
+// After a power loss, callers have waited for a second, and many flows are accepted after their caller gave up. If each of
+// them reserved a slot for 300 ms, servers would be idle while flows of waiting callers are refused.
 func TestFlowsWithoutARequestFreeTheirSlotsSoon(t *testing.T) {
 	table := NewAgent(100, parts.Off{})
 	ask := &segs.Segment{Flags: segs.Ack, Seq: 1, Len: 100}
@@ -141,15 +144,15 @@
 	o := table.Add(now, segs.Flow{CallerPort: 99})
 	assert.Equal(t, table.Expected(now.Add(50*time.Millisecond)), 1, "the server hasn't accepted it yet")
 	table.Accept(now.Add(50*time.Millisecond), o, 1000)
-	assert.Equal(t, table.Expected(now.Add(60*time.Millisecond)), 1, "its request is on its way")
+	assert.Equal(t, table.Expected(now.Add(60*time.Millisecond)), 1, "its request may still arrive")
 	assert.Equal(t, table.Expected(now.Add(70*time.Millisecond)), 0)
 }
 
-func TestExpireKeepsWhatIsUsed(t *testing.T) {
+func TestExpireKeepsUsedFlows(t *testing.T) {
 	table := NewAgent(10, parts.Off{})
 	o := table.Add(now, flow)
 	o.Accepted = true
-	l := Lives{Idle: 15 * time.Second, Life: time.Minute, Over: 3 * time.Second, Opening: 2 * time.Second}
+	l := Lifetimes{Idle: 15 * time.Second, MaxAge: time.Minute, Closed: 3 * time.Second, Opening: 2 * time.Second}
 	table.Expire(now.Add(10*time.Second), l)
 	assert.Assert(t, table.Get(flow) != nil)
 	table.Expire(now.Add(16*time.Second), l)
--- a/internal/flow/owner/work.go
+++ b/internal/flow/owner/work.go
@@ -8,97 +8,97 @@
 )
 
 const (
-	// openWithin is how long a server may take to accept a flow before it no longer holds a slot for it: it
-	// answers within a millisecond.
-	openWithin = 300 * time.Millisecond
-	// lagFirst is how long after its acceptance a flow's first request is awaited until flows have shown how
-	// long it takes: two trips to the caller, 4 to 12 ms.
-	lagFirst = 12 * time.Millisecond
-	// lagTimes and lagLeast say from when on a request isn't awaited any more: after four times the average. The caller has given
-	// up its request, and a slot that is kept for it stays idle. After a power loss, with callers that had waited for a second,
-	// two of five flows were such ones; with 300 ms for each, idle servers served a third less than they could.
-	lagTimes = 4
-	lagLeast = 10 * time.Millisecond
-	// overdueLeast and overdueTimes say from when a request without an answer no longer holds a slot: after
-	// eight times the average answer, half a second at least. Work takes six times its
-	// average at most.
-	overdueLeast = 500 * time.Millisecond
-	overdueTimes = 8
-	// rememberOverdue is how long an overdue request counts against its server: the longest deadline of the
-	// workloads' short requests is 4 s.
-	rememberOverdue = 4 * time.Second
-	// averageOver is how many answers the average time goes over.
-	averageOver = 32
+	// acceptTimeout is how long a flow that its server has not accepted counts as using a slot. Servers normally
+	// accept within a millisecond.
+	acceptTimeout = 300 * time.Millisecond
+	// initialRequestDelay is the assumed delay from a flow's acceptance to its first request until flows have shown
+	// the actual delay. It covers two trips to the caller, which take 4 to 12 ms.
+	initialRequestDelay = 12 * time.Millisecond
+	// requestDelayFactor and minRequestDelay bound how long a flow's first request is awaited: four times the average
+	// delay. After that the caller has given up, and a slot reserved for the request stays idle. After a power loss, with
+	// callers that had waited for a second, two of five flows never had a request; reserving a slot for 300 ms for
+	// each of them made servers serve a third less than they could.
+	requestDelayFactor = 4
+	minRequestDelay    = 10 * time.Millisecond
+	// minOverdueAge and overdueFactor bound how long a request without an answer counts as using a slot: eight times
+	// the average answer time, but half a second at least. Requests take at most six times their average.
+	minOverdueAge = 500 * time.Millisecond
+	overdueFactor = 8
+	// overdueRetention is how long an overdue request counts against its server. The longest deadline of short
+	// requests is 4 s.
+	overdueRetention = 4 * time.Second
+	// averageWindow is the number of samples over which the moving averages extend.
+	averageWindow = 32
 )
 
-// pending is a flow that something is expected of since a time.
+// pending is a flow on which a request, or the answer to one, has been awaited since a time.
 type pending struct {
-	own   *Own
+	flow  *Flow
 	since time.Time
 }
 
-// requests counts what an agent's server has to do, from what passes by. After the agent's own
-// restart it may take a repeated packet for a request whose answer it has missed; such a
-// request is overdue soon. Counted as under way until its flow ends, it would keep new
-// flows from an idle server for seconds.
+// requests counts the requests of an agent's server from the packets that pass the agent. After a restart of
+// the agent, a retransmitted packet may look like a request whose answer the agent has missed. Such a request soon
+// becomes overdue; if it counted as in progress until its flow ends, it would keep new flows away from an idle
+// server for seconds.
 type requests struct {
-	off     parts.Off
-	young   []pending     // flows on which the first request may not have come yet
-	under   []pending     // requests under way
-	average time.Duration // of answers
-	lag     time.Duration // average from a flow's acceptance to its first request
+	off       parts.Off
+	unused    []pending     // flows that may not have had their first request yet
+	active    []pending     // flows with a request in progress
+	avgAnswer time.Duration // average time of an answer
+	avgDelay  time.Duration // average time from a flow's acceptance to its first request
 }
 
-func (r *requests) opened(now time.Time, o *Own) { r.young = append(r.young, pending{o, now}) }
+func (r *requests) opened(now time.Time, o *Flow) { r.unused = append(r.unused, pending{o, now}) }
 
-func (r *requests) asked(now time.Time, o *Own) { r.under = append(r.under, pending{o, now}) }
+func (r *requests) asked(now time.Time, o *Flow) { r.active = append(r.active, pending{o, now}) }
 
-func (r *requests) answered(took time.Duration) { r.average += (took - r.average) / averageOver }
+func (r *requests) answered(took time.Duration) { r.avgAnswer += (took - r.avgAnswer) / averageWindow }
 
-// began notes how long after its acceptance a flow's first request came.
-func (r *requests) began(lag time.Duration) {
-	if r.lag == 0 {
-		r.lag = lag
+// addDelay records the time from a flow's acceptance to its first request.
+func (r *requests) addDelay(delay time.Duration) {
+	if r.avgDelay == 0 {
+		r.avgDelay = delay
 		return
 	}
-	r.lag += (lag - r.lag) / averageOver
+	r.avgDelay += (delay - r.avgDelay) / averageWindow
 }
 
-// awaited says whether the first request on a flow is still awaited.
+// awaited reports whether the first request on a flow is still awaited.
 func (r *requests) awaited(now time.Time, p pending) bool {
-	if p.own.Worked {
+	if p.flow.Requested {
 		return false
 	}
-	if p.own.accepted.IsZero() || r.off.Lag {
-		return now.Sub(p.since) < openWithin
+	if p.flow.acceptedAt.IsZero() || r.off.Lag {
+		return now.Sub(p.since) < acceptTimeout
 	}
-	lag := r.lag
-	if lag == 0 {
-		lag = lagFirst
+	delay := r.avgDelay
+	if delay == 0 {
+		delay = initialRequestDelay
 	}
-	return now.Sub(p.own.accepted) < max(lagLeast, lagTimes*lag)
+	return now.Sub(p.flow.acceptedAt) < max(minRequestDelay, requestDelayFactor*delay)
 }
 
-// overdue is the age from which a request is overdue.
-func (r *requests) overdue() time.Duration { return max(overdueLeast, overdueTimes*r.average) }
+// overdueAge returns the age from which a request is overdue.
+func (r *requests) overdueAge() time.Duration { return max(minOverdueAge, overdueFactor*r.avgAnswer) }
 
-// count returns how many flows are young, and how many requests are under way and overdue.
-func (r *requests) count(now time.Time) (young, under, overdue int) {
-	r.young = keep(r.young, func(p pending) bool { return r.awaited(now, p) })
-	r.under = keep(r.under, func(p pending) bool {
-		return p.own.Asked.Equal(p.since) && now.Sub(p.since) < rememberOverdue
+// count returns how many flows await their first request, and how many requests are in progress and overdue.
+func (r *requests) count(now time.Time) (unused, active, overdue int) {
+	r.unused = filter(r.unused, func(p pending) bool { return r.awaited(now, p) })
+	r.active = filter(r.active, func(p pending) bool {
+		return p.flow.PendingSince.Equal(p.since) && now.Sub(p.since) < overdueRetention
 	})
-	limit := r.overdue()
-	for _, p := range r.under {
+	limit := r.overdueAge()
+	for _, p := range r.active {
 		if now.Sub(p.since) > limit {
 			overdue++
 		}
 	}
-	return len(r.young), len(r.under) - overdue, overdue
+	return len(r.unused), len(r.active) - overdue, overdue
 }
 
-// keep is slices.DeleteFunc turned round; it clears what it leaves so that flows can be freed.
-func keep(list []pending, want func(pending) bool) []pending {
+// filter keeps the elements that want selects, in place. It clears the rest of the list so that flows can be freed.
+func filter(list []pending, want func(pending) bool) []pending {
 	kept := list[:0]
 	for _, p := range list {
 		if want(p) {
@@ -109,22 +109,22 @@
 	return kept
 }
 
-// Expected is how many requests are under way or about to come: a flow is opened for a request.
+// Expected returns how many requests are in progress or about to arrive. Every flow is opened for a request.
 func (t *Agent) Expected(now time.Time) int {
-	young, under, _ := t.work.count(now)
-	return young + under
+	unused, active, _ := t.requests.count(now)
+	return unused + active
 }
 
-// Overdue is how many requests of the last seconds have no answer although they should. It shows a
-// server that hangs, or fails a part of its requests.
+// Overdue returns how many requests of the last seconds are overdue. A count above zero indicates a server that
+// hangs or fails a part of its requests.
 func (t *Agent) Overdue(now time.Time) int {
-	_, _, overdue := t.work.count(now)
+	_, _, overdue := t.requests.count(now)
 	return overdue
 }
 
-// Load is how busy the server is.
+// Load returns how busy the server is.
 func (t *Agent) Load(now time.Time) msgs.Load {
-	young, under, overdue := t.work.count(now)
-	busy := young + under + overdue
+	unused, active, overdue := t.requests.count(now)
+	busy := unused + active + overdue
 	return msgs.Load{Busy: uint16(min(busy, 0xffff)), Flows: uint16(min(len(t.flows), 0xffff))}
 }
--- a/internal/node/edge/bulk.go
+++ b/internal/node/edge/bulk.go
@@ -74,7 +74,7 @@
 		e.unrouted(now, v, &s)
 		return
 	}
-	var p *owner.Places
+	var p *owner.EntryFlow
 	if p = e.flows.Add(now, w.Flow); p == nil {
 		e.refuse(now, &s, "full")
 		return
--- a/internal/node/edge/edge.go
+++ b/internal/node/edge/edge.go
@@ -246,21 +246,21 @@
 	if p == nil {
 		return
 	}
-	p.Used = now
-	if p.Repeats(s) {
+	p.LastUsed = now
+	if p.Observe(s) {
 		e.doubt(now, home)
 	}
 }
 
 // followKnown sends a packet of a flow that this entry knows to its agent, or tells the caller that the agent is lost. It returns false
 // if the flow's place is not known after all.
-func (e *Entry) followKnown(now time.Time, v *belief.View, p *owner.Places, s *segs.Segment, datagram []byte) bool {
-	agent, ok := p.For(s.Ack)
+func (e *Entry) followKnown(now time.Time, v *belief.View, p *owner.EntryFlow, s *segs.Segment, datagram []byte) bool {
+	agent, ok := p.AgentFor(s.Ack)
 	if !ok {
 		return false
 	}
-	p.Used = now
-	if p.Repeats(s) {
+	p.LastUsed = now
+	if p.Observe(s) {
 		e.doubt(now, agent)
 	}
 	switch {
--- a/internal/node/edge/lost.go
+++ b/internal/node/edge/lost.go
@@ -25,7 +25,7 @@
 // Why it holds. A lost agent answers neither this entry nor the helpers for most of a second, so nothing that its server
 // sends reaches a caller either, since it goes by the agent. Package doubt says what looks alike and is no loss. Besides:
 //   - Another server holds the flow than the one that this entry was told first, as after a freeze: only flows whose owner is
-//     proved are told (owner.Places).
+//     proved are told (owner.EntryFlow).
 
 // endingsPerTick paces the resets after a loss: 2,000 a second, so that those callers' next tries
 // don't come all at once to the servers that are left.
@@ -51,7 +51,7 @@
 	exempt := func(agent netip.Addr) bool { return e.agents.Lost() || e.Ctrl.Leaving(agent) }
 	for _, agent := range e.doubted.Tick(now, v.Homes.Agents(), exempt) {
 		before := len(e.ending)
-		e.ending = append(e.ending, e.flows.Of(agent)...)
+		e.ending = append(e.ending, e.flows.OwnedBy(agent)...)
 		e.Events.State("agent-lost").Stringer("agent", agent).Int("flows", len(e.ending)-before).Stringer("revision", v.Revision).Send()
 	}
 }
@@ -83,7 +83,7 @@
 }
 
 // end resets an open flow and forgets it.
-func (e *Entry) end(now time.Time, f segs.Flow, p *owner.Places) {
+func (e *Entry) end(now time.Time, f segs.Flow, p *owner.EntryFlow) {
 	e.flows.Delete(f)
 	e.packet = e.Codec.Reset(e.packet[:0], segs.Segment{Flow: f, Flags: segs.Ack, Ack: p.Ack})
 	e.Wire.ToCaller(f.Caller, e.packet)
--- a/internal/node/edge/peer.go
+++ b/internal/node/edge/peer.go
@@ -38,7 +38,7 @@
 	e.chooser.Accepted(from)
 	e.chooser.Report(now, from, m.Load)
 	if p := e.flows.Get(m.Flow); p != nil {
-		p.Opened(from, m.Seq)
+		p.MarkAccepted(from, m.Seq)
 	}
 }
 
@@ -64,8 +64,8 @@
 		e.refuse(now, &s, "busy") // several agents were asked, and none can serve it in time
 		return
 	}
-	p.Returned(from)
-	if p.Told || opened(p) {
+	p.MarkReturned(from)
+	if p.Claimed || opened(p) {
 		return // another server has taken it meanwhile
 	}
 	v := e.Log.View()
@@ -75,15 +75,15 @@
 		e.unrouted(now, v, &s)
 		return
 	}
-	p.HandedBack = true
+	p.Returned = true
 	tried := append(p.Tried(), from)
-	p.Drop(from)
+	p.Remove(from)
 	e.place(now, v, route, p, &s, tried, m.Packet)
 }
 
-func opened(p *owner.Places) bool {
+func opened(p *owner.EntryFlow) bool {
 	last := p.Last()
-	return last != nil && last.Opened
+	return last != nil && last.Accepted
 }
 
 // told takes the owner's word for where a flow is.
@@ -96,7 +96,7 @@
 	if p == nil {
 		return
 	}
-	p.Told = true
+	p.Claimed = true
 	if m.Open {
 		p.Owner = from
 	}
--- a/internal/node/local/caller.go
+++ b/internal/node/local/caller.go
@@ -55,7 +55,7 @@
 // offered gives an opening packet to the server, to a less busy one, or back to the entry.
 func (a *Agent) offered(now time.Time, m msgs.Offer, s *segs.Segment) {
 	if o := a.flows.Get(s.Flow); o != nil {
-		o.Used = now
+		o.LastUsed = now
 		a.Wire.ToServer(m.Packet) // a copy: the server's answer was lost or is on its way
 		return
 	}
@@ -269,7 +269,7 @@
 		a.searchFor(now, m, s)
 		return
 	}
-	if owner, ok := a.home.Find(s.Flow, s.Ack); ok && owner != a.Self {
+	if owner, ok := a.home.Owner(s.Flow, s.Ack); ok && owner != a.Self {
 		if a.doubted.Lost(owner) {
 			a.searchFor(now, m, s)
 			return
--- a/internal/node/local/fails.go
+++ b/internal/node/local/fails.go
@@ -29,7 +29,7 @@
 		return
 	}
 	for f, o := range a.flows.All {
-		if o.Resting() {
+		if o.Idle() {
 			a.ending = append(a.ending, f)
 		}
 	}
@@ -49,7 +49,7 @@
 func (a *Agent) tellResting(now time.Time) {
 	n := min(len(a.ending), endingsPerTick)
 	for _, f := range a.ending[:n] {
-		if o := a.flows.Get(f); o != nil && o.Resting() {
+		if o := a.flows.Get(f); o != nil && o.Idle() {
 			a.end(now, o, &segs.Segment{Flow: f, Flags: segs.Ack, Ack: o.Ack}, "fails")
 		}
 	}
--- a/internal/node/local/local.go
+++ b/internal/node/local/local.go
@@ -187,7 +187,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	idle := a.idle()
-	a.flows.Expire(now, owner.Lives{Idle: idle, Life: a.Life + overFor, Over: overFor, Opening: a.Callers.GiveUp + openingAfter})
+	a.flows.Expire(now, owner.Lifetimes{Idle: idle, MaxAge: a.Life + overFor, Closed: overFor, Opening: a.Callers.GiveUp + openingAfter})
 	a.admit(now)
 	a.home.Expire(now, a.Life+overFor)
 	a.tellResting(now)
@@ -282,7 +282,7 @@
 }
 
 // registerOne tells a flow's home that the agent owns it.
-func (a *Agent) registerOne(now time.Time, o *owner.Own, f segs.Flow) {
+func (a *Agent) registerOne(now time.Time, o *owner.Flow, f segs.Flow) {
 	home, ok := a.Log.View().Homes.Of(f)
 	if !ok {
 		return
--- a/internal/node/local/server.go
+++ b/internal/node/local/server.go
@@ -70,17 +70,17 @@
 }
 
 // accept notes that the server holds a flow.
-func (a *Agent) accept(now time.Time, o *owner.Own, s *segs.Segment) {
+func (a *Agent) accept(now time.Time, o *owner.Flow, s *segs.Segment) {
 	if !s.Accepting() {
 		a.flows.Learn(o, s.Seq-learnedBack) // in its middle, after the agent's own restart
 		return
 	}
 	a.flows.Accept(now, o, s.Seq)
-	openTime.Update(now.Sub(o.Began).Seconds())
+	openTime.Update(now.Sub(o.Created).Seconds())
 }
 
 // announce tells the flow's home, and the entry, that the agent owns it.
-func (a *Agent) announce(now time.Time, o *owner.Own, s *segs.Segment) {
+func (a *Agent) announce(now time.Time, o *owner.Flow, s *segs.Segment) {
 	a.registerOne(now, o, s.Flow)
 	if !o.Origin.IsValid() {
 		return
@@ -89,7 +89,7 @@
 	a.buf = m.AppendTo(a.buf[:0])
 	a.Wire.ToPeer(o.Origin, a.buf)
 	a.Events.Flow(event.Ordinary, "opened", s.Flow).Stringer("entry", o.Origin).Uint16("busy", m.Load.Busy).
-		Uint16("flows", m.Load.Flows).Dur("took", now.Sub(o.Began)).Send()
+		Uint16("flows", m.Load.Flows).Dur("took", now.Sub(o.Created)).Send()
 }
 
 // returned takes a caller's packet that the server handed back. The datagram is again what
@@ -103,9 +103,9 @@
 			a.handBack(now, o.Origin, s, datagram, msgs.WhyServer)
 		}
 	case a.probed(now, s):
-	case o != nil && o.Over():
+	case o != nil && o.Closed():
 		dropped("over")
-	case o != nil && !o.Proved:
+	case o != nil && !o.Established:
 		// The server accepted the flow and so did another one, which the caller chose.
 		a.flows.Delete(s.Flow)
 		a.passOn(now, msgs.Carry{Origin: o.Origin, Packet: datagram}, s)
@@ -119,7 +119,7 @@
 }
 
 // end forgets a flow that nobody holds and tells the caller, who may try again at once.
-func (a *Agent) end(now time.Time, o *owner.Own, s *segs.Segment, why string) {
+func (a *Agent) end(now time.Time, o *owner.Flow, s *segs.Segment, why string) {
 	a.flows.Delete(s.Flow)
 	a.home.Delete(s.Flow, a.Self)
 	a.reset(now, s, why)
