--- a/internal/flow/seek/seek.go
+++ b/internal/flow/seek/seek.go
@@ -1,29 +1,31 @@
-// Package seek finds out which agents may hold flows that no home knows, for many flows at once.
+// Package seek looks up the owners of flows that their homes have no record of, for many flows at once. A flow's home is
+// the agent that keeps its location record.
 //
-// The failure it answers: after a loss of power or a restart of all, homes remember nothing, and each packet of an
-// older flow has to be looked for. Asked flow by flow, every agent gets a message for every flow, and one lost answer of a
-// hundred leaves a search without a result, so that callers wait for their deadlines although nobody holds their flows.
+// After a power loss or a restart of all agents, homes have no records, and the owner of each older flow has to be looked
+// up at all agents. With a lookup per flow, every agent would get a message for every flow, and one lost answer in a
+// hundred would leave a lookup without a result. Callers would then wait for their deadlines although no agent holds
+// their flows.
 //
-// So homes hand their questions to a few agents (package homes: Leads), and such a lead asks in rounds. A round
-// puts all flows that wait for one to every agent that there is. Agents that don't answer are asked again, and no others. A
-// budget of questions spaces rounds: with more agents a round costs more, and more flows wait for the next one.
+// Homes therefore pass their questions to a few agents, the leads (homes.List.Lead), and a lead queries agents in rounds.
+// A round asks every known agent about all queued flows. Only agents that have not answered are queried again. A budget
+// of questions spaces the rounds: the more agents there are, the more a round costs and the more flows share it.
 //
-// Why a result can be trusted: a flow is part of a round only if its packet was seen before the round began, so it was open
-// before each of the answers. "Nobody" means that each agent has answered since then that it doesn't hold the flow. An agent that became known while
-// the round ran is asked too before the round ends; one that is no longer there owes no answer.
+// A result is reliable because a flow joins a round only if its packet arrived before the round began. It was thus open
+// before each of the answers. A result without an owner means that every agent has answered since then that it does not
+// hold the flow. Agents that become known during a round are queried before it ends; removed ones are no longer awaited.
 //
-// The package sends nothing and has no clock: it says whom to ask, and takes answers in. It doesn't try servers and tells no
-// caller (package local). It is not safe for concurrent use.
+// The package sends nothing and has no clock: it returns the queries to send and processes the answers. Probing servers
+// and answering callers is up to package local. The package is not safe for concurrent use.
 //
 // # Usage
 //
-//	s := seek.New()
-//	s.Want(now, home, question)
-//	for _, ask := range s.Next(now, agents) {
-//		send(ask.To, ask.Round, ask.Questions)
+//	s := seek.New(first)
+//	s.Add(home, question)
+//	for _, query := range s.Next(now, agents) {
+//		send(query.To, query.Round, query.Questions)
 //	}
 //	for _, r := range s.Answer(from, round, verdicts, agents) {
-//		tell(r.Homes, r)
+//		notify(r.Requesters, r)
 //	}
 package seek
 
@@ -37,142 +39,143 @@
 )
 
 const (
-	// asksPerSecond bounds the questions of one lead. With a hundred agents that is a round every 25 ms, well within
-	// the 200 ms after which a caller repeats a packet.
-	asksPerSecond = 4000
-	// burst is how many questions may be sent at once. A small fleet's rounds need no spacing; a large one is left
-	// two at once.
+	// questionsPerSecond bounds the rate of a lead's questions. With a hundred agents it allows a round every 25 ms, well
+	// within the 200 ms after which a caller retransmits a packet.
+	questionsPerSecond = 4000
+	// burst is the least number of questions that may be sent at once, so that rounds of a small fleet need no spacing.
+	// A large fleet may always run two rounds at once.
 	burst = 100
-	// askAgain is when agents that haven't answered are asked once more: a datagram was lost. Between domains an
-	// answer takes 2 ms, and an agent that is busy needs some 10.
-	askAgain = 30 * time.Millisecond
-	// askLater is the pause after later repeats: who misses two questions in a row is slow, or not there.
-	askLater = 100 * time.Millisecond
-	// giveUp ends a round in which an agent stays silent. Callers' next packets begin another one.
-	giveUp = 3 * time.Second
-	// mostWanted bounds the flows that wait or are asked about; each takes some 100 bytes.
-	mostWanted = 8192
+	// retryDelay is the time after which agents without an answer are queried again, because a datagram was lost. An
+	// answer takes 2 ms between failure domains, and a busy agent needs about 10 ms.
+	retryDelay = 30 * time.Millisecond
+	// laterRetryDelay is the pause after later repeats. An agent that misses two queries in a row is slow or unavailable.
+	laterRetryDelay = 100 * time.Millisecond
+	// roundTimeout ends a round in which an agent does not answer. The callers' next packets start another round.
+	roundTimeout = 3 * time.Second
+	// maxFlows bounds the flows that are queued or part of a round. Each takes about 100 bytes.
+	maxFlows = 8192
 )
 
-// Ask is a message that is to go to some agents.
-type Ask struct {
+// Query is a message to be sent to some agents.
+type Query struct {
 	Round     uint32
 	To        []netip.Addr
 	Questions []msgs.Question
-	Repeats   int // how often those that haven't answered have been asked before
+	Repeats   int // how often the agents in To have been queried again
 }
 
-// Slow is the repeat from which agents without an answer are taken for slow or away.
-const Slow = 2
+// SlowRepeats is the number of repeats from which agents without an answer count as slow or unavailable.
+const SlowRepeats = 2
 
-// Result is what a round has shown of one flow. Owner holds it; if there is none, Unsure may; if there are none
-// either, nobody holds it. Partial says that some agents haven't answered yet, so any of them may hold it too.
+// Result is the result of a round for one flow. Owner holds the flow. Without an owner, any agent in Unsure may hold it;
+// if Unsure is empty too, no agent holds it. In a Partial result, some agents have not answered yet and may hold it too.
 type Result struct {
-	Flow    segs.Flow
-	Owner   netip.Addr
-	Unsure  []netip.Addr
-	Partial bool
-	Homes   []netip.Addr // who wants to know
+	Flow       segs.Flow
+	Owner      netip.Addr
+	Unsure     []netip.Addr
+	Partial    bool
+	Requesters []netip.Addr // homes that asked for the owner
 }
 
-// Rounds are the rounds of one lead.
+// Rounds holds the queue and the running rounds of one lead.
 type Rounds struct {
-	wanted map[segs.Flow][]netip.Addr // homes that want to know of a flow
-	fresh  []msgs.Question            // wanted, in no round yet
-	rounds map[uint32]*round
-	number uint32
-	budget float64 // questions that may be sent
-	filled time.Time
+	requesters map[segs.Flow][]netip.Addr // homes that asked for the owner of a flow
+	queued     []msgs.Question            // not part of a round yet
+	rounds     map[uint32]*round
+	lastNumber uint32
+	budget     float64 // questions that may be sent now
+	lastRefill time.Time
 }
 
-// round asks all agents about some flows.
+// round is a query to all agents about some flows.
 type round struct {
 	questions []msgs.Question
 	unsure    [][]netip.Addr // by question
 	owned     []bool         // by question
 	asked     map[netip.Addr]bool
 	waiting   []netip.Addr
-	began     time.Time
-	sent      time.Time // zero: agents wait to be asked for the first time
+	started   time.Time
+	lastSent  time.Time // zero: some agents have not been queried yet
 	repeats   int
 }
 
-// New returns no rounds. First is the number of the first one: it differs between starts of a process, so that an answer to
-// its predecessor is none to it.
+// New returns a Rounds without rounds. Rounds are numbered from after first, which must differ between process
+// incarnations, so that an answer to a query of a previous incarnation is ignored.
 func New(first uint32) *Rounds {
-	return &Rounds{wanted: map[segs.Flow][]netip.Addr{}, rounds: map[uint32]*round{}, number: first}
+	return &Rounds{requesters: map[segs.Flow][]netip.Addr{}, rounds: map[uint32]*round{}, lastNumber: first}
 }
 
-// Want says that a home has a packet of a flow that it doesn't know. It returns false if too much is wanted already.
-func (s *Rounds) Want(home netip.Addr, q msgs.Question) bool {
-	homes, known := s.wanted[q.Flow]
+// Add queues a home's question about a flow of which it has no record. It returns false if too many flows are queued or
+// part of a round.
+func (s *Rounds) Add(home netip.Addr, q msgs.Question) bool {
+	homes, known := s.requesters[q.Flow]
 	if known {
 		if !slices.Contains(homes, home) {
-			s.wanted[q.Flow] = append(homes, home)
+			s.requesters[q.Flow] = append(homes, home)
 		}
 		return true
 	}
-	if len(s.wanted) >= mostWanted {
+	if len(s.requesters) >= maxFlows {
 		return false
 	}
-	s.wanted[q.Flow] = []netip.Addr{home}
-	s.fresh = append(s.fresh, q)
+	s.requesters[q.Flow] = []netip.Addr{home}
+	s.queued = append(s.queued, q)
 	return true
 }
 
-// Next returns what is to be sent now: the next round if there is budget for it, and questions that had no answer. Agents are all that
-// there are.
-func (s *Rounds) Next(now time.Time, agents []netip.Addr) (asks []Ask) {
+// Next returns the queries to send now: new rounds as far as the budget allows, and repeated queries to agents that have
+// not answered. agents lists all known agents.
+func (s *Rounds) Next(now time.Time, agents []netip.Addr) (queries []Query) {
 	s.refill(now, len(agents))
-	for len(s.fresh) > 0 && s.budget >= float64(len(agents)) && len(agents) > 0 {
+	for len(s.queued) > 0 && s.budget >= float64(len(agents)) && len(agents) > 0 {
 		s.budget -= float64(len(agents))
 		s.begin(now, agents)
 	}
 	for number, r := range s.rounds {
 		if r.due(now) {
-			r.sent = now
-			asks = append(asks, Ask{Round: number, To: slices.Clone(r.waiting), Questions: r.questions, Repeats: r.repeats})
+			r.lastSent = now
+			queries = append(queries, Query{Round: number, To: slices.Clone(r.waiting), Questions: r.questions, Repeats: r.repeats})
 		}
 	}
-	return asks
+	return queries
 }
 
-// refill adds to the budget what time allows, up to what a few rounds cost.
+// refill adds to the budget for the time since the last call, up to the cost of two rounds.
 func (s *Rounds) refill(now time.Time, agents int) {
-	most := float64(max(burst, 2*agents))
-	if s.filled.IsZero() {
-		s.budget = most
+	limit := float64(max(burst, 2*agents))
+	if s.lastRefill.IsZero() {
+		s.budget = limit
 	} else {
-		s.budget = min(most, s.budget+asksPerSecond*now.Sub(s.filled).Seconds())
+		s.budget = min(limit, s.budget+questionsPerSecond*now.Sub(s.lastRefill).Seconds())
 	}
-	s.filled = now
+	s.lastRefill = now
 }
 
-// begin puts as many fresh questions as fit into a message to a new round.
+// begin starts a round with as many queued questions as fit into a message.
 func (s *Rounds) begin(now time.Time, agents []netip.Addr) {
-	n := min(len(s.fresh), msgs.MaxQuestions)
-	s.number++
-	s.rounds[s.number] = &round{
-		questions: slices.Clone(s.fresh[:n]),
+	n := min(len(s.queued), msgs.MaxQuestions)
+	s.lastNumber++
+	s.rounds[s.lastNumber] = &round{
+		questions: slices.Clone(s.queued[:n]),
 		unsure:    make([][]netip.Addr, n),
 		owned:     make([]bool, n),
 		asked:     setOf(agents),
 		waiting:   slices.Clone(agents),
-		began:     now,
+		started:   now,
 	}
-	s.fresh = slices.Delete(s.fresh, 0, n)
+	s.queued = slices.Delete(s.queued, 0, n)
 }
 
-// SoFar returns what a round that still waits for agents has shown: flows that an unsure agent may hold are not to
-// wait for one that is away.
-func (s *Rounds) SoFar(number uint32) (results []Result) {
+// PartialResults returns the flows of a running round that an unsure agent may hold, so that these flows need not wait
+// for an agent that is unavailable.
+func (s *Rounds) PartialResults(number uint32) (results []Result) {
 	r := s.rounds[number]
 	if r == nil {
 		return nil
 	}
 	for i, q := range r.questions {
 		if !r.owned[i] && len(r.unsure[i]) > 0 {
-			results = append(results, Result{Flow: q.Flow, Unsure: r.unsure[i], Partial: true, Homes: s.wanted[q.Flow]})
+			results = append(results, Result{Flow: q.Flow, Unsure: r.unsure[i], Partial: true, Requesters: s.requesters[q.Flow]})
 		}
 	}
 	return results
@@ -186,24 +189,24 @@
 	return set
 }
 
-// due says whether the agents that owe an answer are to be asked now, for the first time or again.
+// due reports whether the agents that have not answered are to be queried now, for the first time or again.
 func (r *round) due(now time.Time) bool {
-	if r.sent.IsZero() {
+	if r.lastSent.IsZero() {
 		return true
 	}
-	pause := askAgain
-	if r.repeats >= Slow {
-		pause = askLater
+	pause := retryDelay
+	if r.repeats >= SlowRepeats {
+		pause = laterRetryDelay
 	}
-	if now.Sub(r.sent) < pause {
+	if now.Sub(r.lastSent) < pause {
 		return false
 	}
 	r.repeats++
 	return true
 }
 
-// Answer takes an agent's answers to a round's questions, in their order, and returns what they decide. Agents are
-// all that there are now.
+// Answer processes an agent's verdicts on a round's questions, in their order, and returns the results they lead to.
+// agents lists all known agents.
 func (s *Rounds) Answer(from netip.Addr, number uint32, verdicts []msgs.Verdict, agents []netip.Addr) (results []Result) {
 	r := s.rounds[number]
 	if r == nil || len(verdicts) != len(r.questions) {
@@ -223,12 +226,12 @@
 			r.unsure[i] = append(r.unsure[i], from)
 		}
 	}
-	return append(results, s.end(number, r, agents)...)
+	return append(results, s.finish(number, r, agents)...)
 }
 
-// end concludes a round that waits for nobody.
-func (s *Rounds) end(number uint32, r *round, agents []netip.Addr) (results []Result) {
-	if len(r.waiting) > 0 || r.join(agents) {
+// finish ends a round if all agents have answered, and returns its results.
+func (s *Rounds) finish(number uint32, r *round, agents []netip.Addr) (results []Result) {
+	if len(r.waiting) > 0 || r.addAgents(agents) {
 		return nil
 	}
 	delete(s.rounds, number)
@@ -240,53 +243,53 @@
 	return results
 }
 
-// join makes a round wait for agents that have become known since it began. It says whether there are any.
-func (r *round) join(agents []netip.Addr) bool {
+// addAgents adds agents that have become known since the round began. It reports whether the round waits for any agent.
+func (r *round) addAgents(agents []netip.Addr) bool {
 	for _, a := range agents {
 		if !r.asked[a] {
 			r.asked[a] = true
 			r.waiting = append(r.waiting, a)
-			r.sent = time.Time{}
+			r.lastSent = time.Time{}
 		}
 	}
 	return len(r.waiting) > 0
 }
 
 func (s *Rounds) result(f segs.Flow, owner netip.Addr, unsure []netip.Addr) Result {
-	r := Result{Flow: f, Owner: owner, Unsure: unsure, Homes: s.wanted[f]}
-	delete(s.wanted, f)
+	r := Result{Flow: f, Owner: owner, Unsure: unsure, Requesters: s.requesters[f]}
+	delete(s.requesters, f)
 	return r
 }
 
-// Unheard is a round that ended without all answers.
-type Unheard struct {
-	Flows  []segs.Flow
-	Silent []netip.Addr // agents that haven't answered
+// Incomplete is a round that timed out before all agents answered.
+type Incomplete struct {
+	Flows        []segs.Flow
+	Unresponsive []netip.Addr // agents that have not answered
 }
 
-// Expire drops agents that are gone from those that owe an answer, which may end rounds, and ends rounds that have waited too long.
-func (s *Rounds) Expire(now time.Time, agents []netip.Addr) (results []Result, unheard []Unheard) {
+// Expire stops waiting for agents that have been removed, which may complete rounds, and ends rounds that have timed out.
+func (s *Rounds) Expire(now time.Time, agents []netip.Addr) (results []Result, incomplete []Incomplete) {
 	if len(s.rounds) == 0 {
 		return nil, nil
 	}
-	there := setOf(agents)
+	present := setOf(agents)
 	for number, r := range s.rounds {
-		r.waiting = slices.DeleteFunc(r.waiting, func(a netip.Addr) bool { return !there[a] })
-		results = append(results, s.end(number, r, agents)...)
-		if len(r.waiting) > 0 && now.Sub(r.began) > giveUp {
-			unheard = append(unheard, s.abandon(number, r))
+		r.waiting = slices.DeleteFunc(r.waiting, func(a netip.Addr) bool { return !present[a] })
+		results = append(results, s.finish(number, r, agents)...)
+		if len(r.waiting) > 0 && now.Sub(r.started) > roundTimeout {
+			incomplete = append(incomplete, s.abandon(number, r))
 		}
 	}
-	return results, unheard
+	return results, incomplete
 }
 
-// abandon forgets a round and what its flows were wanted for.
-func (s *Rounds) abandon(number uint32, r *round) Unheard {
+// abandon removes a round that timed out, and the requesters of its flows.
+func (s *Rounds) abandon(number uint32, r *round) Incomplete {
 	delete(s.rounds, number)
-	u := Unheard{Silent: r.waiting}
+	u := Incomplete{Unresponsive: r.waiting}
 	for i, q := range r.questions {
 		if !r.owned[i] {
-			delete(s.wanted, q.Flow)
+			delete(s.requesters, q.Flow)
 			u.Flows = append(u.Flows, q.Flow)
 		}
 	}
--- a/internal/flow/seek/seek_test.go
+++ b/internal/flow/seek/seek_test.go
@@ -16,7 +16,7 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// compareAddr compares addresses, whose fields aren't exported.
+// compareAddr compares addresses, whose fields are not exported.
 var compareAddr = cmpopts.EquateComparable(netip.Addr{})
 
 func agent(i int) netip.Addr { return netip.AddrFrom4([4]byte{10, 0, 1, byte(i)}) }
@@ -32,125 +32,125 @@
 	return msgs.Question{Flow: segs.Flow{Caller: [4]byte{100, 64, 0, byte(i)}, CallerPort: 1025}, Ack: uint32(i)}
 }
 
-// one is the answer to a single question.
+// one returns the answer to a single question.
 func one(v msgs.Verdict) []msgs.Verdict { return []msgs.Verdict{v} }
 
-func TestFlowIsNobodysWhenAllAgentsHaveSaidSo(t *testing.T) {
+func TestFlowHasNoOwnerOnceAllAgentsHaveAnswered(t *testing.T) {
 	s := New(0)
-	there := agents(3)
-	assert.Assert(t, s.Want(agent(9), question(1)))
-	asks := s.Next(start, there)
-	assert.Equal(t, len(asks), 1)
-	assert.DeepEqual(t, asks[0].Questions, []msgs.Question{question(1)})
-	assert.Equal(t, len(asks[0].To), 3)
+	present := agents(3)
+	assert.Assert(t, s.Add(agent(9), question(1)))
+	queries := s.Next(start, present)
+	assert.Equal(t, len(queries), 1)
+	assert.DeepEqual(t, queries[0].Questions, []msgs.Question{question(1)})
+	assert.Equal(t, len(queries[0].To), 3)
 	for i := range 2 {
-		assert.Equal(t, len(s.Answer(agent(i), asks[0].Round, one(msgs.NotHeld), there)), 0)
+		assert.Equal(t, len(s.Answer(agent(i), queries[0].Round, one(msgs.NotHeld), present)), 0)
 	}
-	results := s.Answer(agent(2), asks[0].Round, one(msgs.NotHeld), there)
+	results := s.Answer(agent(2), queries[0].Round, one(msgs.NotHeld), present)
 	assert.Equal(t, len(results), 1)
 	assert.Assert(t, !results[0].Owner.IsValid() && len(results[0].Unsure) == 0)
-	assert.DeepEqual(t, results[0].Homes, []netip.Addr{agent(9)}, compareAddr)
+	assert.DeepEqual(t, results[0].Requesters, []netip.Addr{agent(9)}, compareAddr)
 }
 
-// One answer of three is lost. Asked all anew, the search would have had to hear everybody again, and in a fleet of hundreds would hardly
-// ever have ended; only who hasn't answered is asked.
+// One answer of three is lost. If all agents were queried again, all would have to answer again, and in a fleet of hundreds
+// a lookup would hardly ever end.
 func TestOnlyAgentsThatHaveNotAnsweredAreAskedAgain(t *testing.T) {
 	s := New(0)
-	there := agents(3)
-	s.Want(agent(9), question(1))
-	round := s.Next(start, there)[0].Round
-	s.Answer(agent(0), round, one(msgs.NotHeld), there)
-	s.Answer(agent(2), round, one(msgs.NotHeld), there)
-	assert.Equal(t, len(s.Next(start.Add(askAgain/2), there)), 0)
-	asks := s.Next(start.Add(askAgain), there)
-	assert.Equal(t, len(asks), 1)
-	assert.DeepEqual(t, asks[0].To, []netip.Addr{agent(1)}, compareAddr)
-	assert.Equal(t, len(s.Answer(agent(1), round, one(msgs.NotHeld), there)), 1)
+	present := agents(3)
+	s.Add(agent(9), question(1))
+	round := s.Next(start, present)[0].Round
+	s.Answer(agent(0), round, one(msgs.NotHeld), present)
+	s.Answer(agent(2), round, one(msgs.NotHeld), present)
+	assert.Equal(t, len(s.Next(start.Add(retryDelay/2), present)), 0)
+	queries := s.Next(start.Add(retryDelay), present)
+	assert.Equal(t, len(queries), 1)
+	assert.DeepEqual(t, queries[0].To, []netip.Addr{agent(1)}, compareAddr)
+	assert.Equal(t, len(s.Answer(agent(1), round, one(msgs.NotHeld), present)), 1)
 }
 
-// A server has joined while a round runs, and the flow is its. Left out, it would not have been asked, and a flow that lives
-// would have been reset.
+// A server that joins while a round runs holds the flow. If its agent were not queried, the open flow would be reset.
 func TestAgentThatJoinsIsAskedBeforeARoundEnds(t *testing.T) {
 	s := New(0)
-	s.Want(agent(9), question(1))
+	s.Add(agent(9), question(1))
 	round := s.Next(start, agents(1))[0].Round
 	assert.Equal(t, len(s.Answer(agent(0), round, one(msgs.NotHeld), agents(2))), 0)
-	asks := s.Next(start.Add(time.Millisecond), agents(2))
-	assert.DeepEqual(t, asks[0].To, []netip.Addr{agent(1)}, compareAddr)
+	queries := s.Next(start.Add(time.Millisecond), agents(2))
+	assert.DeepEqual(t, queries[0].To, []netip.Addr{agent(1)}, compareAddr)
 	results := s.Answer(agent(1), round, one(msgs.Held), agents(2))
 	assert.Equal(t, results[0].Owner, agent(1))
 }
 
-// A flow's packet comes while a round runs that has had answers already. What they said of other flows says nothing of it: it
-// waits for the next round.
-func TestFlowThatComesLateWaitsForTheNextRound(t *testing.T) {
+// A flow's packet arrives while a round runs that already has answers. They do not cover this flow, so it has to wait for the
+// next round.
+func TestLateFlowWaitsForTheNextRound(t *testing.T) {
 	s := New(0)
-	there := agents(2)
-	s.Want(agent(9), question(1))
-	first := s.Next(start, there)[0].Round
-	s.Answer(agent(0), first, one(msgs.NotHeld), there)
-	s.Want(agent(9), question(2))
-	results := s.Answer(agent(1), first, one(msgs.NotHeld), there)
+	present := agents(2)
+	s.Add(agent(9), question(1))
+	first := s.Next(start, present)[0].Round
+	s.Answer(agent(0), first, one(msgs.NotHeld), present)
+	s.Add(agent(9), question(2))
+	results := s.Answer(agent(1), first, one(msgs.NotHeld), present)
 	assert.Equal(t, len(results), 1)
 	assert.Equal(t, results[0].Flow, question(1).Flow)
-	asks := s.Next(start.Add(time.Second), there)
-	assert.Assert(t, asks[0].Round != first)
-	assert.DeepEqual(t, asks[0].Questions, []msgs.Question{question(2)})
-	assert.Equal(t, len(asks[0].To), 2)
+	queries := s.Next(start.Add(time.Second), present)
+	assert.Assert(t, queries[0].Round != first)
+	assert.DeepEqual(t, queries[0].Questions, []msgs.Question{question(2)})
+	assert.Equal(t, len(queries[0].To), 2)
 }
 
-// An instance is gone for good and its agent owes an answer. The round ends as soon as the platform says that it is gone.
-func TestAgentThatIsGoneOwesNoAnswer(t *testing.T) {
+// An instance is removed while its agent's answer is awaited. The round ends as soon as the platform no longer lists it.
+func TestRemovedAgentIsNotAwaited(t *testing.T) {
 	s := New(0)
-	s.Want(agent(9), question(1))
+	s.Add(agent(9), question(1))
 	round := s.Next(start, agents(2))[0].Round
 	s.Answer(agent(0), round, one(msgs.NotHeld), agents(2))
-	results, unheard := s.Expire(start.Add(time.Second), agents(1))
+	results, incomplete := s.Expire(start.Add(time.Second), agents(1))
 	assert.Equal(t, len(results), 1)
-	assert.Equal(t, len(unheard), 0)
+	assert.Equal(t, len(incomplete), 0)
 }
 
-// One agent never answers. What another one may hold is known meanwhile, and its server can be tried; nothing is said to be nobody's.
-func TestSilentAgentLeavesARoundWithoutResult(t *testing.T) {
+// One agent never answers. Partial results name flows that another agent may hold, so that its server can be probed. No flow
+// is reported to have no owner.
+func TestUnresponsiveAgentLeavesARoundIncomplete(t *testing.T) {
 	s := New(0)
-	there := agents(2)
-	s.Want(agent(9), question(1))
-	s.Want(agent(9), question(2))
-	round := s.Next(start, there)[0].Round
-	s.Answer(agent(0), round, []msgs.Verdict{msgs.Unsure, msgs.NotHeld}, there)
-	sofar := s.SoFar(round)
-	assert.Equal(t, len(sofar), 1)
-	assert.Assert(t, sofar[0].Partial && sofar[0].Flow == question(1).Flow)
-	results, unheard := s.Expire(start.Add(giveUp+time.Millisecond), there)
+	present := agents(2)
+	s.Add(agent(9), question(1))
+	s.Add(agent(9), question(2))
+	round := s.Next(start, present)[0].Round
+	s.Answer(agent(0), round, []msgs.Verdict{msgs.Unsure, msgs.NotHeld}, present)
+	partial := s.PartialResults(round)
+	assert.Equal(t, len(partial), 1)
+	assert.Assert(t, partial[0].Partial && partial[0].Flow == question(1).Flow)
+	results, incomplete := s.Expire(start.Add(roundTimeout+time.Millisecond), present)
 	assert.Equal(t, len(results), 0)
-	assert.Equal(t, len(unheard), 1)
-	assert.DeepEqual(t, unheard[0].Silent, []netip.Addr{agent(1)}, compareAddr)
-	assert.Equal(t, len(s.wanted), 0)
+	assert.Equal(t, len(incomplete), 1)
+	assert.DeepEqual(t, incomplete[0].Unresponsive, []netip.Addr{agent(1)}, compareAddr)
+	assert.Equal(t, len(s.requesters), 0)
 }
 
-// An agent repeats an answer, answers another round than it was asked in, or with too few verdicts.
-func TestForeignAnswersCountForNothing(t *testing.T) {
+// An agent repeats an answer, names an unknown round, sends too few verdicts, or was not queried at all.
+func TestUnexpectedAnswersAreIgnored(t *testing.T) {
 	s := New(0)
-	there := agents(2)
-	s.Want(agent(9), question(1))
-	round := s.Next(start, there)[0].Round
+	present := agents(2)
+	s.Add(agent(9), question(1))
+	round := s.Next(start, present)[0].Round
 	for range 2 {
-		assert.Equal(t, len(s.Answer(agent(0), round, one(msgs.NotHeld), there)), 0)
+		assert.Equal(t, len(s.Answer(agent(0), round, one(msgs.NotHeld), present)), 0)
 	}
-	assert.Equal(t, len(s.Answer(agent(1), round+1, one(msgs.NotHeld), there)), 0)
-	assert.Equal(t, len(s.Answer(agent(1), round, nil, there)), 0)
-	assert.Equal(t, len(s.Answer(agent(7), round, one(msgs.NotHeld), there)), 0)
-	assert.Equal(t, len(s.Answer(agent(1), round, one(msgs.NotHeld), there)), 1)
+	assert.Equal(t, len(s.Answer(agent(1), round+1, one(msgs.NotHeld), present)), 0)
+	assert.Equal(t, len(s.Answer(agent(1), round, nil, present)), 0)
+	assert.Equal(t, len(s.Answer(agent(7), round, one(msgs.NotHeld), present)), 0)
+	assert.Equal(t, len(s.Answer(agent(1), round, one(msgs.NotHeld), present)), 1)
 }
 
-// A hundred flows come within 50 ms in a fleet of a hundred agents: they share a few rounds.
-func TestRoundsAreSpacedByWhatTheyCost(t *testing.T) {
+// A hundred flows are queued within 50 ms in a fleet of a hundred agents. They have to share a few rounds.
+func TestRoundsAreSpacedByTheirCost(t *testing.T) {
 	s := New(0)
-	there := agents(100)
+	present := agents(100)
 	asked := 0
 	for i := range 100 {
-		s.Want(agent(9), question(i))
-		for _, a := range s.Next(start.Add(time.Duration(i)*500*time.Microsecond), there) {
+		s.Add(agent(9), question(i))
+		for _, a := range s.Next(start.Add(time.Duration(i)*500*time.Microsecond), present) {
 			if a.Repeats == 0 {
 				asked += len(a.To)
 			}
@@ -159,21 +159,22 @@
 	assert.Assert(t, asked <= 400, "%d questions", asked)
 }
 
-// model is a fleet in which flows are opened, servers restart, agents join and leave, and messages are lost, repeated and late.
+// model is a fleet in which flows are opened, servers restart, agents join and leave, and messages are lost, duplicated and
+// delayed.
 type model struct {
-	now   time.Time
-	seek  *Rounds
-	there []netip.Addr // agents
-	known []netip.Addr // those that the lead knows of
-	next  int
-	holds map[segs.Flow]netip.Addr // flow -> agent beside the server that holds it
-	wire  []any                    // Ask to one agent, or answer
-	flows int
+	now     time.Time
+	seek    *Rounds
+	present []netip.Addr // agents
+	known   []netip.Addr // agents that the lead knows of
+	next    int
+	holds   map[segs.Flow]netip.Addr // flow -> agent beside the server that holds it
+	wire    []any                    // questionTo or answerFrom
+	flows   int
 }
 
 type questionTo struct {
-	to  netip.Addr
-	ask Ask
+	to    netip.Addr
+	query Query
 }
 
 type answerFrom struct {
@@ -182,18 +183,18 @@
 	verdicts []msgs.Verdict
 }
 
-// Whatever happens to messages and agents, a flow that somebody holds is never said to be nobody's. An agent answers from what its server holds
-// when the question comes, as a complete one does, or says that it is unsure. The lead learns later that one has joined; until then nothing is
-// asked of that one, so what it holds doesn't count.
-func TestFlowThatIsHeldIsNeverNobodys(t *testing.T) {
+// Whatever happens to messages and agents, a flow that a server holds is never reported to have no owner. An agent answers
+// from the flows that its server holds when the question arrives, or answers that it is unsure. The lead learns later that an
+// agent has joined; it does not query the agent until then, so the flows that this agent holds do not count.
+func TestHeldFlowIsNeverReportedUnheld(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		m := &model{now: start, seek: New(0), there: agents(3), known: agents(3), next: 3, holds: map[segs.Flow]netip.Addr{}}
+		m := &model{now: start, seek: New(0), present: agents(3), known: agents(3), next: 3, holds: map[segs.Flow]netip.Addr{}}
 		r.Repeat(map[string]func(*rapid.T){
 			"open":    m.open,
 			"want":    m.want,
 			"restart": m.restart,
-			"join":    func(*rapid.T) { m.there = append(m.there, agent(m.next)); m.next++ },
-			"learn":   func(*rapid.T) { m.known = slices.Clone(m.there) },
+			"join":    func(*rapid.T) { m.present = append(m.present, agent(m.next)); m.next++ },
+			"learn":   func(*rapid.T) { m.known = slices.Clone(m.present) },
 			"leave":   m.leave,
 			"tick":    m.tick,
 			"deliver": m.deliver,
@@ -207,21 +208,21 @@
 		r.Skip("enough flows")
 	}
 	m.flows++
-	m.holds[question(m.flows).Flow] = rapid.SampledFrom(m.there).Draw(r, "owner")
+	m.holds[question(m.flows).Flow] = rapid.SampledFrom(m.present).Draw(r, "owner")
 }
 
-// want is a packet of an open flow, or of one that is over.
+// want queues a question about an open flow or one that has ended.
 func (m *model) want(r *rapid.T) {
 	if m.flows == 0 {
 		r.Skip("no flow")
 	}
-	m.seek.Want(agent(99), question(rapid.IntRange(1, m.flows).Draw(r, "flow")))
+	m.seek.Add(agent(99), question(rapid.IntRange(1, m.flows).Draw(r, "flow")))
 	m.send()
 }
 
-// restart makes a server lose its flows.
+// restart makes a server lose all its flows.
 func (m *model) restart(r *rapid.T) {
-	lost := rapid.SampledFrom(m.there).Draw(r, "server")
+	lost := rapid.SampledFrom(m.present).Draw(r, "server")
 	for f, a := range m.holds {
 		if a == lost {
 			delete(m.holds, f)
@@ -229,20 +230,20 @@
 	}
 }
 
-// leave takes an agent and its server away.
+// leave removes an agent and its server.
 func (m *model) leave(r *rapid.T) {
-	if len(m.there) == 1 {
+	if len(m.present) == 1 {
 		r.Skip("the last one")
 	}
 	m.restart(r)
-	i := rapid.IntRange(0, len(m.there)-1).Draw(r, "agent")
+	i := rapid.IntRange(0, len(m.present)-1).Draw(r, "agent")
 	for f, a := range m.holds {
-		if a == m.there[i] {
+		if a == m.present[i] {
 			delete(m.holds, f)
 		}
 	}
-	m.there = slices.Delete(slices.Clone(m.there), i, i+1)
-	m.known = slices.DeleteFunc(slices.Clone(m.known), func(a netip.Addr) bool { return !slices.Contains(m.there, a) })
+	m.present = slices.Delete(slices.Clone(m.present), i, i+1)
+	m.known = slices.DeleteFunc(slices.Clone(m.known), func(a netip.Addr) bool { return !slices.Contains(m.present, a) })
 }
 
 func (m *model) tick(r *rapid.T) {
@@ -260,7 +261,7 @@
 	}
 }
 
-// pick takes a message from the network.
+// pick removes a random message from the network.
 func (m *model) pick(r *rapid.T) any {
 	if len(m.wire) == 0 {
 		r.Skip("nothing under way")
@@ -271,7 +272,7 @@
 	return message
 }
 
-// deliver delivers a message, and leaves a copy of it now and then.
+// deliver delivers a random message and sometimes leaves a copy of it in the network.
 func (m *model) deliver(r *rapid.T) {
 	message := m.pick(r)
 	if rapid.IntRange(0, 9).Draw(r, "copy") == 0 {
@@ -279,7 +280,7 @@
 	}
 	switch x := message.(type) {
 	case questionTo:
-		if slices.Contains(m.there, x.to) {
+		if slices.Contains(m.present, x.to) {
 			m.wire = append(m.wire, m.answer(r, x))
 		}
 	case answerFrom:
@@ -289,8 +290,8 @@
 
 func (m *model) answer(r *rapid.T, x questionTo) answerFrom {
 	unsure := rapid.Bool().Draw(r, "unsure")
-	a := answerFrom{from: x.to, round: x.ask.Round}
-	for _, q := range x.ask.Questions {
+	a := answerFrom{from: x.to, round: x.query.Round}
+	for _, q := range x.query.Questions {
 		switch {
 		case m.holds[q.Flow] == x.to && !unsure:
 			a.verdicts = append(a.verdicts, msgs.Held)
@@ -307,7 +308,7 @@
 	for _, x := range results {
 		holder, held := m.holds[x.Flow]
 		if held && slices.Contains(m.known, holder) && !x.Owner.IsValid() && !slices.Contains(x.Unsure, holder) {
-			r.Fatalf("%v is held by %v and said to be nobody's", x.Flow, holder)
+			r.Fatalf("flow %v is held by %v but reported to have no owner", x.Flow, holder)
 		}
 	}
 }
--- a/internal/node/local/lead.go
+++ b/internal/node/local/lead.go
@@ -15,7 +15,7 @@
 
 // want takes a home's question.
 func (a *Agent) want(now time.Time, home netip.Addr, q msgs.Question) {
-	if !a.rounds.Want(home, q) {
+	if !a.rounds.Add(home, q) {
 		dropped("searches")
 		return
 	}
@@ -36,12 +36,12 @@
 		if ask.Repeats == 0 {
 			rounds.Inc()
 		}
-		if ask.Repeats >= seek.Slow {
+		if ask.Repeats >= seek.SlowRepeats {
 			a.doubtAll(now, ask.To)
 		}
-		if ask.Repeats == seek.Slow {
+		if ask.Repeats == seek.SlowRepeats {
 			a.sayUnheard(ask)
-			a.tellHomes(now, a.rounds.SoFar(ask.Round))
+			a.tellHomes(now, a.rounds.PartialResults(ask.Round))
 		}
 		if slices.Contains(ask.To, a.Self) {
 			a.found(now, a.Self, msgs.Found{Round: ask.Round, Verdicts: a.verdicts(now, ask.Questions)})
@@ -50,7 +50,7 @@
 }
 
 // sayUnheard writes why searches take long: some agents have missed a repeated question too.
-func (a *Agent) sayUnheard(ask seek.Ask) {
+func (a *Agent) sayUnheard(ask seek.Query) {
 	for _, q := range ask.Questions {
 		a.Events.Flow(event.Failure, "unheard", q.Flow).Int("agents", len(ask.To)).Stringer("agent", ask.To[0]).
 			Stringer("revision", a.Log.Revision()).Send()
@@ -99,7 +99,7 @@
 		if len(m.Unsure) > msgs.MaxUnsure {
 			m.Unsure, m.All = nil, true
 		}
-		for _, home := range r.Homes {
+		for _, home := range r.Requesters {
 			if home == a.Self {
 				a.sought(now, m)
 				continue
@@ -117,7 +117,7 @@
 	a.tellHomes(now, results)
 	for _, u := range unheard {
 		for _, f := range u.Flows {
-			a.Events.Flow(event.Failure, "unfound", f).Str("why", "no answer").Int("agents", len(u.Silent)).Send()
+			a.Events.Flow(event.Failure, "unfound", f).Str("why", "no answer").Int("agents", len(u.Unresponsive)).Send()
 		}
 	}
 	a.askAll(now)
