--- a/internal/flow/msgs/msgs.go
+++ b/internal/flow/msgs/msgs.go
@@ -1,14 +1,18 @@
-// Package msgs encodes the datagrams that entries and agents send each other about
-// opaque flows.
+// Package msgs encodes and decodes the datagrams that entries and agents exchange about opaque flows.
 //
-// A datagram may be lost, late or doubled; no message needs another one to have come. Each carries
-// the newest revision its sender knows, so that whoever is behind learns it from
-// the traffic itself. The package decides nothing and knows no socket.
+// A datagram may be lost, delayed or duplicated, so no message depends on the arrival of another one. Each message
+// carries the newest revision that its sender knows, so that a receiver with an older one learns of it from the
+// traffic itself. The package makes no decisions and uses no sockets.
 //
 // # Usage
 //
-//	b = msgs.Carry{Head: head, Origin: self, Packet: packet}.AppendTo(b[:0])
-//	switch m := msgs.Decode(datagram).(type) { ... }
+//	b = (&msgs.Forward{Header: header, Origin: self, Packet: packet}).AppendTo(b[:0])
+//
+//	h, rest, err := msgs.ReadHeader(datagram)
+//	switch h.Kind {
+//	case msgs.KindForward:
+//		err = msgs.Handle(h, rest, msgs.ReadForward, forward)
+//	}
 package msgs
 
 import (
@@ -25,106 +29,106 @@
 
 // The kinds.
 const (
-	KindCarry    Kind = iota + 1 // a caller's packet on its way to an agent
-	KindOpened                   // agent to entry: the server accepted the flow
-	KindRefused                  // agent to entry: the server didn't take this opening packet
-	KindOwner                    // agent to entry: send the flow's packets to me
-	KindRegister                 // agent to home: I own these flows
-	KindFind                     // lead to agents: do you hold these flows?
-	KindFound                    // the answer to it
-	KindBeacon                   // to any: how much I know
-	KindNews                     // to any: what changed
-	KindOffer                    // agent to agent: do you have more room for this flow?
-	KindAsk                      // to any: are you alive, or is that other one?
-	KindAlive                    // the answer to it
-	KindSeek                     // home to lead: who holds this flow?
-	KindSought                   // the answer to it
-	KindTried                    // the answer to a Carry that was a probe
-	KindLost                     // entry to home, between home and lead: these agents answer nobody
+	KindForward      Kind = iota + 1 // entry or agent to agent: a caller's packet
+	KindOpened                       // agent to entry: the server has accepted the flow
+	KindRefused                      // agent to entry: the agent or its server has not accepted this opening packet
+	KindOwner                        // agent to entry: the sender owns the flow, or no agent does
+	KindRegister                     // agent to home: the sender owns these flows
+	KindQuery                        // lead to agents: asks whether their servers hold these flows
+	KindQueryAnswer                  // agent to lead: answers KindQuery
+	KindBeacon                       // any process to any: how current the sender's configuration is
+	KindUpdate                       // any process to any: a change of the configuration or the servers
+	KindOffer                        // agent to agent: an opening packet for a less busy server
+	KindPing                         // any process to any: asks whether it, or a third process, is alive
+	KindPingAck                      // answers KindPing
+	KindLookup                       // home to lead: asks which agent holds the flow
+	KindLookupResult                 // lead to home: answers KindLookup
+	KindProbeResult                  // agent to the sender of a KindForward that was a probe: answers it
+	KindFailed                       // entry to home, and between home and lead: these agents have failed
 )
 
-// Kinds is more than any kind, for tables by kind; 0 is none.
-const Kinds = int(KindLost) + 1
+// NumKinds is the size of tables that are indexed by kind. No kind is 0.
+const NumKinds = int(KindFailed) + 1
 
-// kinds are the names of kinds in counters.
-var kinds = [...]string{
-	KindCarry: "carry", KindOpened: "opened", KindRefused: "refused", KindOwner: "owner", KindRegister: "register", KindFind: "find",
-	KindFound: "found", KindBeacon: "beacon", KindNews: "news", KindOffer: "offer", KindAsk: "ask", KindAlive: "alive",
-	KindSeek: "seek", KindSought: "sought", KindTried: "tried", KindLost: "lost",
+// kindNames holds the names of kinds in metrics.
+var kindNames = [...]string{
+	KindForward: "carry", KindOpened: "opened", KindRefused: "refused", KindOwner: "owner", KindRegister: "register", KindQuery: "find",
+	KindQueryAnswer: "found", KindBeacon: "beacon", KindUpdate: "news", KindOffer: "offer", KindPing: "ask", KindPingAck: "alive",
+	KindLookup: "seek", KindLookupResult: "sought", KindProbeResult: "tried", KindFailed: "lost",
 }
 
-// String returns the kind's name.
+// String returns the kind's name in metrics.
 func (k Kind) String() string {
-	if int(k) < len(kinds) && kinds[k] != "" {
-		return kinds[k]
+	if int(k) < len(kindNames) && kindNames[k] != "" {
+		return kindNames[k]
 	}
 	return "other"
 }
 
-// CarriesPacket says whether messages of the kind are a caller's packet and little else. All others are control.
+// CarriesPacket reports whether messages of the kind consist mainly of a caller's packet. All others are control messages.
 func (k Kind) CarriesPacket() bool {
 	switch k {
-	case KindCarry, KindOffer, KindRefused:
+	case KindForward, KindOffer, KindRefused:
 		return true
 	default:
 		return false
 	}
 }
 
-// KindOf returns the kind of an encoded message, or 0.
+// KindOf returns the kind of an encoded message, or 0 if the message is too short.
 func KindOf(message []byte) Kind {
-	if len(message) < headSize {
+	if len(message) < headerSize {
 		return 0
 	}
 	return Kind(message[1])
 }
 
 const (
-	magic    = 0xd7 // first byte of every message
-	headSize = 14
+	magic      = 0xd7 // first byte of every message
+	headerSize = 14
 )
 
-// Errors of Decode.
+// Errors of the Read functions.
 var (
-	ErrForeign = errors.New("not a message of ours")
-	ErrShort   = errors.New("message cut short")
+	ErrForeign = errors.New("datagram is not a mangowinch message")
+	ErrShort   = errors.New("message truncated")
 )
 
-// Head is what every message begins with.
-type Head struct {
+// Header is the common start of all messages.
+type Header struct {
 	Kind     Kind
-	Revision order.Revision // the newest that the sender knows completely
-	Service  uint32         // hash of the service's name the message is about, or 0
+	Revision order.Revision // newest revision up to which the sender knows all changes
+	Service  uint32         // hash of the name of the service that the message is about, or 0
 }
 
-func (h Head) appendTo(b []byte, k Kind) []byte {
+func (h Header) appendTo(b []byte, k Kind) []byte {
 	b = append(b, magic, byte(k))
 	b = binary.LittleEndian.AppendUint64(b, uint64(h.Revision))
 	return binary.LittleEndian.AppendUint32(b, h.Service)
 }
 
-// ReadHead reads the head of a datagram and returns what follows it.
-func ReadHead(b []byte) (h Head, rest []byte, err error) {
-	if len(b) < headSize || b[0] != magic {
-		return Head{}, nil, ErrForeign
+// ReadHeader reads the header of a datagram and returns the rest of the datagram.
+func ReadHeader(b []byte) (h Header, rest []byte, err error) {
+	if len(b) < headerSize || b[0] != magic {
+		return Header{}, nil, ErrForeign
 	}
-	h = Head{Kind: Kind(b[1]), Revision: order.Revision(binary.LittleEndian.Uint64(b[2:])), Service: binary.LittleEndian.Uint32(b[10:])}
-	return h, b[headSize:], nil
+	h = Header{Kind: Kind(b[1]), Revision: order.Revision(binary.LittleEndian.Uint64(b[2:])), Service: binary.LittleEndian.Uint32(b[10:])}
+	return h, b[headerSize:], nil
 }
 
-// Load is how busy an agent's server is.
+// Load describes how busy an agent's server is.
 type Load struct {
-	Busy  uint16 // requests under way: sent by callers and not answered yet
+	Busy  uint16 // requests in progress: sent by callers and not answered yet
 	Flows uint16 // open flows
 }
 
-// Take reads the rest of a message and hands it to take.
-func Take[M any](h Head, rest []byte, read func(Head, []byte) (M, error), take func(M)) error {
+// Handle reads the rest of a message with read and passes the message to handle.
+func Handle[M any](h Header, rest []byte, read func(Header, []byte) (M, error), handle func(M)) error {
 	m, err := read(h, rest)
 	if err != nil {
 		return err
 	}
-	take(m)
+	handle(m)
 	return nil
 }
 
--- a/internal/flow/msgs/search.go
+++ b/internal/flow/msgs/search.go
@@ -7,7 +7,7 @@
 	"mangowinch/internal/flow/segs"
 )
 
-// Question asks about one flow; Ack is what the caller acknowledged last.
+// Question asks about one flow. Ack is the caller's last acknowledgement.
 type Question struct {
 	Flow segs.Flow
 	Ack  uint32
@@ -23,154 +23,155 @@
 	return Question{Flow: segs.FlowFrom(b), Ack: binary.LittleEndian.Uint32(b[segs.Size:])}
 }
 
-// Seek asks a lead (package homes) which agent holds a flow.
-type Seek struct {
-	Head
+// Lookup asks a lead (package homes) which agent's server holds a flow.
+type Lookup struct {
+	Header
 	Question Question
 }
 
 // AppendTo appends the encoded message.
-func (m *Seek) AppendTo(b []byte) []byte { return m.Question.appendTo(m.appendTo(b, KindSeek)) }
+func (m *Lookup) AppendTo(b []byte) []byte { return m.Question.appendTo(m.appendTo(b, KindLookup)) }
 
-// ReadSeek reads the rest of a message.
-func ReadSeek(h Head, b []byte) (m Seek, err error) {
+// ReadLookup decodes a message from the bytes after its header.
+func ReadLookup(h Header, b []byte) (m Lookup, err error) {
 	if len(b) < questionSize {
-		return Seek{}, ErrShort
+		return Lookup{}, ErrShort
 	}
-	return Seek{Head: h, Question: questionFrom(b)}, nil
+	return Lookup{Header: h, Question: questionFrom(b)}, nil
 }
 
-// Sought answers Seek. Owner holds the flow; if it isn't valid, those in Unsure may, and if there are none either, nobody does.
-type Sought struct {
-	Head
-	Flow    segs.Flow
-	Owner   netip.Addr
-	All     bool // any agent may hold it: too many to name them in Unsure
-	Partial bool // some agents haven't answered yet
-	Unsure  []netip.Addr
+// LookupResult answers a Lookup. Owner holds the flow. If Owner is not valid, any agent in Unsure may hold it; if Unsure
+// is empty too, no agent holds it.
+type LookupResult struct {
+	Header
+	Flow      segs.Flow
+	Owner     netip.Addr
+	AllUnsure bool // any agent may hold it; too many to list in Unsure
+	Partial   bool // some agents have not answered yet
+	Unsure    []netip.Addr
 }
 
-// MaxUnsure is how many agents fit into Sought, in a datagram of 1,200 bytes.
-const MaxUnsure = (1200 - headSize - soughtSize) / addrSize
+// MaxUnsure is the number of agents that fit into a LookupResult of 1,200 bytes.
+const MaxUnsure = (1200 - headerSize - lookupResultSize) / addrSize
 
 const (
-	addrSize   = 4
-	soughtSize = segs.Size + addrSize + 1
+	addrSize         = 4
+	lookupResultSize = segs.Size + addrSize + 1
 )
 
 // AppendTo appends the encoded message.
-func (m *Sought) AppendTo(b []byte) []byte {
-	b = m.Flow.AppendTo(m.appendTo(b, KindSought))
-	b = append(appendAddr(b, m.Owner), flag(m.All)|flag(m.Partial)<<1)
+func (m *LookupResult) AppendTo(b []byte) []byte {
+	b = m.Flow.AppendTo(m.appendTo(b, KindLookupResult))
+	b = append(appendAddr(b, m.Owner), flag(m.AllUnsure)|flag(m.Partial)<<1)
 	for _, a := range m.Unsure {
 		b = appendAddr(b, a)
 	}
 	return b
 }
 
-// ReadSought reads the rest of a message.
-func ReadSought(h Head, b []byte) (m Sought, err error) {
-	if len(b) < soughtSize || (len(b)-soughtSize)%addrSize != 0 {
-		return Sought{}, ErrShort
+// ReadLookupResult decodes a message from the bytes after its header.
+func ReadLookupResult(h Header, b []byte) (m LookupResult, err error) {
+	if len(b) < lookupResultSize || (len(b)-lookupResultSize)%addrSize != 0 {
+		return LookupResult{}, ErrShort
 	}
-	flags := b[soughtSize-1]
-	m = Sought{Head: h, Flow: segs.FlowFrom(b), All: flags&1 != 0, Partial: flags&2 != 0}
+	flags := b[lookupResultSize-1]
+	m = LookupResult{Header: h, Flow: segs.FlowFrom(b), AllUnsure: flags&1 != 0, Partial: flags&2 != 0}
 	if owner := addrFrom(b[segs.Size:]); !owner.IsUnspecified() {
 		m.Owner = owner
 	}
-	for b = b[soughtSize:]; len(b) > 0; b = b[addrSize:] {
+	for b = b[lookupResultSize:]; len(b) > 0; b = b[addrSize:] {
 		m.Unsure = append(m.Unsure, addrFrom(b))
 	}
 	return m, nil
 }
 
-// Find asks whether the receiver's server holds some flows. Round names the question.
-type Find struct {
-	Head
+// Query asks whether the receiver's server holds some flows. Round identifies the query.
+type Query struct {
+	Header
 	Round     uint32
 	Questions []Question
 }
 
-// MaxQuestions is how many questions fit into one datagram of 1,200 bytes.
-const MaxQuestions = (1200 - headSize - roundSize) / questionSize
+// MaxQuestions is the number of questions that fit into a datagram of 1,200 bytes.
+const MaxQuestions = (1200 - headerSize - roundSize) / questionSize
 
 const roundSize = 4
 
 // AppendTo appends the encoded message.
-func (m *Find) AppendTo(b []byte) []byte {
-	b = binary.LittleEndian.AppendUint32(m.appendTo(b, KindFind), m.Round)
+func (m *Query) AppendTo(b []byte) []byte {
+	b = binary.LittleEndian.AppendUint32(m.appendTo(b, KindQuery), m.Round)
 	for _, q := range m.Questions {
 		b = q.appendTo(b)
 	}
 	return b
 }
 
-// ReadFind reads the rest of a message.
-func ReadFind(h Head, b []byte) (m Find, err error) {
+// ReadQuery decodes a message from the bytes after its header.
+func ReadQuery(h Header, b []byte) (m Query, err error) {
 	if len(b) < roundSize || (len(b)-roundSize)%questionSize != 0 {
-		return Find{}, ErrShort
+		return Query{}, ErrShort
 	}
-	m = Find{Head: h, Round: binary.LittleEndian.Uint32(b)}
+	m = Query{Header: h, Round: binary.LittleEndian.Uint32(b)}
 	for b = b[roundSize:]; len(b) > 0; b = b[questionSize:] {
 		m.Questions = append(m.Questions, questionFrom(b))
 	}
 	return m, nil
 }
 
-// Verdict is what an agent knows of a flow that it was asked for.
+// Verdict is an agent's answer to a Question.
 type Verdict uint8
 
-// The verdicts. Unsure means that the agent hasn't seen all of its server's flows.
+// The verdicts. Unsure means that the agent does not know all of its server's flows.
 const (
 	Held Verdict = iota + 1
 	NotHeld
 	Unsure
 )
 
-// Found answers Find: a verdict for each question, in their order.
-type Found struct {
-	Head
+// QueryAnswer answers a Query with a verdict for each question, in their order.
+type QueryAnswer struct {
+	Header
 	Round    uint32
 	Verdicts []Verdict
 }
 
 // AppendTo appends the encoded message.
-func (m *Found) AppendTo(b []byte) []byte {
-	b = binary.LittleEndian.AppendUint32(m.appendTo(b, KindFound), m.Round)
+func (m *QueryAnswer) AppendTo(b []byte) []byte {
+	b = binary.LittleEndian.AppendUint32(m.appendTo(b, KindQueryAnswer), m.Round)
 	for _, v := range m.Verdicts {
 		b = append(b, byte(v))
 	}
 	return b
 }
 
-// ReadFound reads the rest of a message.
-func ReadFound(h Head, b []byte) (m Found, err error) {
+// ReadQueryAnswer decodes a message from the bytes after its header.
+func ReadQueryAnswer(h Header, b []byte) (m QueryAnswer, err error) {
 	if len(b) < roundSize {
-		return Found{}, ErrShort
+		return QueryAnswer{}, ErrShort
 	}
-	m = Found{Head: h, Round: binary.LittleEndian.Uint32(b)}
+	m = QueryAnswer{Header: h, Round: binary.LittleEndian.Uint32(b)}
 	for _, v := range b[roundSize:] {
 		m.Verdicts = append(m.Verdicts, Verdict(v))
 	}
 	return m, nil
 }
 
-// Tried answers a Carry that was a probe: whether the receiver's server holds the flow.
-type Tried struct {
-	Head
+// ProbeResult answers a Forward that was a probe: it tells whether the probed server holds the flow.
+type ProbeResult struct {
+	Header
 	Flow segs.Flow
 	Held bool
 }
 
 // AppendTo appends the encoded message.
-func (m *Tried) AppendTo(b []byte) []byte {
-	return append(m.Flow.AppendTo(m.appendTo(b, KindTried)), flag(m.Held))
+func (m *ProbeResult) AppendTo(b []byte) []byte {
+	return append(m.Flow.AppendTo(m.appendTo(b, KindProbeResult)), flag(m.Held))
 }
 
-// ReadTried reads the rest of a message.
-func ReadTried(h Head, b []byte) (m Tried, err error) {
+// ReadProbeResult decodes a message from the bytes after its header.
+func ReadProbeResult(h Header, b []byte) (m ProbeResult, err error) {
 	if len(b) < segs.Size+1 {
-		return Tried{}, ErrShort
+		return ProbeResult{}, ErrShort
 	}
-	return Tried{Head: h, Flow: segs.FlowFrom(b), Held: b[segs.Size] != 0}, nil
+	return ProbeResult{Header: h, Flow: segs.FlowFrom(b), Held: b[segs.Size] != 0}, nil
 }
--- a/internal/flow/owner/agent.go
+++ b/internal/flow/owner/agent.go
@@ -216,7 +216,7 @@
 
 // Register records that an agent owns a flow. If two servers accepted the flow, both are kept: the copies of
 // an opening packet reach more than two servers only once in a thousand flows.
-func (h *Home) Register(now time.Time, agent netip.Addr, p msgs.Place) {
+func (h *Home) Register(now time.Time, agent netip.Addr, p msgs.Location) {
 	prev, known := h.flows[p.Flow]
 	if !known && len(h.flows) >= h.limit {
 		return // a lookup at all agents finds the flow
--- a/internal/flow/owner/owner_test.go
+++ b/internal/flow/owner/owner_test.go
@@ -53,8 +53,8 @@
 
 func TestHomeKnowsBothServersThatAccepted(t *testing.T) {
 	h := NewHome(10)
-	h.Register(now, one, msgs.Place{Flow: flow, Seq: 5000})
-	h.Register(now, two, msgs.Place{Flow: flow, Seq: 900_000})
+	h.Register(now, one, msgs.Location{Flow: flow, Seq: 5000})
+	h.Register(now, two, msgs.Location{Flow: flow, Seq: 900_000})
 	got, ok := h.Owner(flow, 5001)
 	assert.Assert(t, ok)
 	assert.Equal(t, got, one)
--- a/internal/load/share/share.go
+++ b/internal/load/share/share.go
@@ -56,7 +56,7 @@
 	if final || own.Work < full {
 		return Choice{Agent: own.Agent}
 	}
-	visited = append(visited, msgs.Visit{Agent: own.Agent, Work: own.Work})
+	visited = append(visited, msgs.Visit{Agent: own.Agent, Utilization: own.Work})
 	if len(visited) < mostVisits {
 		if agent, ok := another(visited, others, len(visited) < nearVisits, random); ok {
 			return Choice{Agent: agent, Visited: visited}
@@ -64,7 +64,7 @@
 	}
 	best := visited[0]
 	for _, v := range visited[1:] {
-		if v.Work < best.Work {
+		if v.Utilization < best.Utilization {
 			best = v
 		}
 	}
--- a/internal/node/doubt/doubt_test.go
+++ b/internal/node/doubt/doubt_test.go
@@ -50,7 +50,7 @@
 func TestWordThatIsPassedOnGrowsOld(t *testing.T) {
 	one, agents := newWatch()
 	two, _ := newWatch()
-	one.Told(now, []msgs.Silent{{Agent: addr(1), Age: 400}})
+	one.Told(now, []msgs.FailedAgent{{Agent: addr(1), Age: 400}})
 	assert.Assert(t, one.Lost(addr(1)))
 	at := now
 	for range 40 {
@@ -68,9 +68,9 @@
 // Guards against an agent that is back and is taken for lost by an older word.
 func TestAgentThatWasHeardIsNotLostByAnOlderWord(t *testing.T) {
 	w, _ := newWatch()
-	w.Told(now, []msgs.Silent{{Agent: addr(1)}})
+	w.Told(now, []msgs.FailedAgent{{Agent: addr(1)}})
 	assert.Assert(t, w.Heard(now.Add(tick), addr(1)), "it was lost")
-	w.Told(now.Add(2*tick), []msgs.Silent{{Agent: addr(1), Age: 200}})
+	w.Told(now.Add(2*tick), []msgs.FailedAgent{{Agent: addr(1), Age: 200}})
 	assert.Assert(t, !w.Lost(addr(1)))
 	w.DoubtUnheard(now.Add(2*tick), addr(1))
 	assert.Assert(t, !w.InDoubt(addr(1)), "it was heard just now")
--- a/internal/node/edge/edge.go
+++ b/internal/node/edge/edge.go
@@ -233,7 +233,7 @@
 	asked.Inc()
 	e.Events.Flow(event.Ordinary, "asked", s.Flow).Stringer("home", home).Stringer("revision", v.Revision).Send()
 	e.tellLost(now, v, home)
-	e.send(v, home, msgs.Carry{AsHome: lost, Packet: datagram})
+	e.send(v, home, msgs.Forward{AsHome: lost, Packet: datagram})
 }
 
 // noteAsked remembers that a home was asked about a flow. If the caller repeats the packet, the home is in doubt: it may be lost, and
@@ -277,10 +277,10 @@
 
 // carry sends a caller's packet to an agent.
 func (e *Entry) carry(v *belief.View, agent netip.Addr, datagram []byte) {
-	e.send(v, agent, msgs.Carry{Packet: datagram})
+	e.send(v, agent, msgs.Forward{Packet: datagram})
 }
 
-func (e *Entry) send(v *belief.View, agent netip.Addr, m msgs.Carry) {
+func (e *Entry) send(v *belief.View, agent netip.Addr, m msgs.Forward) {
 	m.Origin, m.Domain = e.Self, belief.DomainHash(e.Domain)
 	m.Revision = v.Revision
 	if server, ok := v.Server(agent); ok {
--- a/internal/node/edge/lost.go
+++ b/internal/node/edge/lost.go
@@ -62,7 +62,7 @@
 	if len(list) == 0 {
 		return
 	}
-	m := msgs.Lost{Head: msgs.Head{Revision: v.Revision}, Agents: list}
+	m := msgs.Failed{Header: msgs.Header{Revision: v.Revision}, Agents: list}
 	e.buf = m.AppendTo(e.buf[:0])
 	e.Wire.ToPeer(home, e.buf)
 }
--- a/internal/node/edge/place.go
+++ b/internal/node/edge/place.go
@@ -70,7 +70,7 @@
 	}
 	e.Events.Flow(class, "placed", s.Flow).Stringer("agent", agent).Int("try", p.Attempts).
 		Int64("version", v.Version()).Stringer("revision", v.Revision).Send()
-	e.send(v, agent, msgs.Carry{Insist: p.Returned, Packet: datagram})
+	e.send(v, agent, msgs.Forward{LastResort: p.Returned, Packet: datagram})
 }
 
 // unplaceable ends the search for a server for a new flow. While an agent may still answer, the
--- a/internal/node/local/caller.go
+++ b/internal/node/local/caller.go
@@ -14,7 +14,7 @@
 )
 
 // carried takes a caller's packet that an entry or another agent sent.
-func (a *Agent) carried(now time.Time, from netip.Addr, m msgs.Carry) {
+func (a *Agent) carried(now time.Time, from netip.Addr, m msgs.Forward) {
 	s, err := a.Codec.Decode(m.Packet, segs.CallerEnd)
 	if err != nil || s.Has(segs.Returned) {
 		dropped("malformed")
@@ -48,8 +48,8 @@
 }
 
 // open takes an opening packet that an entry has placed here.
-func (a *Agent) open(now time.Time, m msgs.Carry, s *segs.Segment) {
-	a.offered(now, msgs.Offer{Head: m.Head, Origin: m.Origin, Insist: m.Insist, Packet: m.Packet}, s)
+func (a *Agent) open(now time.Time, m msgs.Forward, s *segs.Segment) {
+	a.offered(now, msgs.Offer{Header: m.Header, Origin: m.Origin, LastResort: m.LastResort, Packet: m.Packet}, s)
 }
 
 // offered gives an opening packet to the server, to a less busy one, or back to the entry.
@@ -90,7 +90,7 @@
 		w.Priority, w.Target = r.Priority, r.Target
 	}
 	if last := a.waiting.Add(now, w, a.waitingLimit(now)); last != nil {
-		a.handBackWaiting(now, last, msgs.WhyBusy)
+		a.handBackWaiting(now, last, msgs.ReasonBusy)
 		if last == w {
 			return
 		}
@@ -131,7 +131,7 @@
 		}
 		o := a.flows.Add(now, w.Flow)
 		if o == nil {
-			a.handBackWaiting(now, w, msgs.WhyTable)
+			a.handBackWaiting(now, w, msgs.ReasonTable)
 			continue
 		}
 		o.Origin = w.Origin
@@ -144,13 +144,13 @@
 }
 
 // returnWaiting hands all waiting flows back to their entries.
-func (a *Agent) returnWaiting(now time.Time, why msgs.Why) {
+func (a *Agent) returnWaiting(now time.Time, why msgs.Reason) {
 	for _, w := range a.waiting.Clear() {
 		a.handBackWaiting(now, w, why)
 	}
 }
 
-func (a *Agent) handBackWaiting(now time.Time, w *hold.Waiting, why msgs.Why) {
+func (a *Agent) handBackWaiting(now time.Time, w *hold.Waiting, why msgs.Reason) {
 	s := segs.Segment{Flow: w.Flow}
 	a.handBack(now, w.Origin, &s, w.Packet, why)
 }
@@ -193,33 +193,33 @@
 	a.Wire.ToPeer(next.Agent, a.buf)
 	offers.Inc()
 	a.Events.Flow(event.Ordinary, "offered", s.Flow).Stringer("agent", next.Agent).Bool("final", next.Final).
-		Int("visited", len(next.Visited)).Uint16("work", next.Visited[len(next.Visited)-1].Work).Stringer("revision", m.Revision).Send()
+		Int("visited", len(next.Visited)).Uint16("work", next.Visited[len(next.Visited)-1].Utilization).Stringer("revision", m.Revision).Send()
 }
 
 // closed says why no new flow may go to the server, or 0.
-func (a *Agent) closed(now time.Time, m msgs.Offer, s *segs.Segment) msgs.Why {
+func (a *Agent) closed(now time.Time, m msgs.Offer, s *segs.Segment) msgs.Reason {
 	v := a.Log.View()
 	switch {
 	case m.Service != 0 && m.Service != a.hash:
 		// The address was another service's server's until a moment ago, and the entry
 		// doesn't know yet. Without the check its flow would run on a foreign service.
-		return msgs.WhyService
+		return msgs.ReasonService
 	case v.Evacuated(a.Domain):
-		return msgs.WhyEvacuated
+		return msgs.ReasonEvacuated
 	case a.leaving:
-		return msgs.WhyLeaving
+		return msgs.ReasonLeaving
 	case now.Sub(a.down) < downFor:
-		return msgs.WhyDown
+		return msgs.ReasonDown
 	case a.mute(now):
-		return msgs.WhyMute
-	case !m.Insist && (!a.breaker.Allows(now) || !a.quick.Allows(now)):
-		return msgs.WhyFails
+		return msgs.ReasonUnresponsive
+	case !m.LastResort && (!a.breaker.Allows(now) || !a.quick.Allows(now)):
+		return msgs.ReasonFailing
 	case v.Revision > m.Revision && v.Config != nil && !v.Allows(s.Flow.Called(), a.Service):
 		// The entry is behind, or was frozen and has just woken up with an old route.
-		return msgs.WhyRoute
+		return msgs.ReasonRoute
 	}
 	if self, ok := a.self(v); ok && self.State == belief.Draining {
-		return msgs.WhyDraining
+		return msgs.ReasonDraining
 	}
 	return 0
 }
@@ -246,8 +246,8 @@
 }
 
 // handBack returns an opening packet that no server has taken to the entry.
-func (a *Agent) handBack(now time.Time, origin netip.Addr, s *segs.Segment, packet []byte, why msgs.Why) {
-	m := msgs.Refused{Head: a.head(), Why: why, Load: a.flows.Load(now), Packet: packet}
+func (a *Agent) handBack(now time.Time, origin netip.Addr, s *segs.Segment, packet []byte, why msgs.Reason) {
+	m := msgs.Refused{Header: a.head(), Reason: why, Load: a.flows.Load(now), Packet: packet}
 	a.buf = m.AppendTo(a.buf[:0])
 	a.Wire.ToPeer(origin, a.buf)
 	handedBack(why.String())
@@ -257,13 +257,13 @@
 
 // passOn sends on a packet of a flow that the own server doesn't hold: to the owner if this
 // agent is the flow's home, to the home otherwise.
-func (a *Agent) passOn(now time.Time, m msgs.Carry, s *segs.Segment) {
+func (a *Agent) passOn(now time.Time, m msgs.Forward, s *segs.Segment) {
 	if m.Hops >= mostHops {
 		dropped("hops")
 		a.Events.Flow(event.Failure, "circled", s.Flow).Uint8("hops", m.Hops).Stringer("revision", a.Log.Revision()).Send()
 		return
 	}
-	if m.Named {
+	if m.ToOwner {
 		// The home remembers this agent from before its restart, or the server has let the flow
 		// go. Sent back to the home, the packet would come again, and be dropped in the end.
 		a.searchFor(now, m, s)
@@ -275,7 +275,7 @@
 			return
 		}
 		a.keepPassed(now, owner, m, s)
-		m.Named = true
+		m.ToOwner = true
 		a.forward(owner, m)
 		return
 	}
@@ -287,10 +287,10 @@
 	a.forward(home, m)
 }
 
-func (a *Agent) forward(to netip.Addr, m msgs.Carry) {
+func (a *Agent) forward(to netip.Addr, m msgs.Forward) {
 	m.Hops++
 	m.AsHome = false
-	m.Head = a.head()
+	m.Header = a.head()
 	m.Service = 0
 	a.buf = m.AppendTo(a.buf[:0])
 	a.Wire.ToPeer(to, a.buf)
@@ -299,7 +299,7 @@
 
 // tellOwner tells an entry where a flow is.
 func (a *Agent) tellOwner(entry netip.Addr, m msgs.Owner) {
-	m.Head = a.head()
+	m.Header = a.head()
 	a.buf = m.AppendTo(a.buf[:0])
 	a.Wire.ToPeer(entry, a.buf)
 }
--- a/internal/node/local/lead.go
+++ b/internal/node/local/lead.go
@@ -25,7 +25,7 @@
 // askAll sends the questions that are due.
 func (a *Agent) askAll(now time.Time) {
 	for _, ask := range a.rounds.Next(now, a.present()) {
-		find := msgs.Find{Head: a.head(), Round: ask.Round, Questions: ask.Questions}
+		find := msgs.Query{Header: a.head(), Round: ask.Round, Questions: ask.Questions}
 		a.buf = find.AppendTo(a.buf[:0])
 		for _, to := range ask.To {
 			if to != a.Self {
@@ -44,7 +44,7 @@
 			a.tellHomes(now, a.rounds.PartialResults(ask.Round))
 		}
 		if slices.Contains(ask.To, a.Self) {
-			a.found(now, a.Self, msgs.Found{Round: ask.Round, Verdicts: a.verdicts(now, ask.Questions)})
+			a.found(now, a.Self, msgs.QueryAnswer{Round: ask.Round, Verdicts: a.verdicts(now, ask.Questions)})
 		}
 	}
 }
@@ -81,23 +81,23 @@
 func (a *Agent) complete(now time.Time) bool { return a.server.whole || now.Sub(a.Started) > a.Life }
 
 // find answers a lead.
-func (a *Agent) find(now time.Time, from netip.Addr, m msgs.Find) {
-	answer := msgs.Found{Head: a.head(), Round: m.Round, Verdicts: a.verdicts(now, m.Questions)}
+func (a *Agent) find(now time.Time, from netip.Addr, m msgs.Query) {
+	answer := msgs.QueryAnswer{Header: a.head(), Round: m.Round, Verdicts: a.verdicts(now, m.Questions)}
 	a.buf = answer.AppendTo(a.buf[:0])
 	a.Wire.ToPeer(from, a.buf)
 }
 
 // found takes an agent's answer in.
-func (a *Agent) found(now time.Time, from netip.Addr, m msgs.Found) {
+func (a *Agent) found(now time.Time, from netip.Addr, m msgs.QueryAnswer) {
 	a.tellHomes(now, a.rounds.Answer(from, m.Round, m.Verdicts, a.present()))
 }
 
 // tellHomes tells homes what rounds have shown.
 func (a *Agent) tellHomes(now time.Time, results []seek.Result) {
 	for _, r := range results {
-		m := msgs.Sought{Head: a.head(), Flow: r.Flow, Owner: r.Owner, Unsure: r.Unsure, Partial: r.Partial}
+		m := msgs.LookupResult{Header: a.head(), Flow: r.Flow, Owner: r.Owner, Unsure: r.Unsure, Partial: r.Partial}
 		if len(m.Unsure) > msgs.MaxUnsure {
-			m.Unsure, m.All = nil, true
+			m.Unsure, m.AllUnsure = nil, true
 		}
 		for _, home := range r.Requesters {
 			if home == a.Self {
--- a/internal/node/local/local.go
+++ b/internal/node/local/local.go
@@ -165,7 +165,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.leaving = true
-	a.returnWaiting(now, msgs.WhyLeaving)
+	a.returnWaiting(now, msgs.ReasonLeaving)
 }
 
 // downFor is how long the server counts as down after its address was found closed, if nothing
@@ -217,7 +217,7 @@
 	} else if a.server.first == 0 {
 		a.server.first = v.Revision
 	}
-	moved := map[netip.Addr][]msgs.Place{}
+	moved := map[netip.Addr][]msgs.Location{}
 	for f, o := range a.flows.All {
 		if !o.Accepted {
 			continue
@@ -227,7 +227,7 @@
 			continue
 		}
 		o.Home = home
-		moved[home] = append(moved[home], msgs.Place{Flow: f, Seq: o.Seq})
+		moved[home] = append(moved[home], msgs.Location{Flow: f, Seq: o.Seq})
 	}
 	for home, places := range moved {
 		a.register(now, home, places)
@@ -264,7 +264,7 @@
 }
 
 // register tells a home which flows the agent owns.
-func (a *Agent) register(now time.Time, home netip.Addr, places []msgs.Place) {
+func (a *Agent) register(now time.Time, home netip.Addr, places []msgs.Location) {
 	if home == a.Self {
 		for _, p := range places {
 			a.home.Register(now, a.Self, p)
@@ -272,8 +272,8 @@
 		return
 	}
 	for len(places) > 0 {
-		n := min(len(places), msgs.MaxPlaces)
-		m := msgs.Register{Head: a.head(), Places: places[:n]}
+		n := min(len(places), msgs.MaxLocations)
+		m := msgs.Register{Header: a.head(), Locations: places[:n]}
 		a.buf = m.AppendTo(a.buf[:0])
 		a.Wire.ToPeer(home, a.buf)
 		registered.Add(n)
@@ -288,11 +288,11 @@
 		return
 	}
 	o.Home = home
-	a.register(now, home, []msgs.Place{{Flow: f, Seq: o.Seq}})
+	a.register(now, home, []msgs.Location{{Flow: f, Seq: o.Seq}})
 }
 
-func (a *Agent) head() msgs.Head {
-	return msgs.Head{Revision: a.Log.Revision(), Service: a.hash}
+func (a *Agent) head() msgs.Header {
+	return msgs.Header{Revision: a.Log.Revision(), Service: a.hash}
 }
 
 // self returns the platform's entry for the own server.
--- a/internal/node/local/lost.go
+++ b/internal/node/local/lost.go
@@ -45,13 +45,13 @@
 // passing is a packet that a home has passed on to a flow's owner.
 type passing struct {
 	owner  netip.Addr
-	carry  msgs.Carry
+	carry  msgs.Forward
 	packet []byte
 	at     time.Time
 }
 
 // keepPassed keeps a packet that goes to an owner which hasn't been heard lately, and puts the owner in doubt.
-func (a *Agent) keepPassed(now time.Time, owner netip.Addr, m msgs.Carry, s *segs.Segment) {
+func (a *Agent) keepPassed(now time.Time, owner netip.Addr, m msgs.Forward, s *segs.Segment) {
 	if a.Off.Lost || a.Ctrl.Leaving(owner) {
 		return
 	}
@@ -85,7 +85,7 @@
 	if len(list) == 0 {
 		return
 	}
-	m := msgs.Lost{Head: a.head(), Agents: list}
+	m := msgs.Failed{Header: a.head(), Agents: list}
 	a.buf = m.AppendTo(a.buf[:0])
 	a.Wire.ToPeer(to, a.buf)
 }
--- a/internal/node/local/server.go
+++ b/internal/node/local/server.go
@@ -47,7 +47,7 @@
 		learned.Inc()
 		if p, tried := a.probes[s.Flow]; tried {
 			delete(a.probes, s.Flow)
-			a.tellTried(now, p.home, msgs.Tried{Flow: s.Flow, Held: true})
+			a.tellTried(now, p.home, msgs.ProbeResult{Flow: s.Flow, Held: true})
 		}
 		a.Events.Flow(event.Ordinary, "learned", s.Flow).Stringer("revision", a.Log.Revision()).Send()
 	}
@@ -85,7 +85,7 @@
 	if !o.Origin.IsValid() {
 		return
 	}
-	m := msgs.Opened{Head: a.head(), Flow: s.Flow, Seq: o.Seq, Load: a.flows.Load(now)}
+	m := msgs.Opened{Header: a.head(), Flow: s.Flow, Seq: o.Seq, Load: a.flows.Load(now)}
 	a.buf = m.AppendTo(a.buf[:0])
 	a.Wire.ToPeer(o.Origin, a.buf)
 	a.Events.Flow(event.Ordinary, "opened", s.Flow).Stringer("entry", o.Origin).Uint16("busy", m.Load.Busy).
@@ -100,7 +100,7 @@
 	case s.Opening():
 		if o != nil && !o.Accepted {
 			a.flows.Delete(s.Flow)
-			a.handBack(now, o.Origin, s, datagram, msgs.WhyServer)
+			a.handBack(now, o.Origin, s, datagram, msgs.ReasonServer)
 		}
 	case a.probed(now, s):
 	case o != nil && o.Closed():
@@ -108,7 +108,7 @@
 	case o != nil && !o.Established:
 		// The server accepted the flow and so did another one, which the caller chose.
 		a.flows.Delete(s.Flow)
-		a.passOn(now, msgs.Carry{Origin: o.Origin, Packet: datagram}, s)
+		a.passOn(now, msgs.Forward{Origin: o.Origin, Packet: datagram}, s)
 	case o != nil:
 		// The server held the flow and doesn't any more: it was started anew, or has
 		// let go of an old flow. Nobody else can hold it, so the caller waits for nothing.
@@ -124,7 +124,7 @@
 	a.home.Delete(s.Flow, a.Self)
 	a.reset(now, s, why)
 	if o.Origin.IsValid() {
-		a.tellOwner(o.Origin, msgs.Owner{Flow: s.Flow, Gone: true})
+		a.tellOwner(o.Origin, msgs.Owner{Flow: s.Flow, NoOwner: true})
 	}
 }
 
--- a/internal/node/vouch/vouch.go
+++ b/internal/node/vouch/vouch.go
@@ -41,7 +41,7 @@
 
 // Ask asks a process whether it is alive, directly and by way of helpers. Its answer names the round.
 func (n *Node) Ask(target netip.Addr, helpers []netip.Addr, round uint32) {
-	m := msgs.Ask{Target: target, Origin: n.self, Round: round}
+	m := msgs.Ping{Target: target, Origin: n.self, Round: round}
 	message := m.AppendTo(nil)
 	n.send(target, message)
 	for _, h := range helpers {
@@ -50,10 +50,10 @@
 }
 
 // Asked takes a question: it is answered, or handed on to the one whom it is about.
-func (n *Node) Asked(from netip.Addr, m msgs.Ask) {
+func (n *Node) Asked(from netip.Addr, m msgs.Ping) {
 	switch {
 	case m.Target == n.self:
-		answer := msgs.Alive{Target: n.self, Origin: m.Origin, Round: m.Round}
+		answer := msgs.PingAck{Target: n.self, Origin: m.Origin, Round: m.Round}
 		n.send(from, answer.AppendTo(nil))
 	case !m.Relayed:
 		m.Relayed = true
@@ -62,7 +62,7 @@
 }
 
 // Alive takes an answer: it is for this process, or handed on to who wants to know.
-func (n *Node) Alive(now time.Time, m msgs.Alive) {
+func (n *Node) Alive(now time.Time, m msgs.PingAck) {
 	if m.Origin != n.self {
 		n.send(m.Origin, m.AppendTo(nil))
 		return
