--- a/internal/flow/homes/homes.go
+++ b/internal/flow/homes/homes.go
@@ -1,13 +1,12 @@
-// Package homes says which agent keeps the place of a flow.
+// Package homes determines the home of a flow: the agent that keeps the flow's location record.
 //
-// Any entry may get any packet, and entries remember only what they have seen. So for each
-// flow one agent is its home: the owner (the agent beside the server that holds the flow) registers
-// there, and an entry that doesn't know the flow sends its packet there. The home follows
-// from the flow and the list of agents alone (rendezvous hashing: Thaler and
-// Ravishankar, 1998), so nobody has to be told, and when an agent comes or goes only the flows
-// of that agent get another home.
+// Any packet may reach any entry, and an entry only knows flows whose packets it has received. The owner of a flow (the
+// agent beside the server that holds it) therefore registers the flow at its home, and an entry that does not know a flow
+// sends its packets to the home. The home follows from the flow and the list of agents alone, by rendezvous hashing
+// (Thaler and Ravishankar, 1998). No process has to be notified of it, and when an agent is added or removed, only
+// the flows of that agent change their home.
 //
-// The package knows nothing of what a home remembers (package owner).
+// The package does not store location records (package owner does).
 //
 // # Usage
 //
@@ -22,30 +21,30 @@
 	"mangowinch/internal/flow/segs"
 )
 
-// List is a set of agents. It is immutable.
+// List is an immutable set of agents.
 type List struct {
 	agents []netip.Addr
-	seeds  []uint64
+	hashes []uint64
 }
 
-// New returns the list of the given agents; order and repeats don't matter.
+// New returns the list of the given agents. Their order does not matter, and duplicates are removed.
 func New(agents []netip.Addr) *List {
 	l := &List{agents: slices.Clone(agents)}
 	slices.SortFunc(l.agents, netip.Addr.Compare)
 	l.agents = slices.Compact(l.agents)
 	for _, a := range l.agents {
-		l.seeds = append(l.seeds, seed(a))
+		l.hashes = append(l.hashes, hash(a))
 	}
 	return l
 }
 
-// seed is an agent's number.
-func seed(a netip.Addr) uint64 {
+// hash returns the hash of an agent's IPv4 address.
+func hash(a netip.Addr) uint64 {
 	b := a.As4()
 	return mix(uint64(b[0])<<24 | uint64(b[1])<<16 | uint64(b[2])<<8 | uint64(b[3]))
 }
 
-// mix spreads the bits of x (the finalizer of MurmurHash3, by Appleby).
+// mix hashes x with the finalizer of MurmurHash3 (Appleby).
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -54,41 +53,43 @@
 	return x ^ x>>33
 }
 
-// Agents returns all agents, sorted. The caller doesn't change it.
+// Agents returns all agents, sorted. The caller must not modify the slice.
 func (l *List) Agents() []netip.Addr { return l.agents }
 
-// Of returns the home of a flow; ok is false if there is no agent.
+// Of returns the home of a flow. ok is false if the list is empty.
 func (l *List) Of(f segs.Flow) (home netip.Addr, ok bool) {
 	return l.Except(f, func(netip.Addr) bool { return false })
 }
 
 const (
-	// alone is up to how many agents each home leads its own searches: a round then costs little, and a lead would be
-	// one more process that may be away.
-	alone = 32
-	// ofLead is how many homes share a lead. More share more rounds; fewer spread the work.
-	ofLead = 256
+	// maxSelfLed is the largest number of agents with which each home is its own lead. A lookup round costs little
+	// then, and a separate lead would be another process that may be unavailable.
+	maxSelfLed = 32
+	// homesPerLead is the number of homes that share a lead. With more homes per lead, more lookups share a round; with
+	// fewer, the work is spread over more agents.
+	homesPerLead = 256
 )
 
-// Lead returns the agent that looks for flows on behalf of a home, or with a higher rank the one that does so if those
-// before it don't answer. All homes of a small fleet are their own leads; ok is false if there is no agent.
+// Lead returns the agent that looks up the owners of flows on behalf of a home (package seek). Rank 0 is the first choice;
+// the agent of a higher rank replaces those of lower ranks if they do not answer. In a small fleet each home is its own
+// lead. ok is false if the list is empty.
 func (l *List) Lead(home netip.Addr, rank int) (lead netip.Addr, ok bool) {
-	if len(l.agents) <= alone {
+	if len(l.agents) <= maxSelfLed {
 		return home, len(l.agents) > 0
 	}
-	groups := uint64((len(l.agents) + ofLead - 1) / ofLead)
-	group := mix(^(seed(home) % groups))
-	order := make([]uint64, len(l.agents))
-	for i, s := range l.seeds {
-		order[i] = mix(group ^ s)
+	groups := uint64((len(l.agents) + homesPerLead - 1) / homesPerLead)
+	group := mix(^(hash(home) % groups))
+	weights := make([]uint64, len(l.agents))
+	for i, s := range l.hashes {
+		weights[i] = mix(group ^ s)
 	}
-	for range min(rank, len(order)-1) {
-		order[largest(order)] = 0
+	for range min(rank, len(weights)-1) {
+		weights[indexOfMax(weights)] = 0
 	}
-	return l.agents[largest(order)], true
+	return l.agents[indexOfMax(weights)], true
 }
 
-func largest(list []uint64) (at int) {
+func indexOfMax(list []uint64) (at int) {
 	for i, w := range list {
 		if w > list[at] {
 			at = i
@@ -97,12 +98,12 @@
 	return at
 }
 
-// Except returns the home that a flow would have without some agents.
-func (l *List) Except(f segs.Flow, left func(netip.Addr) bool) (home netip.Addr, ok bool) {
+// Except returns the home that a flow would have without the excluded agents.
+func (l *List) Except(f segs.Flow, excluded func(netip.Addr) bool) (home netip.Addr, ok bool) {
 	h := f.Hash()
 	best := uint64(0)
 	for i, a := range l.agents {
-		if w := mix(h ^ l.seeds[i]); (!ok || w > best) && !left(a) {
+		if w := mix(h ^ l.hashes[i]); (!ok || w > best) && !excluded(a) {
 			home, best, ok = a, w, true
 		}
 	}
--- a/internal/flow/homes/homes_test.go
+++ b/internal/flow/homes/homes_test.go
@@ -20,8 +20,8 @@
 	return segs.Flow{Caller: [4]byte{100, 64, byte(n >> 8), byte(n)}, CallerPort: 1025, Service: [4]byte{198, 18, 0, 1}, Port: 443}
 }
 
-// When an agent goes, only its flows get another home; otherwise all owners would register all flows anew.
-func TestOnlyTheFlowsOfAnAgentThatGoesMove(t *testing.T) {
+// When an agent is removed, only its flows may change their home. Otherwise all owners would register their flows again.
+func TestOnlyFlowsOfARemovedAgentMove(t *testing.T) {
 	all := agents(20)
 	before, after := New(all), New(all[1:])
 	moved := 0
@@ -39,15 +39,15 @@
 	assert.Assert(t, moved > 60 && moved < 140, moved)
 }
 
-func TestNobodyIsHomeOfNothing(t *testing.T) {
+func TestEmptyListHasNoHome(t *testing.T) {
 	_, ok := New(nil).Of(flow(1))
 	assert.Assert(t, !ok)
 }
 
-// Homes of a small fleet lead their own searches. Those of a large one share a few leads, so that questions share rounds, and each
-// has others to turn to when its lead doesn't answer.
+// In a small fleet each home is its own lead. In a large one homes share a few leads, so that lookups share rounds, and each
+// home has replacements for a lead that does not answer.
 func TestHomesOfALargeFleetShareLeads(t *testing.T) {
-	small := New(agents(alone))
+	small := New(agents(maxSelfLed))
 	for _, home := range small.Agents() {
 		for rank := range 3 {
 			lead, ok := small.Lead(home, rank)
@@ -55,7 +55,7 @@
 		}
 	}
 
-	large := New(agents(2 * ofLead))
+	large := New(agents(2 * homesPerLead))
 	first := map[netip.Addr]int{}
 	for _, home := range large.Agents() {
 		ranks := map[netip.Addr]bool{}
@@ -64,7 +64,7 @@
 			assert.Assert(t, ok)
 			ranks[lead] = true
 		}
-		assert.Equal(t, len(ranks), 3, "each rank is another agent")
+		assert.Equal(t, len(ranks), 3, "each rank must be a different agent")
 		lead, _ := large.Lead(home, 0)
 		first[lead]++
 	}
