--- a/internal/flow/order/order_test.go
+++ b/internal/flow/order/order_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against a change of a later era that is taken for an old one because its number is lower.
+// A change of a later era must not count as older because its number is lower.
 func TestLaterEraIsLater(t *testing.T) {
 	assert.Assert(t, At(2, 16) > At(1, 19))
 	assert.Assert(t, At(2, 0) > At(1, MaxNumber))
@@ -30,7 +30,7 @@
 	})
 }
 
-func TestEraThatIsNoNumberIsAnError(t *testing.T) {
+func TestParseEra(t *testing.T) {
 	for text, want := range map[string]uint16{"": 0, "0": 0, "7": 7, "65535": 65535} {
 		era, err := ParseEra(text)
 		assert.NilError(t, err)
