--- a/internal/flow/msgs/owner.go
+++ b/internal/flow/msgs/owner.go
@@ -14,7 +14,7 @@
 	Load Load
 }
 
-const openedSize = segs.Size + 8
+const openedSize = segs.FlowSize + 8
 
 // AppendTo appends the encoded message.
 func (m *Opened) AppendTo(b []byte) []byte {
@@ -29,7 +29,7 @@
 	if len(b) < openedSize {
 		return Opened{}, ErrShort
 	}
-	return Opened{Header: h, Flow: segs.FlowFrom(b), Seq: binary.LittleEndian.Uint32(b[segs.Size:]), Load: loadFrom(b[segs.Size+4:])}, nil
+	return Opened{Header: h, Flow: segs.FlowFrom(b), Seq: binary.LittleEndian.Uint32(b[segs.FlowSize:]), Load: loadFrom(b[segs.FlowSize+4:])}, nil
 }
 
 // Owner notifies an entry that the sender owns a flow or, with NoOwner, that no agent does. With Open, the server holds
@@ -50,10 +50,10 @@
 
 // ReadOwner decodes a message from the bytes after its header.
 func ReadOwner(h Header, b []byte) (m Owner, err error) {
-	if len(b) < segs.Size+1 {
+	if len(b) < segs.FlowSize+1 {
 		return Owner{}, ErrShort
 	}
-	return Owner{Header: h, Flow: segs.FlowFrom(b), NoOwner: b[segs.Size]&1 != 0, Open: b[segs.Size]&2 != 0}, nil
+	return Owner{Header: h, Flow: segs.FlowFrom(b), NoOwner: b[segs.FlowSize]&1 != 0, Open: b[segs.FlowSize]&2 != 0}, nil
 }
 
 // Location is a flow's location record: the flow and the first sequence number of the server that holds it.
@@ -65,7 +65,7 @@
 // MaxLocations is the number of locations that fit into a datagram of 1,200 bytes, which passes any link unfragmented.
 const MaxLocations = (1200 - headerSize) / locationSize
 
-const locationSize = segs.Size + 4
+const locationSize = segs.FlowSize + 4
 
 // Register notifies homes which flows the sender owns.
 type Register struct {
@@ -90,7 +90,7 @@
 	}
 	m = Register{Header: h}
 	for ; len(b) > 0; b = b[locationSize:] {
-		m.Locations = append(m.Locations, Location{Flow: segs.FlowFrom(b), Seq: binary.LittleEndian.Uint32(b[segs.Size:])})
+		m.Locations = append(m.Locations, Location{Flow: segs.FlowFrom(b), Seq: binary.LittleEndian.Uint32(b[segs.FlowSize:])})
 	}
 	return m, nil
 }
--- a/internal/flow/msgs/search.go
+++ b/internal/flow/msgs/search.go
@@ -13,14 +13,14 @@
 	Ack  uint32
 }
 
-const questionSize = segs.Size + 4
+const questionSize = segs.FlowSize + 4
 
 func (q Question) appendTo(b []byte) []byte {
 	return binary.LittleEndian.AppendUint32(q.Flow.AppendTo(b), q.Ack)
 }
 
 func questionFrom(b []byte) Question {
-	return Question{Flow: segs.FlowFrom(b), Ack: binary.LittleEndian.Uint32(b[segs.Size:])}
+	return Question{Flow: segs.FlowFrom(b), Ack: binary.LittleEndian.Uint32(b[segs.FlowSize:])}
 }
 
 // Lookup asks a lead (package homes) which agent's server holds a flow.
@@ -56,7 +56,7 @@
 
 const (
 	addrSize         = 4
-	lookupResultSize = segs.Size + addrSize + 1
+	lookupResultSize = segs.FlowSize + addrSize + 1
 )
 
 // AppendTo appends the encoded message.
@@ -76,7 +76,7 @@
 	}
 	flags := b[lookupResultSize-1]
 	m = LookupResult{Header: h, Flow: segs.FlowFrom(b), AllUnsure: flags&1 != 0, Partial: flags&2 != 0}
-	if owner := addrFrom(b[segs.Size:]); !owner.IsUnspecified() {
+	if owner := addrFrom(b[segs.FlowSize:]); !owner.IsUnspecified() {
 		m.Owner = owner
 	}
 	for b = b[lookupResultSize:]; len(b) > 0; b = b[addrSize:] {
@@ -170,8 +170,8 @@
 
 // ReadProbeResult decodes a message from the bytes after its header.
 func ReadProbeResult(h Header, b []byte) (m ProbeResult, err error) {
-	if len(b) < segs.Size+1 {
+	if len(b) < segs.FlowSize+1 {
 		return ProbeResult{}, ErrShort
 	}
-	return ProbeResult{Header: h, Flow: segs.FlowFrom(b), Held: b[segs.Size] != 0}, nil
+	return ProbeResult{Header: h, Flow: segs.FlowFrom(b), Held: b[segs.FlowSize] != 0}, nil
 }
--- a/internal/flow/owner/agent.go
+++ b/internal/flow/owner/agent.go
@@ -33,7 +33,7 @@
 func (o *Flow) Busy() bool { return !o.PendingSince.IsZero() }
 
 // Fits reports whether a caller's packet with the acknowledgement ack belongs to the server's flow.
-func (o *Flow) Fits(ack uint32) bool { return o.Accepted && (o.Open || segs.Begins(ack, o.Seq)) }
+func (o *Flow) Fits(ack uint32) bool { return o.Accepted && (o.Open || segs.IsFirstAck(ack, o.Seq)) }
 
 // Idle reports whether the flow is open at both ends and has no request in progress.
 func (o *Flow) Idle() bool {
--- a/internal/flow/owner/entry.go
+++ b/internal/flow/owner/entry.go
@@ -51,7 +51,7 @@
 func (p *EntryFlow) Observe(s *segs.Segment) bool {
 	p.Ack = s.Ack
 	for _, c := range p.Candidates {
-		if !p.Owner.IsValid() && c.Accepted && segs.Begins(s.Ack, c.Seq) {
+		if !p.Owner.IsValid() && c.Accepted && segs.IsFirstAck(s.Ack, c.Seq) {
 			p.Owner = c.Agent
 		}
 	}
--- a/internal/flow/segs/segs.go
+++ b/internal/flow/segs/segs.go
@@ -1,10 +1,9 @@
-// Package segs describes the packets of opaque flows: flows whose bytes only the two
-// ends read, so that the balancer sees addresses, flags and sequence numbers alone.
+// Package segs describes the packets of opaque flows. Only the two ends read the contents of such flows; the
+// balancer sees addresses, flags and sequence numbers alone.
 //
-// It exists so that whatever decides about such flows (packages owner, steer, edge,
-// local) is written against one type and no wire format. The codec that turns
-// datagrams into segments is handed in by whoever knows the format; this package
-// has none and does no input or output.
+// The packages that make decisions about opaque flows (owner, steer, edge, local) depend on the types of this package
+// and not on a wire format. The Codec that translates between datagrams and segments is provided by the package that
+// implements the format. This package contains none and does no input or output.
 //
 // # Usage
 //
@@ -25,8 +24,8 @@
 // Flags are the flags of a segment.
 type Flags uint8
 
-// The flags. Returned marks a packet that a backend server handed back because it
-// doesn't hold the flow or can't take it.
+// The flags. Returned marks a packet that a backend server returned because it does not hold the flow or cannot
+// accept it.
 const (
 	Syn Flags = 1 << iota
 	Ack
@@ -35,8 +34,8 @@
 	Returned
 )
 
-// Flow names one flow: the caller's end, then the address it called. All processes
-// print it in the same way, so that one search over all logs gives a flow's way.
+// Flow identifies a flow by the caller's address and the service address that it called. All processes print it in the
+// same way, so that a single search over all logs shows a flow's path.
 type Flow struct {
 	Caller     [4]byte
 	Service    [4]byte
@@ -56,7 +55,7 @@
 	return string(strconv.AppendUint(b, uint64(f.Port), 10))
 }
 
-// ParseFlow reads what String writes.
+// ParseFlow parses the format of Flow.String.
 func ParseFlow(text string) (f Flow, err error) {
 	for i := range text {
 		if text[i] != '>' {
@@ -78,22 +77,22 @@
 	return Flow{}, fmt.Errorf("%q is not CALLER:PORT>ADDRESS:PORT", text)
 }
 
-// Called returns the address that the caller called.
-func (f Flow) Called() netip.AddrPort {
+// ServiceAddr returns the address and port that the caller called.
+func (f Flow) ServiceAddr() netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4(f.Service), f.Port)
 }
 
-// Size is the length in bytes of a flow in messages.
-const Size = 12
+// FlowSize is the length of an encoded flow in bytes.
+const FlowSize = 12
 
-// AppendTo appends the flow's bytes.
+// AppendTo appends the encoded flow.
 func (f Flow) AppendTo(b []byte) []byte {
 	b = append(b, f.Caller[:]...)
 	b = append(b, f.Service[:]...)
 	return append(b, byte(f.CallerPort), byte(f.CallerPort>>8), byte(f.Port), byte(f.Port>>8))
 }
 
-// FlowFrom reads a flow that AppendTo wrote; b holds Size bytes or more.
+// FlowFrom decodes a flow that AppendTo encoded. b holds at least FlowSize bytes.
 func FlowFrom(b []byte) (f Flow) {
 	copy(f.Caller[:], b)
 	copy(f.Service[:], b[4:])
@@ -102,47 +101,45 @@
 	return f
 }
 
-// Hash is the same in every process. It decides which agent keeps the place of the
-// flow and which flows are logged.
+// Hash returns a hash that is the same in every process. It determines the flow's home and which flows are logged.
 func (f Flow) Hash() uint64 {
-	var b [Size]byte
+	var b [FlowSize]byte
 	return xxhash.Sum64(f.AppendTo(b[:0]))
 }
 
-// Segment is one packet. Flow is named from the caller's side in both directions.
+// Segment is one packet. Flow is the same in both directions: the caller's address comes first.
 type Segment struct {
 	Flow       Flow
 	FromServer bool // sent by a backend server; otherwise by a caller
 	Flags      Flags
 	Seq        uint32
-	Ack        uint32 // of an opening packet: how many copies of it were sent before
+	Ack        uint32 // in an opening packet: number of copies sent before it
 	Len        int    // bytes of data
 }
 
-// Opening says whether the segment asks for a new flow.
+// Opening reports whether the segment is an opening packet.
 func (s *Segment) Opening() bool { return s.Flags&(Syn|Ack) == Syn }
 
-// Accepting says whether the segment is a backend server's answer to an opening one.
+// Accepting reports whether the segment is a backend server's positive answer to an opening packet.
 func (s *Segment) Accepting() bool { return s.Flags&(Syn|Ack) == Syn|Ack }
 
-// Has says whether all the flags are set.
+// Has reports whether all the flags f are set.
 func (s *Segment) Has(f Flags) bool { return s.Flags&f == f }
 
-// Distance is how many bytes of a server that began at seq the acknowledgement covers. Servers
-// begin at random numbers, so of two servers that accepted the same flow the caller's is
-// the one with the lesser distance.
+// Distance returns how many bytes of a server whose first sequence number is seq are covered by the acknowledgement ack.
+// Servers start at random sequence numbers, so if two servers accepted the same flow, the one with the lesser distance is
+// the one that the caller acknowledges.
 func Distance(ack, seq uint32) uint32 { return ack - seq - 1 }
 
-// firstData bounds what a server can have sent when the caller's first packet after the
-// handshake is seen: 16 packets in flight of 1,200 bytes. A foreign number fits by chance
-// once in 200,000 flows that two servers accepted.
-const firstData = 16 * 1200
+// maxFirstData bounds the bytes that a server can have sent when the caller's first packet after the handshake arrives:
+// 16 packets in flight of 1,200 bytes. The acknowledgement of another server's data is within this bound by chance for
+// one in 200,000 flows that two servers accepted.
+const maxFirstData = 16 * 1200
 
-// Begins says whether ack can be a caller's first one to a server that began at seq.
-func Begins(ack, seq uint32) bool { return Distance(ack, seq) <= firstData }
+// IsFirstAck reports whether ack can be a caller's first acknowledgement of a server whose first sequence number is seq.
+func IsFirstAck(ack, seq uint32) bool { return Distance(ack, seq) <= maxFirstData }
 
-// End is an end of a flow. Nothing in a packet tells which end wrote it; the socket that it
-// came to does.
+// End is an end of a flow. A packet does not show which end sent it; this follows from the socket that received it.
 type End bool
 
 // The ends.
@@ -151,13 +148,13 @@
 	ServerEnd End = true
 )
 
-// Codec turns datagrams into segments and back.
+// Codec translates between datagrams and segments.
 type Codec interface {
-	// Decode reads a datagram that an end sent. A returned one counts as the caller's. The result
-	// holds no reference to the datagram.
+	// Decode decodes a datagram that an end sent. A returned datagram counts as the caller's. The result holds no
+	// reference to the datagram.
 	Decode(datagram []byte, end End) (Segment, error)
-	// Restore makes a returned datagram what its sender wrote, in place.
+	// Restore converts a returned datagram, in place, to the one that its sender wrote.
 	Restore(datagram []byte)
-	// Reset appends a packet that ends the flow of the caller's segment.
+	// Reset appends a packet that ends the flow to which the caller's segment belongs.
 	Reset(b []byte, caller Segment) []byte
 }
--- a/internal/flow/segs/segs_test.go
+++ b/internal/flow/segs/segs_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestFlowIsPrintedAndReadAlike(t *testing.T) {
+func TestFlowRoundTrip(t *testing.T) {
 	f := Flow{Caller: [4]byte{100, 64, 0, 7}, CallerPort: 40001, Service: [4]byte{198, 18, 0, 1}, Port: 443}
 	assert.Equal(t, f.String(), "100.64.0.7:40001>198.18.0.1:443")
 	got, err := ParseFlow(f.String())
@@ -19,10 +19,10 @@
 	}
 }
 
-// Sequence numbers wrap; a server near the top of the range serves like any other.
-func TestFirstAcknowledgementOfAServer(t *testing.T) {
-	assert.Assert(t, Begins(1, 0))
-	assert.Assert(t, Begins(100, 0xffffffff-50))
-	assert.Assert(t, !Begins(0, 0))
-	assert.Assert(t, !Begins(1<<20, 0))
+// Sequence numbers wrap, so a first sequence number near the top of the range must work like any other.
+func TestIsFirstAck(t *testing.T) {
+	assert.Assert(t, IsFirstAck(1, 0))
+	assert.Assert(t, IsFirstAck(100, 0xffffffff-50))
+	assert.Assert(t, !IsFirstAck(0, 0))
+	assert.Assert(t, !IsFirstAck(1<<20, 0))
 }
--- a/internal/load/bulk/bulk.go
+++ b/internal/load/bulk/bulk.go
@@ -104,7 +104,7 @@
 
 // long says whether a flow is one that may be held up.
 func (g *Gate) long(f segs.Flow) bool {
-	return g.rate > 0 && g.kinds[f.Called()]/g.rate > longFlow.Seconds()
+	return g.rate > 0 && g.kinds[f.ServiceAddr()]/g.rate > longFlow.Seconds()
 }
 
 // room says whether one more flow may be under way.
@@ -132,7 +132,7 @@
 // expected is how long a flow waits for its turn: until those before it have sent what they will, and half of those under way.
 func (g *Gate) expected(f segs.Flow) time.Duration {
 	before := float64(len(g.waiting)) + float64(g.underWay())/2
-	return time.Duration(before * g.kinds[f.Called()] / g.rate * float64(time.Second))
+	return time.Duration(before * g.kinds[f.ServiceAddr()] / g.rate * float64(time.Second))
 }
 
 // Waits says whether a flow waits for its turn.
@@ -175,7 +175,7 @@
 // end forgets a flow and learns what it has sent.
 func (g *Gate) end(f segs.Flow, a *flow) {
 	delete(g.active, f)
-	called := f.Called()
+	called := f.ServiceAddr()
 	size, seen := g.kinds[called]
 	switch {
 	case seen:
--- a/internal/node/edge/bulk.go
+++ b/internal/node/edge/bulk.go
@@ -19,7 +19,7 @@
 	if c.Off.Bulk {
 		rate = 0
 	}
-	return bulk.New(rate, c.Callers.Patience()/2)
+	return bulk.New(rate, c.Callers.OpenWindow()/2)
 }
 
 // mayBegin says whether a new flow may be placed now. Otherwise it waits for its turn, or is refused.
@@ -69,7 +69,7 @@
 		return
 	}
 	v := e.Log.View()
-	route := v.Route(w.Flow.Called())
+	route := v.Route(w.Flow.ServiceAddr())
 	if route == nil {
 		e.unrouted(now, v, &s)
 		return
--- a/internal/node/edge/edge.go
+++ b/internal/node/edge/edge.go
@@ -57,7 +57,7 @@
 	Vouch  doubt.Voucher // its answers come to Entry.Heard
 	Codec  segs.Codec
 	// Callers says how long callers wait for a flow to open.
-	Callers segs.Callers
+	Callers segs.CallerTiming
 	Wire    Wire
 	Events  *event.Log
 	Bound   time.Duration // a change is in force within it
@@ -175,7 +175,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	v := e.Log.View()
-	route := v.Route(s.Flow.Called())
+	route := v.Route(s.Flow.ServiceAddr())
 	if route == nil {
 		e.unrouted(now, v, &s)
 		return
--- a/internal/node/edge/peer.go
+++ b/internal/node/edge/peer.go
@@ -70,7 +70,7 @@
 	}
 	v := e.Log.View()
 	e.noteEvacuated(v, from, &m)
-	route := v.Route(s.Flow.Called())
+	route := v.Route(s.Flow.ServiceAddr())
 	if route == nil {
 		e.unrouted(now, v, &s)
 		return
--- a/internal/node/local/caller.go
+++ b/internal/node/local/caller.go
@@ -86,7 +86,7 @@
 		Began:  now.Add(-a.Callers.Age(s.Ack)),
 		Packet: slices.Clone(m.Packet),
 	}
-	if r := a.Log.View().Route(s.Flow.Called()); r != nil {
+	if r := a.Log.View().Route(s.Flow.ServiceAddr()); r != nil {
 		w.Priority, w.Target = r.Priority, r.Target
 	}
 	if last := a.waiting.Add(now, w, a.waitingLimit(now)); last != nil {
@@ -115,7 +115,7 @@
 	if rate <= 0 || !a.warmth.Cold(now) {
 		return limit
 	}
-	return min(limit, max(1, int(rate*a.Callers.Patience().Seconds())))
+	return min(limit, max(1, int(rate*a.Callers.OpenWindow().Seconds())))
 }
 
 // admit gives the server the flows that it has room for.
@@ -214,7 +214,7 @@
 		return msgs.ReasonUnresponsive
 	case !m.LastResort && (!a.breaker.Allows(now) || !a.quick.Allows(now)):
 		return msgs.ReasonFailing
-	case v.Revision > m.Revision && v.Config != nil && !v.Allows(s.Flow.Called(), a.Service):
+	case v.Revision > m.Revision && v.Config != nil && !v.Allows(s.Flow.ServiceAddr(), a.Service):
 		// The entry is behind, or was frozen and has just woken up with an old route.
 		return msgs.ReasonRoute
 	}
--- a/internal/node/local/fails.go
+++ b/internal/node/local/fails.go
@@ -59,7 +59,7 @@
 // judge notes how long an answer took. A server that answers far too fast fails its requests (package quick), and is given few flows; what
 // is open there goes on, as some of its answers may be good.
 func (a *Agent) judge(now time.Time, f segs.Flow, took time.Duration) {
-	if a.Off.Quick || !a.quick.Answered(now, f.Called(), took) {
+	if a.Off.Quick || !a.quick.Answered(now, f.ServiceAddr(), took) {
 		return
 	}
 	a.Events.State("server-too-fast").Stringer("server", a.Backend).Bool("failing", a.quick.Open()).Dur("took", took).Send()
--- a/internal/node/local/local.go
+++ b/internal/node/local/local.go
@@ -62,7 +62,7 @@
 	Ctrl    Control
 	Vouch   doubt.Voucher // its answers come to Agent.Heard
 	Codec   segs.Codec
-	Callers segs.Callers
+	Callers segs.CallerTiming
 	Wire    Wire
 	Events  *event.Log
 	Bound   time.Duration // a change is in force within it
@@ -129,7 +129,7 @@
 		hash:     belief.Hash(c.Service),
 		flows:    owner.NewAgent(flowLimit, c.Off),
 		home:     owner.NewHome(homeLimit),
-		waiting:  hold.New(c.Callers.Patience()),
+		waiting:  hold.New(c.Callers.OpenWindow()),
 		probes:   map[segs.Flow]probe{},
 		searches: map[segs.Flow]*search{},
 		rounds:   seek.New(rand.Uint32()),
