--- a/internal/flow/table/table.go
+++ b/internal/flow/table/table.go
@@ -1,22 +1,19 @@
-// Package table decides at an agent what becomes of a datagram: keep it, pass it
-// on to another agent of the service, or refuse it.
+// Package table decides, at an agent, what to do with a datagram: keep it, forward it to another agent of the service,
+// or drop it.
 //
-// A flow's first datagrams carry an ID that the caller chose. Two entries with
-// different documents may send them to two agents, and a server that is leaving may
-// get them from an entry that does not know yet. So an agent that does not own
-// the flow and should not take it passes it on (second chance, as in Beamer,
-// NSDI 2018, and GitHub's load balancer). Hops are counted, so that two stale views
-// cannot send a datagram round for ever.
+// A flow's first datagrams carry a connection ID that the caller chose. Two entries with different documents may send them
+// to two agents, and a leaving server may receive them from an entry that does not know yet that it leaves. An agent that
+// does not own the flow and should not take it therefore forwards it (second chance, as in Beamer, NSDI 2018, and
+// GitHub's load balancer). Hops are counted, so that two outdated views cannot forward a datagram in a loop.
 //
-// From the moment the caller uses an ID the agent made, the datagram names its
-// server and this table is not asked. It therefore holds flows for seconds, and
-// losing it costs a caller one retransmission.
+// As soon as the caller uses an ID that the agent made, the datagram names its server and needs no lookup here. The table
+// therefore holds flows for seconds only, and its loss costs a caller one retransmission.
 //
-// The package knows no QUIC and no network; time is handed in.
+// The package depends on neither QUIC nor the network. The current time is a parameter.
 //
 // # Usage
 //
-//	t := table.New(own, limit)
+//	t := table.New(self, limit, maxHops)
 //	d := t.Decide(now, table.Datagram{Key: key, Candidates: c, Hops: hops}, accepting)
 package table
 
@@ -27,155 +24,152 @@
 
 // The verdicts.
 const (
-	Keep Verdict = iota // hand it to QUIC here
-	Pass                // send it to Decision.Server
-	Drop                // count it under Decision.Reason
+	Keep    Verdict = iota // pass it to this agent's QUIC
+	Forward                // forward it to Decision.Server
+	Drop                   // drop it for Decision.Reason
 )
 
-// Reason says why a datagram was dropped.
+// Reason is the reason why a datagram was dropped.
 type Reason string
 
 // The reasons.
 const (
-	Hops  Reason = "hops"  // names a server and was passed on too often all the same
-	Owner Reason = "owner" // names a server that the document does not have
+	TooManyHops   Reason = "hops"  // names a server, but was forwarded too often
+	UnknownServer Reason = "owner" // there is no server in the document to forward to
 )
 
-// Stage says what the sender already found out.
+// Stage is what the sender has already found out about the flow's owner.
 type Stage uint8
 
 // The stages.
 const (
-	Fresh Stage = iota // from an entry
-	Ask                // the sender thinks that this agent may own the flow
-	Take               // the agents asked do not own it
+	Fresh   Stage = iota // nothing: the datagram comes from an entry or names its server
+	IfOwner              // this agent may own the flow: keep the datagram only if it does
+	NoOwner              // no agent that was asked owns the flow
 )
 
-// remember is how long an opened flow is kept in mind: QUIC gives a handshake
-// 10 s at most by our settings, and after that the flow's datagrams name their server.
-const remember = 10 * time.Second
+// retention is the least time for which an opened flow is kept. The QUIC settings of this project limit a handshake to 10 s,
+// and after it the flow's datagrams name their server.
+const retention = 10 * time.Second
 
-// askFor is how long the other candidate is asked about a flow. It is more than
-// the milliseconds between the datagrams of one first flight, and less than a
-// caller's first timeout, 200 ms and over before it knows the round trip.
-const askFor = 100 * time.Millisecond
+// formerWindow is how long the former choice is asked about a flow. It is longer than the milliseconds between the
+// datagrams of a first flight, and shorter than a caller's first timeout, which is 200 ms or more before the caller
+// knows the round-trip time.
+const formerWindow = 100 * time.Millisecond
 
-// Datagram is what is known of a datagram.
+// Datagram describes a datagram.
 type Datagram struct {
-	Key        uint64   // of the caller-chosen ID; meaningless when Named
-	Named      bool     // the ID names Server
-	Server     uint32   // when Named
-	Candidates []uint32 // otherwise, best first
-	Asked      bool     // the last candidate may own the flow by the document before
-	Stage      Stage
-	Hops       int
+	Key         uint64   // hash of the caller-chosen ID; unused if NamesServer
+	NamesServer bool     // the connection ID names Server
+	Server      uint32   // set if NamesServer
+	Candidates  []uint32 // set otherwise, best first
+	HasFormer   bool     // the last candidate is the choice under the previous document and may own the flow
+	Stage       Stage
+	Hops        int
 }
 
-// Decision is what to do.
+// Decision is what to do with a datagram.
 type Decision struct {
 	Verdict Verdict
-	Server  uint32 // Pass: to whom
-	Stage   Stage  // Pass: what to tell it
-	Reason  Reason // Drop: why
+	Server  uint32 // Forward: the receiver
+	Stage   Stage  // Forward: the stage to send along
+	Reason  Reason // Drop: the reason
 }
 
-// Table is one agent's flows that are being opened. It is not safe for
-// concurrent use.
+// Table holds an agent's flows that are being opened. It is not safe for concurrent use.
 type Table struct {
-	own     uint32
+	self    uint32
 	limit   int
 	maxHops int
-	// Two generations: lookups see both, inserts go to the young one. Dropping
-	// the old one whole forgets flows without a timer each.
-	young, old map[uint64]struct{}
-	turned     time.Time
-	asked      map[uint64]time.Time // when the other candidate was first asked
+	// Flows are kept in two generations: lookups use both, inserts go to young. Dropping the old generation as a whole
+	// expires flows without a timer for each of them.
+	young, old  map[uint64]struct{}
+	rotated     time.Time
+	formerAsked map[uint64]time.Time // when the former choice was first asked about a flow
 }
 
-// New returns an empty table of server own, which holds at most limit flows in
-// each of two generations and passes nothing on that has made maxHops hops.
-func New(own uint32, limit, maxHops int) *Table {
+// New returns an empty table for the agent of server self. It holds at most limit flows in each of two generations and
+// does not forward a datagram that has made maxHops hops.
+func New(self uint32, limit, maxHops int) *Table {
 	return &Table{
-		own:     own,
-		limit:   limit,
-		maxHops: maxHops,
-		young:   make(map[uint64]struct{}),
-		asked:   make(map[uint64]time.Time),
+		self:        self,
+		limit:       limit,
+		maxHops:     maxHops,
+		young:       make(map[uint64]struct{}),
+		formerAsked: make(map[uint64]time.Time),
 	}
 }
 
-// Decide says what becomes of a datagram. Accepting says whether this server takes
-// new flows. It takes the flow into the table when it is to be kept.
+// Decide returns what to do with a datagram. accepting reports whether this server takes new flows. A new flow that is to
+// be kept is added to the table.
 func (t *Table) Decide(now time.Time, d Datagram, accepting bool) Decision {
-	if d.Named {
-		return t.named(d)
+	if d.NamesServer {
+		return t.forwardNamed(d)
 	}
-	t.turn(now)
+	t.rotate(now)
 	if t.owns(d.Key) {
 		return Decision{Verdict: Keep}
 	}
 	switch {
 	case d.Hops >= t.maxHops:
-		// Asked, handed back, and one leaving server after another: whoever has it
-		// now keeps it. A drop would leave the caller without a word, and a leaving
-		// server's answer "not run" is one.
-		t.take(d.Key)
+		// The former choice has been asked and has returned the flow, and leaving servers have forwarded it. This agent
+		// keeps the flow even if its server is leaving: the caller then gets the answer "not run" and not silence.
+		t.add(d.Key)
 		return Decision{Verdict: Keep}
-	case d.Stage == Ask:
-		return t.handBack(d)
-	case d.Stage == Fresh && d.Asked && last(d.Candidates) != t.own && !t.askedBefore(now, d.Key):
-		return Decision{Verdict: Pass, Server: last(d.Candidates), Stage: Ask}
+	case d.Stage == IfOwner:
+		return t.returnToFirst(d)
+	case d.Stage == Fresh && d.HasFormer && last(d.Candidates) != t.self && !t.formerDone(now, d.Key):
+		return Decision{Verdict: Forward, Server: last(d.Candidates), Stage: IfOwner}
 	case accepting:
-		t.take(d.Key)
+		t.add(d.Key)
 		return Decision{Verdict: Keep}
 	default:
-		return t.next(d)
+		return t.forwardNext(d)
 	}
 }
 
-func (t *Table) named(d Datagram) Decision {
-	if d.Server == t.own {
+func (t *Table) forwardNamed(d Datagram) Decision {
+	if d.Server == t.self {
 		return Decision{Verdict: Keep}
 	}
 	if d.Hops >= t.maxHops {
-		return Decision{Verdict: Drop, Reason: Hops}
+		return Decision{Verdict: Drop, Reason: TooManyHops}
 	}
-	return Decision{Verdict: Pass, Server: d.Server, Stage: Fresh}
+	return Decision{Verdict: Forward, Server: d.Server, Stage: Fresh}
 }
 
-// handBack returns a datagram to the first candidate, which asked.
-func (t *Table) handBack(d Datagram) Decision {
+// returnToFirst returns a datagram to the first candidate, which asked whether this agent owns the flow.
+func (t *Table) returnToFirst(d Datagram) Decision {
 	if len(d.Candidates) == 0 {
-		return Decision{Verdict: Drop, Reason: Owner}
+		return Decision{Verdict: Drop, Reason: UnknownServer}
 	}
-	return Decision{Verdict: Pass, Server: d.Candidates[0], Stage: Take}
+	return Decision{Verdict: Forward, Server: d.Candidates[0], Stage: NoOwner}
 }
 
-// next passes a new flow on to the candidate behind this one. Where there is none,
-// every candidate is leaving: the flow is kept, so that its requests get the answer
-// "not run" at once instead of silence.
-func (t *Table) next(d Datagram) Decision {
+// forwardNext forwards a new flow to the candidate after this one. Without a further candidate, all candidates are leaving.
+// The flow is then kept, so that its requests get the answer "not run" at once instead of silence.
+func (t *Table) forwardNext(d Datagram) Decision {
 	after := d.Candidates
 	for i, c := range d.Candidates {
-		if c == t.own {
+		if c == t.self {
 			after = d.Candidates[i+1:]
 			break
 		}
 	}
 	if len(after) == 0 {
-		t.take(d.Key)
+		t.add(d.Key)
 		return Decision{Verdict: Keep}
 	}
-	return Decision{Verdict: Pass, Server: after[0], Stage: Take}
+	return Decision{Verdict: Forward, Server: after[0], Stage: NoOwner}
 }
 
-// Owns says whether this agent keeps a flow that is being opened.
+// Owns reports whether this agent keeps a flow that is being opened.
 func (t *Table) Owns(now time.Time, key uint64) bool {
-	t.turn(now)
+	t.rotate(now)
 	return t.owns(key)
 }
 
-// Size is the number of flows kept in mind.
+// Size returns the number of flows in the table.
 func (t *Table) Size() int { return len(t.young) + len(t.old) }
 
 func (t *Table) owns(key uint64) bool {
@@ -186,37 +180,37 @@
 	return ok
 }
 
-// take remembers a flow. A full table forgets nothing and takes nothing: a flood
-// of openers then costs second chances, not memory, and flows still open.
-func (t *Table) take(key uint64) {
+// add adds a flow unless the table is full. A full table neither evicts nor adds flows: a flood of opening datagrams then
+// only disables the second chance for further flows, memory stays bounded, and flows still open.
+func (t *Table) add(key uint64) {
 	if len(t.young) < t.limit {
 		t.young[key] = struct{}{}
 	}
 }
 
-func (t *Table) turn(now time.Time) {
-	if now.Sub(t.turned) < remember {
+func (t *Table) rotate(now time.Time) {
+	if now.Sub(t.rotated) < retention {
 		return
 	}
 	t.old = t.young
-	if now.Sub(t.turned) >= 2*remember {
-		t.old = nil // a pause: both generations are past
+	if now.Sub(t.rotated) >= 2*retention {
+		t.old = nil // no call for two retention periods: both generations have expired
 	}
 	t.young = make(map[uint64]struct{})
-	t.asked = make(map[uint64]time.Time)
-	t.turned = now
+	t.formerAsked = make(map[uint64]time.Time)
+	t.rotated = now
 }
 
-// askedBefore says whether the other candidate has had its chance. It may be dead:
-// what it is asked is then lost, and the caller sends again after its first timeout.
-// Asking each time would lose every attempt until the document before is forgotten.
-// The two datagrams of one first flight arrive together and are both asked about.
-func (t *Table) askedBefore(now time.Time, key uint64) bool {
-	first, ok := t.asked[key]
-	if !ok && len(t.asked) < t.limit {
-		t.asked[key] = now
+// formerDone reports whether the former choice was first asked about a flow longer than formerWindow ago. The former
+// choice may have failed: a datagram forwarded to it is then lost, and the caller retransmits after its first timeout. If
+// it were asked each time, all attempts would be lost until the previous document is forgotten. The two datagrams of a
+// first flight arrive together, and both are forwarded to it.
+func (t *Table) formerDone(now time.Time, key uint64) bool {
+	first, ok := t.formerAsked[key]
+	if !ok && len(t.formerAsked) < t.limit {
+		t.formerAsked[key] = now
 	}
-	return ok && now.Sub(first) > askFor
+	return ok && now.Sub(first) > formerWindow
 }
 
 func last(ids []uint32) uint32 {
--- a/internal/node/agent/link.go
+++ b/internal/node/agent/link.go
@@ -153,13 +153,13 @@
 		return
 	}
 	d := table.Datagram{
-		Key:        key,
-		Named:      named,
-		Server:     owner.Server,
-		Candidates: h.Candidates,
-		Asked:      h.Flags&frame.Former != 0,
-		Stage:      stage(h.Flags),
-		Hops:       int(h.Hops),
+		Key:         key,
+		NamesServer: named,
+		Server:      owner.Server,
+		Candidates:  h.Candidates,
+		HasFormer:   h.Flags&frame.Former != 0,
+		Stage:       stage(h.Flags),
+		Hops:        int(h.Hops),
 	}
 	l.mu.Lock()
 	l.paths.Heard(now, h.Entry, h.Caller, h.Flags&frame.Leaving != 0)
@@ -168,7 +168,7 @@
 	switch decision.Verdict {
 	case table.Keep:
 		l.wire.deliver(payload, h.Caller)
-	case table.Pass:
+	case table.Forward:
 		l.pass(v, h, decision, payload)
 	case table.Drop:
 		a.count.drop(decision.Reason)
@@ -178,9 +178,9 @@
 func stage(f frame.Flag) table.Stage {
 	switch {
 	case f&frame.Ask != 0:
-		return table.Ask
+		return table.IfOwner
 	case f&frame.Take != 0:
-		return table.Take
+		return table.NoOwner
 	default:
 		return table.Fresh
 	}
@@ -191,7 +191,7 @@
 	a := l.agent
 	to, ok := v.document.Server(d.Server)
 	if !ok {
-		a.count.drop(table.Owner)
+		a.count.drop(table.UnknownServer)
 		return
 	}
 	next := *h
@@ -199,9 +199,9 @@
 	next.Server = d.Server
 	next.Flags = h.Flags &^ (frame.Ask | frame.Take)
 	switch d.Stage {
-	case table.Ask:
+	case table.IfOwner:
 		next.Flags |= frame.Ask
-	case table.Take:
+	case table.NoOwner:
 		next.Flags |= frame.Take
 	}
 	b := make([]byte, 0, frame.MaxSize+len(payload))
