--- a/internal/flow/route/watch.go
+++ b/internal/flow/route/watch.go
@@ -2,100 +2,98 @@
 
 import "time"
 
-// Thresholds of Watch.
+// Thresholds of Detector.
 const (
-	// SilentAfter is how long a server may leave opened flows without any frame
-	// before it counts as silent. An agent answers a first flight in a round trip
-	// of 2 to 6 ms between failure domains; half a second outlasts a pause for
-	// collection or a lost datagram and is under a caller's second attempt.
-	SilentAfter = 500 * time.Millisecond
-	// silentOpeners is how many unanswered openers it takes, so that one lost
-	// datagram condemns nobody.
-	silentOpeners = 3
-	// RetryAfter is how long a silent server is passed over before one flow tries it again.
+	// UnresponsiveAfter is how long opening datagrams to a server may remain without any frame from it before it counts
+	// as unresponsive. An agent answers a first flight within a round trip of 2 to 6 ms between failure domains. Half a
+	// second is longer than a garbage collection pause or the effect of a lost datagram, and shorter than the time to a
+	// caller's second attempt.
+	UnresponsiveAfter = 500 * time.Millisecond
+	// minOpenings is the number of unanswered opening datagrams from which a server may count as unresponsive, so that
+	// a single lost datagram is not enough.
+	minOpenings = 3
+	// RetryAfter is how long an unresponsive server gets no new flow before one flow tries it again.
 	RetryAfter = 2 * time.Second
-	// silentShare bounds the servers that may count as silent: an entry that
-	// hears nobody has lost its own link, and would otherwise drown the last
-	// server it happened to hear.
-	silentShare = 2 // one in two
+	// unresponsiveDivisor bounds the share of servers that may count as unresponsive. An entry that receives no frames
+	// at all has lost its own link, and would otherwise overload the last server that it received a frame from.
+	unresponsiveDivisor = 2 // one in two
 )
 
-// Watch notices servers that no longer answer, from the traffic itself: a process
-// that died or froze stays on the platform's list for a long time. Its failure
-// shows as openers that nothing comes back for. It is soft state; a wrong belief
-// costs one flow a longer way, since an agent decides by itself.
+// Detector detects unresponsive servers from the traffic alone: a process that crashed or froze stays on the platform's
+// list for a long time, but opening datagrams sent to it remain without an answer. A wrong decision only makes a flow
+// take a longer path, because agents decide for themselves whether to take a flow.
 //
-// A Watch is not safe for concurrent use.
-type Watch struct {
-	servers map[uint32]*sign
+// A Detector is not safe for concurrent use.
+type Detector struct {
+	servers map[uint32]*serverState
 }
 
-type sign struct {
-	heard    time.Time
-	opened   time.Time // first opener since heard
-	openers  int
-	silent   bool
-	attempts time.Time // last time a silent one was tried
+type serverState struct {
+	lastReceived time.Time
+	firstOpening time.Time // first opening datagram since lastReceived
+	openings     int
+	unresponsive bool
+	lastOpening  time.Time // last opening datagram
 }
 
-// NewWatch returns a Watch that believes all servers well.
-func NewWatch() *Watch { return &Watch{servers: make(map[uint32]*sign)} }
+// NewDetector returns a Detector for which all servers are responsive.
+func NewDetector() *Detector { return &Detector{servers: make(map[uint32]*serverState)} }
 
-func (w *Watch) sign(id uint32) *sign {
-	s := w.servers[id]
+func (d *Detector) state(id uint32) *serverState {
+	s := d.servers[id]
 	if s == nil {
-		s = &sign{}
-		w.servers[id] = s
+		s = &serverState{}
+		d.servers[id] = s
 	}
 	return s
 }
 
-// Heard notes any frame from a server. It reports whether the server was silent until now.
-func (w *Watch) Heard(now time.Time, id uint32) (changed bool) {
-	s := w.sign(id)
-	changed = s.silent
-	*s = sign{heard: now}
+// Received records any frame from a server. It reports whether the server was unresponsive until now.
+func (d *Detector) Received(now time.Time, id uint32) (changed bool) {
+	s := d.state(id)
+	changed = s.unresponsive
+	*s = serverState{lastReceived: now}
 	return changed
 }
 
-// Opened notes that a flow's first datagram was sent to a server. It reports
-// whether the server counts as silent from now on.
-func (w *Watch) Opened(now time.Time, id uint32) (changed bool) {
-	s := w.sign(id)
-	if s.openers == 0 {
-		s.opened = now
+// SentOpening records that a flow's opening datagram was sent to a server. It reports whether the server thereby
+// becomes unresponsive.
+func (d *Detector) SentOpening(now time.Time, id uint32) (changed bool) {
+	s := d.state(id)
+	if s.openings == 0 {
+		s.firstOpening = now
 	}
-	s.openers++
-	s.attempts = now
-	if s.silent || s.openers < silentOpeners || now.Sub(s.opened) < SilentAfter {
+	s.openings++
+	s.lastOpening = now
+	if s.unresponsive || s.openings < minOpenings || now.Sub(s.firstOpening) < UnresponsiveAfter {
 		return false
 	}
-	if (w.count()+1)*silentShare > len(w.servers) {
+	if (d.countUnresponsive()+1)*unresponsiveDivisor > len(d.servers) {
 		return false
 	}
-	s.silent = true
+	s.unresponsive = true
 	return true
 }
 
-// Silent says whether a server is to be passed over now. Once in RetryAfter it
-// is not, so that a flow finds out whether the server is back.
-func (w *Watch) Silent(now time.Time, id uint32) bool {
-	s := w.servers[id]
-	return s != nil && s.silent && now.Sub(s.attempts) < RetryAfter
+// Unresponsive reports whether a server is to get no new flows now. Once in RetryAfter an unresponsive server gets one, to
+// find out whether it answers again.
+func (d *Detector) Unresponsive(now time.Time, id uint32) bool {
+	s := d.servers[id]
+	return s != nil && s.unresponsive && now.Sub(s.lastOpening) < RetryAfter
 }
 
-// Keep forgets all servers but those named, so that the state is bounded by the document.
-func (w *Watch) Keep(ids []uint32) {
-	kept := make(map[uint32]*sign, len(ids))
+// Retain removes all servers except those named, so that the state is bounded by the document.
+func (d *Detector) Retain(ids []uint32) {
+	kept := make(map[uint32]*serverState, len(ids))
 	for _, id := range ids {
-		kept[id] = w.sign(id)
+		kept[id] = d.state(id)
 	}
-	w.servers = kept
+	d.servers = kept
 }
 
-func (w *Watch) count() (n int) {
-	for _, s := range w.servers {
-		if s.silent {
+func (d *Detector) countUnresponsive() (n int) {
+	for _, s := range d.servers {
+		if s.unresponsive {
 			n++
 		}
 	}
--- a/internal/node/entry/inward.go
+++ b/internal/node/entry/inward.go
@@ -108,7 +108,7 @@
 	}
 	w.frame.Server = c.Server
 	w.frame.Candidates = c.Candidates
-	if c.Asked {
+	if c.HasFormer {
 		w.frame.Flags |= frame.Former
 	}
 	s.count.ranked.Inc()
--- a/internal/node/entry/woken.go
+++ b/internal/node/entry/woken.go
@@ -35,8 +35,8 @@
 func (s *service) forget(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.watch = route.NewWatch()
-	s.watch.Keep(ids(s.now.Load().document))
+	s.watch = route.NewDetector()
+	s.watch.Retain(ids(s.now.Load().document))
 	clear(s.leaving)
 	s.refresh(now)
 }
