--- a/internal/flow/paths/paths.go
+++ b/internal/flow/paths/paths.go
@@ -1,37 +1,33 @@
-// Package paths chooses the entry by which an agent answers a caller.
+// Package paths chooses the entry through which an agent sends datagrams to a caller.
 //
-// Pattern: a feed is one-way. The caller says nothing until it gets something, so
-// an agent that answers by an entry which died hears nothing to correct it, and its
-// QUIC backs off exponentially: in a trial the last of 100 feeds ended 56 s late. A
-// sign of life is therefore kept for each entry, not for each flow: any frame
-// from it counts, and an entry in use that falls quiet is probed.
+// A feed sends in one direction: its caller sends nothing until it receives something. If the entry that an agent answers
+// through has failed, the agent thus receives nothing that would show the failure, and QUIC backs off exponentially: the last
+// of 100 feeds ended 56 s late. The agent therefore tracks when it last received a frame, of any flow, from each entry, and
+// probes an entry in use that has become idle.
 //
-// An entry may also work in one direction only. If agent to entry is cut, the
-// echo of a probe is missing, for a probe makes the round trip. If entry to
-// caller is cut, echoes come but the caller stays silent; so a caller that owes an
-// acknowledgement too long makes its flow alternate between entries until it is
-// heard again. And a caller that goes on sending while its answers are lost, as in
-// an upload, is no silent one; so whenever a caller speaks after a pause, its
-// answers go by the entry that brought its word. QUIC pauses longer after each loss,
-// and the fabric brings its next word by any entry that the caller can reach: under a
-// partition that is one of its own side. Within a stream of datagrams the entry
-// stays the same, for alternating would reorder them.
+// An entry may also work in one direction only. If the path from agent to entry is cut, the echo of a probe is missing,
+// because a probe makes the round trip. If the path from entry to caller is cut, echoes arrive but the caller sends
+// nothing. As soon as an acknowledgement of the caller is overdue, datagrams to this caller alternate between entries until
+// the caller sends again. A caller that goes on sending although its answers are lost, as in an upload, is not detected in this
+// way. Whenever a caller sends after a pause, its answers therefore go through the entry that forwarded its datagram. QUIC pauses
+// longer after each loss, and the fabric delivers the caller's next datagram through any entry that the caller can reach:
+// during a network partition, one on its own side. Within a stream of datagrams the entry stays the same, because
+// alternating would reorder them.
 //
-// An agent answers by a small active set of entries. With 800 entries each is
-// heard too seldom for its own datagrams to be its sign of life, and probing even
-// four of them for each of 6,800 agents five times a second would cost an entry
-// 37 KB a second. So a caller's reaction counts too: who was silent, is sent a datagram
-// by an entry, and speaks at once by any other, has got it. Entries are probed only
-// while one that is in use lacks any such sign.
+// An agent answers through a small active set of entries. With 800 entries, an agent receives too few datagrams from each
+// of them to detect failures from those alone, and if each of 6,800 agents probed only four entries five times a second, an
+// entry would receive 37 KB a second. A caller's reaction is therefore evidence as well: if a caller that was silent is sent a
+// datagram through an entry and sends one at once through any other entry, the first entry has delivered the datagram.
+// Entries are probed only while one in use lacks any such evidence.
 //
-// It does no input or output; time is handed in.
+// The package does no input or output. The current time is a parameter.
 //
 // # Usage
 //
-//	b := paths.New(limit)
-//	b.Heard(now, entry, caller, leaving) // a Forward frame
-//	entry, ok := b.Choose(now, caller)
-//	for _, e := range b.Probes(now) { ... } // every ProbeEvery
+//	s := paths.New(limit)
+//	s.Received(now, entry, caller, leaving) // for each Forward frame
+//	entry, ok := s.Choose(now, caller)
+//	for _, e := range s.Probes(now) { ... } // every ProbeEvery
 package paths
 
 import (
@@ -42,290 +38,286 @@
 
 // Thresholds.
 const (
-	// ProbeEvery is how often Probes is to be called.
+	// ProbeEvery is the interval at which Probes is to be called.
 	ProbeEvery = 100 * time.Millisecond
-	// quietAfter is how long an entry in use may be quiet before it is probed.
-	quietAfter = 150 * time.Millisecond
-	// LostAfter is how long an entry may be quiet before flows leave it: a quiet
-	// time, then two probes and a round trip of some milliseconds.
-	LostAfter = 400 * time.Millisecond
-	// activeSize is how many entries an agent answers by: enough that two may die
-	// at once and a caller's datagrams alternate between two others.
-	activeSize = 4
-	// owedAfter is how long a caller may leave datagrams without a word. QUIC
-	// acknowledges within 25 ms and a round trip of 2 to 8 ms; three times that
-	// is no accident.
-	owedAfter = 100 * time.Millisecond
-	// pauseAfter is how long a caller must have said nothing for its next datagram to
-	// change the entry it is answered by. Over the time of an acknowledgement, so
-	// that a stream never changes; under the second retransmission, so that an
-	// upload has six or more tries before an idle timeout of 5 s.
-	pauseAfter = 50 * time.Millisecond
-	// usedFor is how long after a datagram was sent by it an entry counts as in use.
-	usedFor = time.Second
-	// reactAfter is how long a caller must have been silent before a datagram for
-	// its next word to be a reaction. Callers that stream, as in an upload, speak
-	// all the time and prove nothing.
-	reactAfter = 10 * time.Millisecond
-	// owedCount is how many datagrams must be owed, so that a last datagram that
-	// needs no acknowledgement starts nothing.
-	owedCount = 2
-	// forgetAfter is how long an entry or caller without any traffic is kept in
-	// mind. QUIC's idle timeout, by our settings, is shorter.
-	forgetAfter = 2 * time.Minute
-	// maxEntries bounds the entries kept in mind: the size to design for has 800.
+	// probeAfter is how long an entry in use may be idle before it is probed.
+	probeAfter = 150 * time.Millisecond
+	// FailAfter is how long an entry may be idle before it counts as failed and flows leave it: time for probeAfter, two
+	// probes and a round trip of some milliseconds.
+	FailAfter = 400 * time.Millisecond
+	// maxActive is the number of entries in the active set. With four, two may fail at once and a caller's datagrams can
+	// still alternate between two others.
+	maxActive = 4
+	// unackedTimeout is how long a caller may leave datagrams without an acknowledgement. QUIC acknowledges within 25 ms
+	// and a round trip of 2 to 8 ms; three times as long indicates a loss.
+	unackedTimeout = 100 * time.Millisecond
+	// minPause is how long a caller must have sent nothing for its next datagram to change the entry that it is answered
+	// through. It is longer than the delay of an acknowledgement, so that the entry never changes within a stream, and
+	// shorter than the time to the second retransmission, so that an upload has six or more attempts before an idle
+	// timeout of 5 s.
+	minPause = 50 * time.Millisecond
+	// inUseFor is how long an entry counts as in use after a datagram was sent through it.
+	inUseFor = time.Second
+	// minSilence is how long a caller must have sent nothing before it is sent a datagram, for its next datagram to
+	// count as a reaction. Callers that stream, as in an upload, send all the time, which proves nothing.
+	minSilence = 10 * time.Millisecond
+	// minUnacked is the number of unacknowledged datagrams above which an acknowledgement can be overdue, so that a
+	// last datagram that needs no acknowledgement does not change the entry.
+	minUnacked = 2
+	// retention is how long an entry or a caller without traffic is kept. The idle timeout of QUIC in this project's
+	// settings is shorter.
+	retention = 2 * time.Minute
+	// maxEntries bounds the number of entries kept. The largest deployment that the design covers has 800.
 	maxEntries = 2048
 )
 
-// Book is what one agent knows of entries and callers. It is not safe for
-// concurrent use.
-type Book struct {
-	limit   int // of callers
-	entries map[netip.AddrPort]*entry
-	callers map[netip.AddrPort]*caller
-	active  []netip.AddrPort // at most activeSize keys of entries
-	turn    int              // alternates through active
+// Selector holds an agent's state of entries and callers. It is not safe for concurrent use.
+type Selector struct {
+	limit     int // number of callers
+	entries   map[netip.AddrPort]*entry
+	callers   map[netip.AddrPort]*caller
+	active    []netip.AddrPort // at most maxActive keys of entries
+	nextIndex int              // index of the next caller, to spread callers over active
 }
 
 type entry struct {
-	heard   time.Time
-	used    time.Time // when a datagram was last sent by it
-	leaving bool
+	lastReceived time.Time
+	lastSent     time.Time // when a datagram was last sent through it
+	leaving      bool
 }
 
 type caller struct {
-	heard time.Time
-	owed  time.Time      // first datagram sent since heard
-	count int            // datagrams sent since heard
-	place int            // where in the active set its datagrams go
-	by    netip.AddrPort // the entry of all datagrams sent since heard; not valid if there were several
-	// via brought the caller's first word after its last pause, and is answered by
-	// while it lives. Not valid while the caller owes an acknowledgement.
+	lastReceived time.Time
+	unackedSince time.Time      // when the first datagram was sent since lastReceived
+	unacked      int            // datagrams sent since lastReceived
+	index        int            // position in the active set, modulo its size
+	sentVia      netip.AddrPort // entry of all datagrams sent since lastReceived; not valid if there were several
+	// via is the entry that forwarded the caller's first datagram after its last pause. The caller is answered through it
+	// while it is live. It is not valid while an acknowledgement of the caller is overdue.
 	via netip.AddrPort
 }
 
-// New returns an empty Book that keeps at most limit callers in mind.
-func New(limit int) *Book {
-	return &Book{
+// New returns an empty Selector that keeps at most limit callers.
+func New(limit int) *Selector {
+	return &Selector{
 		limit:   limit,
 		entries: make(map[netip.AddrPort]*entry),
 		callers: make(map[netip.AddrPort]*caller),
 	}
 }
 
-// Heard notes a datagram of a caller that came by an entry. Leaving says that the
-// entry stops soon.
-func (b *Book) Heard(now time.Time, via, from netip.AddrPort, leaving bool) {
-	b.Sign(now, via, leaving)
-	c := b.callers[from]
+// Received records a caller's datagram that arrived through the entry via. leaving reports whether the entry is about
+// to stop.
+func (s *Selector) Received(now time.Time, via, from netip.AddrPort, leaving bool) {
+	s.MarkAlive(now, via, leaving)
+	c := s.callers[from]
 	if c == nil {
-		if len(b.callers) >= b.limit {
-			return // its answers go by any active entry
+		if len(s.callers) >= s.limit {
+			return // its answers go through any active entry
 		}
-		b.turn++
-		c = &caller{place: b.turn}
-		b.callers[from] = c
+		s.nextIndex++
+		c = &caller{index: s.nextIndex}
+		s.callers[from] = c
 	}
-	if c.reacts(now) {
-		if e := b.entries[c.by]; e != nil {
-			e.heard = now
+	if c.isReaction(now) {
+		if e := s.entries[c.sentVia]; e != nil {
+			e.lastReceived = now
 		}
 	}
-	if now.Sub(c.heard) > pauseAfter {
-		b.follow(now, c, via)
+	if now.Sub(c.lastReceived) > minPause {
+		s.updateVia(now, c, via)
 	}
-	c.heard = now
-	c.count = 0
+	c.lastReceived = now
+	c.unacked = 0
 }
 
-// reacts says whether a caller that speaks now reacts to what it was sent.
-func (c *caller) reacts(now time.Time) bool {
-	return c.count > 0 && c.owed.Sub(c.heard) > reactAfter && now.Sub(c.owed) < owedAfter
+// isReaction reports whether a datagram that the caller sends now is a reaction to the datagrams sent to it.
+func (c *caller) isReaction(now time.Time) bool {
+	return c.unacked > 0 && c.unackedSince.Sub(c.lastReceived) > minSilence && now.Sub(c.unackedSince) < unackedTimeout
 }
 
-// follow lets a caller that spoke after a pause be answered by the entry that
-// brought its word. If that entry was sent the last answers too, and they have
-// been owed for as long as a pause, they may be lost for good: another is tried.
-func (b *Book) follow(now time.Time, c *caller, via netip.AddrPort) {
-	owing := c.count > 0 && now.Sub(c.owed) > pauseAfter
-	if !owing || c.via != via {
+// updateVia sets the entry through which a caller is answered that has sent after a pause, to the entry that forwarded its
+// datagram. If the last answers went through that entry too and have been unacknowledged for as long as a pause, they may
+// never arrive that way, and another entry is tried.
+func (s *Selector) updateVia(now time.Time, c *caller, via netip.AddrPort) {
+	overdue := c.unacked > 0 && now.Sub(c.unackedSince) > minPause
+	if !overdue || c.via != via {
 		c.via = via
 		return
 	}
 	c.via = netip.AddrPort{}
-	for range b.active {
-		c.place++
-		if b.from(now, c.place) != via {
+	for range s.active {
+		c.index++
+		if s.liveFrom(now, c.index) != via {
 			return
 		}
 	}
 }
 
-// Sign notes a sign of life of an entry.
-func (b *Book) Sign(now time.Time, via netip.AddrPort, leaving bool) {
-	e := b.entries[via]
+// MarkAlive records that a frame was received from an entry.
+func (s *Selector) MarkAlive(now time.Time, via netip.AddrPort, leaving bool) {
+	e := s.entries[via]
 	if e == nil {
-		if len(b.entries) >= maxEntries {
+		if len(s.entries) >= maxEntries {
 			return
 		}
 		e = &entry{}
-		b.entries[via] = e
+		s.entries[via] = e
 	}
-	e.heard = now
+	e.lastReceived = now
 	e.leaving = leaving
-	if !leaving && len(b.active) < activeSize && !slices.Contains(b.active, via) {
-		b.active = append(b.active, via)
+	if !leaving && len(s.active) < maxActive && !slices.Contains(s.active, via) {
+		s.active = append(s.active, via)
 	}
 }
 
-// Choose names the entry by which a datagram goes to a caller, and notes the
-// sending. It reports false when no entry is known at all.
-func (b *Book) Choose(now time.Time, to netip.AddrPort) (via netip.AddrPort, ok bool) {
-	if len(b.active) == 0 {
-		return b.any()
+// Choose returns the entry through which to send a datagram to a caller, and records that it is sent. ok is false if no
+// entry is known.
+func (s *Selector) Choose(now time.Time, to netip.AddrPort) (via netip.AddrPort, ok bool) {
+	if len(s.active) == 0 {
+		return s.any()
 	}
-	c := b.callers[to]
+	c := s.callers[to]
 	if c == nil {
-		b.turn++
-		via = b.from(now, b.turn)
+		s.nextIndex++
+		via = s.liveFrom(now, s.nextIndex)
 	} else {
-		via = b.forCaller(now, c)
+		via = s.entryFor(now, c)
 	}
-	b.entries[via].used = now
+	s.entries[via].lastSent = now
 	return via, true
 }
 
-// forCaller names the entry for a datagram to a caller, and notes the sending.
-func (b *Book) forCaller(now time.Time, c *caller) (via netip.AddrPort) {
-	if c.count == 0 {
-		c.owed = now
+// entryFor returns the entry for a datagram to a caller, and records that it is sent.
+func (s *Selector) entryFor(now time.Time, c *caller) (via netip.AddrPort) {
+	if c.unacked == 0 {
+		c.unackedSince = now
 	}
-	c.count++
-	if c.count > owedCount && now.Sub(c.owed) > owedAfter {
+	c.unacked++
+	if c.unacked > minUnacked && now.Sub(c.unackedSince) > unackedTimeout {
 		c.via = netip.AddrPort{}
-		c.place++
+		c.index++
 	}
 	via = c.via
-	if e := b.entries[via]; e == nil || !e.live(now) {
-		via = b.from(now, c.place)
+	if e := s.entries[via]; e == nil || !e.live(now) {
+		via = s.liveFrom(now, c.index)
 	}
-	if c.count == 1 {
-		c.by = via
-	} else if c.by != via {
-		c.by = netip.AddrPort{}
+	if c.unacked == 1 {
+		c.sentVia = via
+	} else if c.sentVia != via {
+		c.sentVia = netip.AddrPort{}
 	}
 	return via
 }
 
-// from names the first live entry of the active set from a place on. With none
-// live it keeps to the place: a datagram lost costs less than one not sent, and
-// the next call of Probes mends the set.
-func (b *Book) from(now time.Time, place int) netip.AddrPort {
-	n := len(b.active)
+// liveFrom returns the first live entry of the active set from an index on. If none is live, it returns the one at the
+// index: a lost datagram costs less than one that is not sent, and the next call of Probes refreshes the set.
+func (s *Selector) liveFrom(now time.Time, index int) netip.AddrPort {
+	n := len(s.active)
 	for i := range n {
-		a := b.active[(place+i)%n]
-		if b.entries[a].live(now) {
+		a := s.active[(index+i)%n]
+		if s.entries[a].live(now) {
 			return a
 		}
 	}
-	return b.active[place%n]
+	return s.active[index%n]
 }
 
-// any is for the moment when no entry is active: all known ones are leaving.
-func (b *Book) any() (via netip.AddrPort, ok bool) {
-	for a := range b.entries {
+// any returns any known entry. It serves when no entry is active because all known ones are leaving.
+func (s *Selector) any() (via netip.AddrPort, ok bool) {
+	for a := range s.entries {
 		return a, true
 	}
 	return netip.AddrPort{}, false
 }
 
 func (e *entry) live(now time.Time) bool {
-	return !e.leaving && now.Sub(e.heard) < LostAfter
+	return !e.leaving && now.Sub(e.lastReceived) < FailAfter
 }
 
-// Probes mends the active set and names the entries to be probed now: once one of
-// those in use is quiet, all active ones that are, so that a live one is known before
-// the quiet one is given up. It also forgets what has had no traffic for long.
-func (b *Book) Probes(now time.Time) (quiet []netip.AddrPort) {
-	doubt := false
-	for _, a := range b.active {
-		e := b.entries[a]
-		silent := now.Sub(e.heard) > quietAfter
-		doubt = doubt || silent && e.used.After(e.heard) && now.Sub(e.used) < usedFor
+// Probes refreshes the active set and returns the entries to be probed now. As soon as an entry in use is idle, these are
+// all idle active entries, so that a live one is known before the one in use counts as failed. Probes also evicts entries and
+// callers that have had no traffic for long.
+func (s *Selector) Probes(now time.Time) (toProbe []netip.AddrPort) {
+	suspect := false
+	for _, a := range s.active {
+		e := s.entries[a]
+		idle := now.Sub(e.lastReceived) > probeAfter
+		suspect = suspect || idle && e.lastSent.After(e.lastReceived) && now.Sub(e.lastSent) < inUseFor
 	}
-	b.forget(now)
-	b.mend(now)
-	if !doubt {
+	s.evict(now)
+	s.refreshActive(now)
+	if !suspect {
 		return nil
 	}
-	for _, a := range b.active {
-		if now.Sub(b.entries[a].heard) > quietAfter {
-			quiet = append(quiet, a)
+	for _, a := range s.active {
+		if now.Sub(s.entries[a].lastReceived) > probeAfter {
+			toProbe = append(toProbe, a)
 		}
 	}
-	return quiet
+	return toProbe
 }
 
-// mend replaces active entries that are lost or leaving by live ones heard most
-// lately. A lost one without a successor stays, and goes on being probed: after an
-// agent was paused, or cut off from all entries, every entry looks lost.
-func (b *Book) mend(now time.Time) {
+// refreshActive replaces active entries that have failed or are leaving by the live ones that a frame was received from
+// most recently. A failed entry without a replacement stays and continues to be probed: after an agent was paused, or cut off
+// from all entries, every entry seems to have failed.
+func (s *Selector) refreshActive(now time.Time) {
 	var spare []netip.AddrPort
-	for a, e := range b.entries {
-		if e.live(now) && !slices.Contains(b.active, a) {
+	for a, e := range s.entries {
+		if e.live(now) && !slices.Contains(s.active, a) {
 			spare = append(spare, a)
 		}
 	}
 	slices.SortFunc(spare, func(x, y netip.AddrPort) int {
-		return b.entries[y].heard.Compare(b.entries[x].heard)
+		return s.entries[y].lastReceived.Compare(s.entries[x].lastReceived)
 	})
-	for i, a := range b.active {
+	for i, a := range s.active {
 		if len(spare) == 0 {
 			return
 		}
-		if !b.entries[a].live(now) {
-			b.active[i] = spare[0]
+		if !s.entries[a].live(now) {
+			s.active[i] = spare[0]
 			spare = spare[1:]
 		}
 	}
-	room := min(activeSize-len(b.active), len(spare))
-	b.active = append(b.active, spare[:max(room, 0)]...)
+	free := min(maxActive-len(s.active), len(spare))
+	s.active = append(s.active, spare[:max(free, 0)]...)
 }
 
-func (b *Book) forget(now time.Time) {
-	for a, e := range b.entries {
-		if now.Sub(e.heard) > forgetAfter {
-			delete(b.entries, a)
+func (s *Selector) evict(now time.Time) {
+	for a, e := range s.entries {
+		if now.Sub(e.lastReceived) > retention {
+			delete(s.entries, a)
 		}
 	}
-	b.active = slices.DeleteFunc(b.active, func(a netip.AddrPort) bool {
-		return b.entries[a] == nil
+	s.active = slices.DeleteFunc(s.active, func(a netip.AddrPort) bool {
+		return s.entries[a] == nil
 	})
-	for a, c := range b.callers {
-		if now.Sub(c.heard) > forgetAfter {
-			delete(b.callers, a)
+	for a, c := range s.callers {
+		if now.Sub(c.lastReceived) > retention {
+			delete(s.callers, a)
 		}
 	}
 }
 
-// Status is one entry as an operator sees it.
+// Status is the state of an entry for operators. It is encoded under the names of its fields.
 type Status struct {
 	Entry   netip.AddrPort
-	Quiet   time.Duration // since its last sign of life
+	Quiet   time.Duration // time since a frame was last received from it
 	Live    bool
 	Leaving bool
-	Active  bool // answers go by it
+	Active  bool // it is in the active set
 }
 
-// Status lists the entries known.
-func (b *Book) Status(now time.Time) (list []Status) {
-	for a, e := range b.entries {
+// Status returns the state of all known entries.
+func (s *Selector) Status(now time.Time) (list []Status) {
+	for a, e := range s.entries {
 		list = append(list, Status{
 			Entry:   a,
-			Quiet:   now.Sub(e.heard),
+			Quiet:   now.Sub(e.lastReceived),
 			Live:    e.live(now),
 			Leaving: e.leaving,
-			Active:  slices.Contains(b.active, a),
+			Active:  slices.Contains(s.active, a),
 		})
 	}
 	slices.SortFunc(list, func(x, y Status) int { return x.Entry.Compare(y.Entry) })
--- a/internal/node/agent/link.go
+++ b/internal/node/agent/link.go
@@ -39,7 +39,7 @@
 	// every connection's sender.
 	mu    sync.Mutex
 	table *table.Table
-	paths *paths.Book
+	paths *paths.Selector
 }
 
 func newLink(a *Agent) *link {
@@ -116,7 +116,7 @@
 	switch h.Kind {
 	case frame.Echo:
 		l.mu.Lock()
-		l.paths.Sign(now, h.Entry, h.Flags&frame.Leaving != 0)
+		l.paths.MarkAlive(now, h.Entry, h.Flags&frame.Leaving != 0)
 		l.mu.Unlock()
 	case frame.Forward:
 		r.takeDatagram(now, v, b, payload)
@@ -162,7 +162,7 @@
 		Hops:        int(h.Hops),
 	}
 	l.mu.Lock()
-	l.paths.Heard(now, h.Entry, h.Caller, h.Flags&frame.Leaving != 0)
+	l.paths.Received(now, h.Entry, h.Caller, h.Flags&frame.Leaving != 0)
 	decision := l.table.Decide(now, d, a.standing.accepting())
 	l.mu.Unlock()
 	switch decision.Verdict {
