--- a/internal/flow/ident/ident.go
+++ b/internal/flow/ident/ident.go
@@ -1,20 +1,18 @@
-// Package ident makes and reads connection IDs that name the server of a flow.
+// Package ident creates and reads connection IDs that name the server of a flow.
 //
-// Balancers share no flow table, and any packet of a flow may reach any of them.
-// So the packet itself says where it belongs: the agent that terminates a flow
-// chooses connection IDs whose sealed content is its server ID, and every entry
-// that holds the service's keys can read them back. The idea is that of the IETF
-// QUIC-LB drafts; the layout here is the project's own.
+// Entries share no flow table, and any packet of a flow may reach any entry, so the packet itself must show
+// where it belongs. The agent that terminates a flow therefore chooses connection IDs whose encrypted content
+// is its server ID, and every entry that holds the service's keys can read them. The idea is that of the IETF
+// QUIC-LB drafts; the layout is this project's own.
 //
-// An ID is one tag byte, which tells the key, and one AES block that holds the
-// server ID, the service's tag, the side and a nonce. The side tells an agent's
-// process from its successor's while both run. The AES key is derived from the key
-// material and the service's name. An ID of another service, a forged or a damaged
-// one therefore opens to a wrong service tag but for one case in 2^32, and the
-// agent looks at the service again (package frame carries it). Outsiders cannot
-// tell which flows share a server.
+// An ID consists of a tag byte, which selects the key, and one AES block with the server ID, the service's
+// tag, the side and a nonce. The side distinguishes an agent's process from its successor while both run. The
+// AES key is derived from the key material and the service's name. An ID that belongs to another service, is
+// forged or is damaged therefore decrypts to a wrong service tag except in one case in 2^32, and the agent
+// checks the service again (the frame header contains it, package frame). Outsiders cannot tell which flows
+// share a server.
 //
-// The package is no authentication of a flow: QUIC's own cryptography is that.
+// The package does not authenticate flows: QUIC's own cryptography does.
 //
 // # Usage
 //
@@ -42,52 +40,52 @@
 
 // Errors of Open.
 var (
-	// ErrLength says that a connection ID has another size than Length.
-	ErrLength = errors.New("connection ID has a foreign length")
-	// ErrForeign says that no key of the service opens the connection ID: the
-	// caller chose it, or it is forged, damaged or of another service.
-	ErrForeign = errors.New("connection ID is not of this service")
+	// ErrLength means that the size of a connection ID is not Length.
+	ErrLength = errors.New("connection ID has an unexpected length")
+	// ErrForeign means that no key of the service opens the connection ID: the caller chose it, or it is
+	// forged, damaged or belongs to another service.
+	ErrForeign = errors.New("connection ID does not belong to this service")
 )
 
-// ID is one connection ID.
+// ID is a connection ID.
 type ID [Length]byte
 
 // Owner is the process that a connection ID names.
 type Owner struct {
 	Server uint32
-	Side   uint8 // which of the two processes that an agent's replacement makes
+	Side   uint8 // distinguishes the two processes that run while an agent is replaced
 }
 
-// maxNonce bounds nonces, which share eight bytes with the side.
+// maxNonce is the largest nonce; the nonce shares eight bytes with the side.
 const maxNonce = 1<<56 - 1
 
-// Secret is named key material, as settings give it.
+// Secret is named key material from the settings.
 type Secret struct {
 	Name     string
 	Material [SecretSize]byte
 }
 
-// Key is what one service derives from one Secret.
+// Key holds the keys that are derived for one service from one Secret.
 type Key struct {
-	Tag   byte     // first byte of IDs, and the key's mark in frames
+	Tag   byte     // identifies the key, as the first byte of IDs and in frames
 	Frame [16]byte // authenticates frames between entry and agent
 	Token [32]byte // authenticates request keys
-	Reset [32]byte // makes stateless resets
+	Reset [32]byte // derives stateless reset tokens
 	block cipher.Block
 }
 
-// Ring holds a service's keys: one that seals, and all that open.
+// Ring holds a service's keys: the current one, which seals, and all that open.
 type Ring struct {
-	Service uint64 // tag of the service, as frames carry it
+	Service uint64 // tag of the service, as in frames
 	keys    []Key  // the current key first
 }
 
-// NewRing derives the keys of a service. It fails only on a secret without a name.
+// NewRing derives the keys of a service. It fails only if a secret has no name.
 func NewRing(service string, current Secret, former ...Secret) (r *Ring, err error) {
 	defer func() { err = errors.Wrapf(err, "derive keys of service %q", service) }()
 	r = &Ring{Service: ServiceTag(service)}
 	for _, s := range append([]Secret{current}, former...) {
-		k, err := derive(service, s)
+		k, err := newKey(service, s)
 		if err != nil {
 			return nil, err
 		}
@@ -96,31 +94,31 @@
 	return r, nil
 }
 
-// ServiceTag is the short form of a service's name in frames.
+// ServiceTag returns the hash that stands for a service's name in frames.
 func ServiceTag(service string) uint64 { return xxhash.Sum64String(service) }
 
-func derive(service string, s Secret) (k Key, err error) {
+func newKey(service string, s Secret) (k Key, err error) {
 	if s.Name == "" {
-		return Key{}, errors.New("a secret has no name")
+		return Key{}, errors.New("secret without a name")
 	}
-	cid := expand(s, service, "connection-id")
+	cid := deriveKey(s, service, "connection-id")
 	block, err := aes.NewCipher(cid[:16])
 	if err != nil {
 		return Key{}, err
 	}
-	frame := expand(s, service, "frame")
+	frame := deriveKey(s, service, "frame")
 	k = Key{
 		Tag:   byte(xxhash.Sum64String(s.Name)),
-		Token: expand(s, service, "token"),
-		Reset: expand(s, service, "reset"),
+		Token: deriveKey(s, service, "token"),
+		Reset: deriveKey(s, service, "reset"),
 		block: block,
 	}
 	copy(k.Frame[:], frame[:])
 	return k, nil
 }
 
-// expand derives one purpose's key, so that no two purposes or services share one.
-func expand(s Secret, service, purpose string) (key [32]byte) {
+// deriveKey derives the key for one purpose, so that no two purposes or services share a key.
+func deriveKey(s Secret, service, purpose string) (key [32]byte) {
 	m := hmac.New(sha256.New, s.Material[:])
 	m.Write([]byte(purpose))
 	m.Write([]byte{0})
@@ -129,14 +127,14 @@
 	return key
 }
 
-// Current is the key that seals.
+// Current returns the key that seals.
 func (r *Ring) Current() *Key { return &r.keys[0] }
 
-// Keys are all keys that open, the current one first. The caller must not change them.
+// Keys returns all keys that open, the current one first. The caller must not modify them.
 func (r *Ring) Keys() []Key { return r.keys }
 
-// Seal makes a connection ID. Of the nonce 56 bits count; they must not repeat while
-// the owner's flows last.
+// Seal creates a connection ID. It uses the low 56 bits of the nonce, which must not repeat while flows of
+// the owner last.
 func (r *Ring) Seal(o Owner, nonce uint64) (id ID) {
 	k := &r.keys[0]
 	id[0] = k.Tag
@@ -148,7 +146,7 @@
 	return id
 }
 
-// Open reads the owner out of a connection ID. It returns ErrLength or ErrForeign.
+// Open returns the owner that a connection ID names. Its errors are ErrLength and ErrForeign.
 func (r *Ring) Open(id []byte) (o Owner, err error) {
 	if len(id) != Length {
 		return Owner{}, ErrLength
--- a/internal/flow/ident/ident_test.go
+++ b/internal/flow/ident/ident_test.go
@@ -36,9 +36,8 @@
 	})
 }
 
-// A caseworker's feed is open while the team rotates the key. Its packets must go
-// on reaching their server for as long as the old key is named as former, and no
-// longer be believed once it is not.
+// A feed is open while the key is rotated. Its packets must reach their server as long as the old key is
+// listed as former, and must be refused afterwards.
 func TestRotatedKeyStillRoutes(t *testing.T) {
 	before := ring(t, "tracing-core", secret("k1", 1))
 	id := before.Seal(Owner{Server: 7}, 99)
@@ -51,8 +50,8 @@
 	assert.ErrorIs(t, err, ErrForeign)
 }
 
-// A packet for tracing-core is sent, by mistake or on purpose, to the address of
-// doc-intake. Both services use the same key material. Its ID must not open there.
+// A packet for one service is sent, by mistake or on purpose, to the address of another one with the same key
+// material. Its ID must not open there.
 func TestIDOfAnotherServiceDoesNotOpen(t *testing.T) {
 	a := ring(t, "tracing-core", secret("k1", 1))
 	b := ring(t, "doc-intake", secret("k1", 1))
@@ -63,8 +62,7 @@
 	}
 }
 
-// Somebody flips bits in a connection ID to reach a server of their choice. Any
-// flip must end the ID, but for the tag, which only names the key.
+// An attacker flips bits in a connection ID to reach a certain server. No ID with a flipped bit may open.
 func TestDamagedIDDoesNotOpen(t *testing.T) {
 	r := ring(t, "tracing-core", secret("k1", 1))
 	for bit := range Length * 8 {
