--- a/internal/flow/frame/frame.go
+++ b/internal/flow/frame/frame.go
@@ -1,20 +1,19 @@
-// Package frame is the header that entries and agents put before a datagram on
-// the link between them, and the small messages that have a header only.
+// Package frame defines the header that precedes a datagram on the link between entries and agents, and the
+// small messages that consist of a header only.
 //
-// The header names the service (so that an agent refuses another's datagram), the
-// caller, the entry that received the datagram (so that an agent knows a way back),
-// the candidates that may own the flow (so that an agent which does not own it can
-// pass it on), and the sender's document revision (so that control rides on what
-// flows anyway). It is authenticated with a key of the service; the datagram behind
-// it is protected by QUIC itself and not read.
+// The header names the service, so that an agent refuses another service's datagram; the caller; the entry
+// that received the datagram, so that an agent knows a path back; the candidates that may own the flow, so
+// that an agent that does not own it can forward the datagram; and the sender's document revision, so that
+// control information travels with the traffic. The header is authenticated with a key of the service. The
+// datagram behind it is protected by QUIC itself and is not read.
 //
-// It is no transport: nothing is acknowledged, ordered or sent again.
+// The package is no transport: it does not acknowledge, order or retransmit anything.
 //
 // # Usage
 //
 //	b = frame.Append(b[:0], key, &h)
 //	b = append(b, datagram...)
-//	h, datagram, err := frame.Parse(b, ring)
+//	datagram, err := frame.Parse(b, ring, &h)
 package frame
 
 import (
@@ -28,48 +27,47 @@
 	"mangowinch/internal/flow/order"
 )
 
-// Kind is what a frame is for.
+// Kind is the purpose of a frame.
 type Kind uint8
 
 // The kinds of frame.
 const (
 	Forward Kind = 1 + iota // entry to agent, or agent to agent: a caller's datagram
 	Return                  // agent to entry: a datagram for the caller
-	Probe                   // agent to entry: are you there
+	Probe                   // agent to entry: asks for an Echo
 	Echo                    // entry to agent: answer to a Probe, with its Nonce
 )
 
-// Flag is a bit of what the sender says of itself or of the frame.
+// Flag is a bit that describes the sender or the frame.
 type Flag uint8
 
 // The flags.
 const (
-	Leaving Flag = 1 << iota // the sender takes no new work
-	Cold                     // the sender's backend server has just started
-	Ask                      // Forward: keep it only if you own the flow, else hand it back
-	Take                     // Forward: nobody else owns the flow
-	Former                   // Forward: the last candidate is that of the document before
+	Leaving   Flag = 1 << iota // the sender takes no new work
+	Cold                       // the sender's backend server has just started (cold start)
+	IfOwner                    // Forward: the receiver keeps the datagram only if it owns the flow, and returns it otherwise
+	NoOwner                    // Forward: no other agent owns the flow
+	HasFormer                  // Forward: the last candidate is the choice under the previous document
 )
 
 // Sizes and bounds.
 const (
 	version       = 1
 	MaxCandidates = 4
-	// MaxHops bounds how often a datagram is passed on between agents: ask, hand
-	// back, two that leave. One more would be a loop between stale views.
-	MaxHops = 4
-	fixed   = 6 + 8 + 8 + 18 + 18 + 4 + 8 + 2 + 1
-	macSize = 8
-	// MaxSize is the largest header in bytes.
-	MaxSize = fixed + MaxCandidates*4 + macSize
-	// MaxPayload is the largest datagram that fits one Ethernet frame behind the
-	// header, in bytes: 1500 less IP and UDP headers and MaxSize. A larger one is
-	// dropped and counted; QUIC finds the path's size by such drops, while IP
-	// fragments would double the loss.
+	// MaxHops bounds how often agents forward a datagram: to the possible owner, back, and on from two
+	// leaving servers. One more hop would mean a loop between outdated views.
+	MaxHops   = 4
+	fixedSize = 6 + 8 + 8 + 18 + 18 + 4 + 8 + 2 + 1
+	macSize   = 8
+	// MaxSize is the size of the largest header in bytes.
+	MaxSize = fixedSize + MaxCandidates*4 + macSize
+	// MaxPayload is the size of the largest datagram that fits into one Ethernet frame behind the header, in
+	// bytes: 1500 less IP and UDP headers and MaxSize. A larger datagram is dropped and counted. QUIC finds
+	// the path MTU by such drops, while IP fragmentation would double the loss.
 	MaxPayload = 1500 - 28 - MaxSize
 )
 
-// Errors of Parse, one a reason.
+// Errors of Parse, one for each reason.
 var (
 	ErrShort   = errors.New("frame is too short")
 	ErrVersion = errors.New("frame is of an unknown version or kind")
@@ -77,22 +75,22 @@
 	ErrForged  = errors.New("frame is damaged or forged")
 )
 
-// Header is one frame's header.
+// Header is the header of a frame.
 type Header struct {
 	Kind       Kind
 	Flags      Flag
-	Hops       uint8          // how often it was passed on
+	Hops       uint8          // how often agents have forwarded the datagram
 	Service    uint64         // ident.ServiceTag
-	Revision   order.Revision // document revision that the sender has for the service
-	Caller     netip.AddrPort // whose datagram it is; not set in Probe and Echo
+	Revision   order.Revision // revision of the service document that the sender has
+	Caller     netip.AddrPort // caller that sent or receives the datagram; not set in Probe and Echo
 	Entry      netip.AddrPort // link address of the entry
-	Server     uint32         // Forward: the server meant; else the sender's server ID
-	Nonce      uint64         // Probe and Echo: matches them; Return: the agent's incarnation
-	Load       uint16         // Return and Probe: share of slots and queue in use, 0 to 1000 and over
-	Candidates []uint32       // Forward of a flow that names no server: who may own it, best first
+	Server     uint32         // Forward: ID of the server that is to receive it; else the sender's server ID
+	Nonce      uint64         // Probe and Echo: matches the two; Return: the agent's process incarnation
+	Load       uint16         // Return and Probe: share of slots and queue in use, in thousandths; may exceed 1000
+	Candidates []uint32       // Forward, if the datagram names no server: servers that may own the flow, best first
 }
 
-// Append puts the header behind b, sealed with the key.
+// Append appends the header to b, authenticated with the key.
 func Append(b []byte, k *ident.Key, h *Header) []byte {
 	start := len(b)
 	n := min(len(h.Candidates), MaxCandidates)
@@ -111,17 +109,16 @@
 	return binary.BigEndian.AppendUint64(b, mac(k, b[start:]))
 }
 
-// Service reads which service a frame is of, before its key is known.
+// Service returns the tag of the service that a frame belongs to, before the service's keys are known.
 func Service(b []byte) (service uint64, err error) {
-	if len(b) < fixed+macSize {
+	if len(b) < fixedSize+macSize {
 		return 0, ErrShort
 	}
 	return binary.BigEndian.Uint64(b[6:]), nil
 }
 
-// Parse reads a frame of the ring's service. The payload points into b; the
-// candidates go into h.Candidates' own memory, so that a reused Header costs
-// no allocation.
+// Parse reads a frame of the ring's service into h. The payload points into b. Candidates are stored in the
+// memory of h.Candidates, so that a reused Header costs no allocation.
 func Parse(b []byte, r *ident.Ring, h *Header) (payload []byte, err error) {
 	service, err := Service(b)
 	if err != nil {
@@ -133,7 +130,7 @@
 	if service != r.Service {
 		return nil, ErrService
 	}
-	end := fixed + int(b[5])*4
+	end := fixedSize + int(b[5])*4
 	if len(b) < end+macSize {
 		return nil, ErrShort
 	}
@@ -157,7 +154,7 @@
 	h.Load = binary.BigEndian.Uint16(b[70:])
 	h.Candidates = h.Candidates[:0]
 	for i := range int(b[5]) {
-		h.Candidates = append(h.Candidates, binary.BigEndian.Uint32(b[fixed+4*i:]))
+		h.Candidates = append(h.Candidates, binary.BigEndian.Uint32(b[fixedSize+4*i:]))
 	}
 }
 
--- a/internal/flow/frame/frame_test.go
+++ b/internal/flow/frame/frame_test.go
@@ -22,7 +22,7 @@
 func sample(r *ident.Ring) Header {
 	return Header{
 		Kind:       Forward,
-		Flags:      Ask | Former,
+		Flags:      IfOwner | HasFormer,
 		Hops:       2,
 		Service:    r.Service,
 		Revision:   41,
@@ -54,19 +54,19 @@
 	})
 }
 
-// The frame of one service reaches an agent of another, because an address was
-// given to another service and an entry has not heard. The agent must refuse it.
+// A frame of one service reaches an agent of another service, because an address was reassigned and an entry
+// does not know it yet. The agent must refuse the frame.
 func TestFrameOfAnotherServiceIsRefused(t *testing.T) {
 	a, b := ring(t, "tracing-core"), ring(t, "doc-intake")
 	h := sample(a)
 	_, err := Parse(Append(nil, a.Current(), &h), b, &Header{})
 	assert.ErrorIs(t, err, ErrService)
-	h.Service = b.Service // and one that claims to be of this service
+	h.Service = b.Service // a frame that claims to belong to the agent's service
 	_, err = Parse(Append(nil, a.Current(), &h), b, &Header{})
 	assert.ErrorIs(t, err, ErrForged)
 }
 
-func TestDamageIsFound(t *testing.T) {
+func TestDamagedFramesAreRefused(t *testing.T) {
 	r := ring(t, "tracing-core")
 	h := sample(r)
 	good := Append(nil, r.Current(), &h)
@@ -82,7 +82,7 @@
 	}
 }
 
-// FuzzParse: no frame may panic or pass without the key.
+// FuzzParse checks that no frame causes a panic or is accepted without the key.
 func FuzzParse(f *testing.F) {
 	r := ring(f, "tracing-core")
 	h := sample(r)
--- a/internal/flow/packet/packet.go
+++ b/internal/flow/packet/packet.go
@@ -1,8 +1,8 @@
-// Package packet reads the part of a QUIC packet's header that all versions share
-// (RFC 8999): whether it is long or short, and the connection IDs.
+// Package packet reads the part of a QUIC packet's header that is the same in all versions (RFC 8999):
+// whether the header is long or short, and the destination connection ID.
 //
-// It is no QUIC implementation: nothing behind the connection IDs is looked at, so
-// a new version of QUIC needs no new balancer.
+// It is no QUIC implementation: it reads nothing behind the connection ID, so that a new version of QUIC does
+// not require a new balancer.
 //
 // # Usage
 //
@@ -20,27 +20,26 @@
 	"mangowinch/internal/flow/ident"
 )
 
-// MinOpener is the smallest datagram, in bytes, that may open a flow. RFC 9000
-// section 14.1 makes callers pad them; a smaller one would let a forger have
-// more bytes sent to a third party than it spends.
-const MinOpener = 1200
+// MinOpeningSize is the size in bytes of the smallest datagram that may open a flow. RFC 9000 section 14.1
+// requires callers to pad such datagrams. Smaller ones would let an attacker with a forged source address
+// cause more bytes to be sent to a third party than it sends itself.
+const MinOpeningSize = 1200
 
-// MaxID is the longest connection ID of the QUIC versions in use, in bytes.
-const MaxID = 20
+// MaxIDSize is the size in bytes of the longest connection ID of the QUIC versions in use.
+const MaxIDSize = 20
 
-// MinOpenerID is the shortest connection ID a caller may choose (RFC 9000
-// section 7.2), in bytes. It keeps flow keys apart.
-const MinOpenerID = 8
+// MinOpeningIDSize is the size in bytes of the shortest connection ID that a caller may choose (RFC 9000
+// section 7.2). IDs of this size keep the keys of flows distinct.
+const MinOpeningIDSize = 8
 
 // Errors of Parse.
 var (
-	ErrShort  = errors.New("datagram is too short for a QUIC header")
-	ErrID     = errors.New("connection ID is too long")
-	ErrOpener = errors.New("datagram is too small to open a flow")
+	ErrShort   = errors.New("datagram is too short for a QUIC header")
+	ErrID      = errors.New("connection ID is too long")
+	ErrOpening = errors.New("datagram or its connection ID is too small to open a flow")
 )
 
-// Header is the version-independent part of a packet's header. Its slice points
-// into the datagram.
+// Header is the version-independent part of a packet's header. Destination points into the datagram.
 type Header struct {
 	Long        bool
 	Version     uint32 // long headers only
@@ -60,7 +59,7 @@
 		return Header{}, ErrShort
 	}
 	n := int(b[5])
-	if n > MaxID {
+	if n > MaxIDSize {
 		return Header{}, ErrID
 	}
 	if len(b) < fixed+n+1 {
@@ -73,8 +72,8 @@
 	}, nil
 }
 
-// parseShort takes the ID's length as known: short headers go only to IDs that an
-// agent made.
+// parseShort parses a short header. The length of its ID is known, because callers send short headers only
+// with IDs that an agent created.
 func parseShort(b []byte) (h Header, err error) {
 	if len(b) < 1+ident.Length {
 		return Header{}, ErrShort
@@ -82,11 +81,11 @@
 	return Header{Destination: b[1 : 1+ident.Length]}, nil
 }
 
-// CheckOpener says whether a datagram with a caller-chosen ID may open a flow. It
-// returns ErrOpener if the datagram or its ID is too small.
-func CheckOpener(b []byte, h Header) error {
-	if !h.Long || len(b) < MinOpener || len(h.Destination) < MinOpenerID {
-		return ErrOpener
+// CheckOpening checks that a datagram with a caller-chosen ID may open a flow. It returns ErrOpening if the
+// header is short, or the datagram or its ID is too small.
+func CheckOpening(b []byte, h Header) error {
+	if !h.Long || len(b) < MinOpeningSize || len(h.Destination) < MinOpeningIDSize {
+		return ErrOpening
 	}
 	return nil
 }
--- a/internal/flow/packet/packet_test.go
+++ b/internal/flow/packet/packet_test.go
@@ -15,7 +15,7 @@
 }
 
 func TestParseLong(t *testing.T) {
-	h, err := Parse(long([]byte("8 or more"), MinOpener))
+	h, err := Parse(long([]byte("8 or more"), MinOpeningSize))
 	assert.NilError(t, err)
 	assert.Equal(t, string(h.Destination), "8 or more")
 	assert.Equal(t, h.Version, uint32(1))
@@ -29,26 +29,26 @@
 	assert.Equal(t, len(h.Destination), ident.Length)
 }
 
-// A forger sends small datagrams that open flows, so that servers answer its
-// victim with more bytes than it spends. They are refused before any server sees them.
-func TestSmallOpenerIsRefused(t *testing.T) {
+// An attacker forges a victim's address in small opening datagrams, so that servers send the victim more
+// bytes than the attacker sends. Such datagrams must be refused before they reach a server.
+func TestSmallOpeningIsRefused(t *testing.T) {
 	for _, c := range []struct {
 		id   string
 		size int
 		want error
 	}{
-		{"12345678", MinOpener, nil},
-		{"12345678", MinOpener - 1, ErrOpener},
-		{"1234567", MinOpener, ErrOpener},
+		{"12345678", MinOpeningSize, nil},
+		{"12345678", MinOpeningSize - 1, ErrOpening},
+		{"1234567", MinOpeningSize, ErrOpening},
 	} {
 		b := long([]byte(c.id), c.size)
 		h, err := Parse(b)
 		assert.NilError(t, err)
-		assert.ErrorIs(t, CheckOpener(b, h), c.want)
+		assert.ErrorIs(t, CheckOpening(b, h), c.want)
 	}
 }
 
-// FuzzParse: no datagram may panic, and what is read lies inside the datagram.
+// FuzzParse checks that no datagram causes a panic and that the ID lies inside the datagram.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte{})
 	f.Add([]byte{0xff})
@@ -61,8 +61,8 @@
 		if err != nil {
 			return
 		}
-		assert.Assert(t, len(h.Destination) <= MaxID)
+		assert.Assert(t, len(h.Destination) <= MaxIDSize)
 		assert.Assert(t, len(h.Destination) < len(b))
-		_ = CheckOpener(b, h)
+		_ = CheckOpening(b, h)
 	})
 }
--- a/internal/node/agent/link.go
+++ b/internal/node/agent/link.go
@@ -157,7 +157,7 @@
 		NamesServer: named,
 		Server:      owner.Server,
 		Candidates:  h.Candidates,
-		HasFormer:   h.Flags&frame.Former != 0,
+		HasFormer:   h.Flags&frame.HasFormer != 0,
 		Stage:       stage(h.Flags),
 		Hops:        int(h.Hops),
 	}
@@ -177,9 +177,9 @@
 
 func stage(f frame.Flag) table.Stage {
 	switch {
-	case f&frame.Ask != 0:
+	case f&frame.IfOwner != 0:
 		return table.IfOwner
-	case f&frame.Take != 0:
+	case f&frame.NoOwner != 0:
 		return table.NoOwner
 	default:
 		return table.Fresh
@@ -197,12 +197,12 @@
 	next := *h
 	next.Hops++
 	next.Server = d.Server
-	next.Flags = h.Flags &^ (frame.Ask | frame.Take)
+	next.Flags = h.Flags &^ (frame.IfOwner | frame.NoOwner)
 	switch d.Stage {
 	case table.IfOwner:
-		next.Flags |= frame.Ask
+		next.Flags |= frame.IfOwner
 	case table.NoOwner:
-		next.Flags |= frame.Take
+		next.Flags |= frame.NoOwner
 	}
 	b := make([]byte, 0, frame.MaxSize+len(payload))
 	b = frame.Append(b, v.ring.Current(), &next)
