--- a/internal/flow/frame/frame.go
+++ b/internal/flow/frame/frame.go
@@ -45,7 +45,7 @@
 const (
 	Leaving   Flag = 1 << iota // the sender takes no new work
 	Cold                       // the sender's backend server has just started (cold start)
-	IfOwner                    // Forward: the receiver keeps the datagram only if it owns the flow, and returns it otherwise
+	IfOwner                    // Forward: the receiver keeps the datagram if it owns the flow, else returns it
 	NoOwner                    // Forward: no other agent owns the flow
 	HasFormer                  // Forward: the last candidate is the choice under the previous document
 )
--- a/internal/flow/homes/homes.go
+++ b/internal/flow/homes/homes.go
@@ -1,10 +1,10 @@
 // Package homes determines the home of a flow: the agent that keeps the flow's location record.
 //
-// Any packet may reach any entry, and an entry only knows flows whose packets it has received. The owner of a flow (the
-// agent beside the server that holds it) therefore registers the flow at its home, and an entry that does not know a flow
-// sends its packets to the home. The home follows from the flow and the list of agents alone, by rendezvous hashing
-// (Thaler and Ravishankar, 1998). No process has to be notified of it, and when an agent is added or removed, only
-// the flows of that agent change their home.
+// Any packet may reach any entry, and an entry only knows flows whose packets it has received. The owner of a
+// flow (the agent beside the server that holds it) therefore registers the flow at its home, and an entry
+// that does not know a flow sends its packets to the home. The home follows from the flow and the list of
+// agents alone, by rendezvous hashing (Thaler and Ravishankar, 1998). No process has to be notified of it,
+// and when an agent is added or removed, only the flows of that agent change their home.
 //
 // The package does not store location records (package owner does).
 //
@@ -62,17 +62,17 @@
 }
 
 const (
-	// maxSelfLed is the largest number of agents with which each home is its own lead. A lookup round costs little
-	// then, and a separate lead would be another process that may be unavailable.
+	// maxSelfLed is the largest number of agents with which each home is its own lead. A lookup round costs
+	// little then, and a separate lead would be another process that may be unavailable.
 	maxSelfLed = 32
-	// homesPerLead is the number of homes that share a lead. With more homes per lead, more lookups share a round; with
-	// fewer, the work is spread over more agents.
+	// homesPerLead is the number of homes that share a lead. With more homes per lead, more lookups share a
+	// round; with fewer, the work is spread over more agents.
 	homesPerLead = 256
 )
 
-// Lead returns the agent that looks up the owners of flows on behalf of a home (package seek). Rank 0 is the first choice;
-// the agent of a higher rank replaces those of lower ranks if they do not answer. In a small fleet each home is its own
-// lead. ok is false if the list is empty.
+// Lead returns the agent that looks up the owners of flows on behalf of a home (package seek). Rank 0 is the
+// first choice; the agent of a higher rank replaces those of lower ranks if they do not answer. In a small
+// fleet each home is its own lead. ok is false if the list is empty.
 func (l *List) Lead(home netip.Addr, rank int) (lead netip.Addr, ok bool) {
 	if len(l.agents) <= maxSelfLed {
 		return home, len(l.agents) > 0
--- a/internal/flow/homes/homes_test.go
+++ b/internal/flow/homes/homes_test.go
@@ -20,7 +20,8 @@
 	return segs.Flow{Caller: [4]byte{100, 64, byte(n >> 8), byte(n)}, CallerPort: 1025, Service: [4]byte{198, 18, 0, 1}, Port: 443}
 }
 
-// When an agent is removed, only its flows may change their home. Otherwise all owners would register their flows again.
+// When an agent is removed, only its flows may change their home. Otherwise all owners would register their
+// flows again.
 func TestOnlyFlowsOfARemovedAgentMove(t *testing.T) {
 	all := agents(20)
 	before, after := New(all), New(all[1:])
@@ -44,8 +45,8 @@
 	assert.Assert(t, !ok)
 }
 
-// In a small fleet each home is its own lead. In a large one homes share a few leads, so that lookups share rounds, and each
-// home has replacements for a lead that does not answer.
+// In a small fleet each home is its own lead. In a large one homes share a few leads, so that lookups share
+// rounds, and each home has replacements for a lead that does not answer.
 func TestHomesOfALargeFleetShareLeads(t *testing.T) {
 	small := New(agents(maxSelfLed))
 	for _, home := range small.Agents() {
--- a/internal/flow/msgs/alive.go
+++ b/internal/flow/msgs/alive.go
@@ -5,8 +5,9 @@
 	"net/netip"
 )
 
-// Ping asks a process whether it is alive, directly or through another process (an indirect probe): a receiver that is not
-// Target relays the message to Target once. This distinguishes a broken path between two processes from a failed process.
+// Ping asks a process whether it is alive, directly or through another process (an indirect probe): a
+// receiver that is not Target relays the message to Target once. This distinguishes a broken path between two
+// processes from a failed process.
 type Ping struct {
 	Header
 	Target  netip.Addr
--- a/internal/flow/msgs/beacon.go
+++ b/internal/flow/msgs/beacon.go
@@ -14,7 +14,8 @@
 	Agent
 )
 
-// Beacon announces how current its sender's view is: Age ago, the sender knew all changes up to Header.Revision.
+// Beacon announces how current its sender's view is: Age ago, the sender knew all changes up to
+// Header.Revision.
 type Beacon struct {
 	Header
 	Role         Role
@@ -31,7 +32,7 @@
 // Reader is a process that reads the platform itself.
 type Reader struct {
 	Process netip.Addr
-	Age     uint16 // milliseconds since any process last received word that it reads the platform
+	Age     uint16 // milliseconds since any process last observed that it reads the platform
 }
 
 const readerSize = 6
--- a/internal/flow/msgs/msgs.go
+++ b/internal/flow/msgs/msgs.go
@@ -1,8 +1,8 @@
 // Package msgs encodes and decodes the datagrams that entries and agents exchange about opaque flows.
 //
-// A datagram may be lost, delayed or duplicated, so no message depends on the arrival of another one. Each message
-// carries the newest revision that its sender knows, so that a receiver with an older one learns of it from the
-// traffic itself. The package makes no decisions and uses no sockets.
+// A datagram may be lost, delayed or duplicated, so no message depends on the arrival of another one. Each
+// message carries the newest revision that its sender knows, so that a receiver with an older one learns of
+// it from the traffic itself. The package makes no decisions and uses no sockets.
 //
 // # Usage
 //
@@ -65,7 +65,8 @@
 	return "other"
 }
 
-// CarriesPacket reports whether messages of the kind consist mainly of a caller's packet. All others are control messages.
+// CarriesPacket reports whether messages of the kind consist mainly of a caller's packet. All others are
+// control messages.
 func (k Kind) CarriesPacket() bool {
 	switch k {
 	case KindForward, KindOffer, KindRefused:
--- a/internal/flow/msgs/owner.go
+++ b/internal/flow/msgs/owner.go
@@ -32,8 +32,8 @@
 	return Opened{Header: h, Flow: segs.FlowFrom(b), Seq: binary.LittleEndian.Uint32(b[segs.FlowSize:]), Load: loadFrom(b[segs.FlowSize+4:])}, nil
 }
 
-// Owner notifies an entry that the sender owns a flow or, with NoOwner, that no agent does. With Open, the server holds
-// the flow; otherwise the flow waits to be opened.
+// Owner notifies an entry that the sender owns a flow or, with NoOwner, that no agent does. With Open, the
+// server holds the flow; otherwise the flow waits to be opened.
 type Owner struct {
 	Header
 	Flow    segs.Flow
@@ -62,7 +62,8 @@
 	Seq  uint32
 }
 
-// MaxLocations is the number of locations that fit into a datagram of 1,200 bytes, which passes any link unfragmented.
+// MaxLocations is the number of locations that fit into a datagram of 1,200 bytes, which passes any link
+// unfragmented.
 const MaxLocations = (1200 - headerSize) / locationSize
 
 const locationSize = segs.FlowSize + 4
--- a/internal/flow/msgs/packet.go
+++ b/internal/flow/msgs/packet.go
@@ -5,8 +5,8 @@
 	"net/netip"
 )
 
-// Forward carries a caller's packet. With Probe, the receiver is to send the packet to its server even if it does not know
-// the flow.
+// Forward carries a caller's packet. With Probe, the receiver is to send the packet to its server even if it
+// does not know the flow.
 type Forward struct {
 	Header
 	Origin     netip.Addr // entry that received the packet from the caller
@@ -73,8 +73,8 @@
 	Utilization uint16 // requests in progress or expected, in hundredths of the server's slots
 }
 
-// Offer carries an opening packet that agents offer to each other to find a less busy server. With Final, the receiver's
-// server was the least busy one visited, and the receiver has to take the flow.
+// Offer carries an opening packet that agents offer to each other to find a less busy server. With Final, the
+// receiver's server was the least busy one visited, and the receiver has to take the flow.
 type Offer struct {
 	Header
 	Origin     netip.Addr // entry that placed the flow
@@ -139,14 +139,15 @@
 	ReasonService: "service", ReasonRoute: "route", ReasonTable: "table", ReasonBusy: "busy", ReasonUnresponsive: "mute", ReasonFailing: "fails", ReasonEvacuated: "evacuated"}
 
 // String returns the reason's name in logs and metrics.
-func (w Reason) String() string {
-	if int(w) < len(reasonNames) && reasonNames[w] != "" {
-		return reasonNames[w]
+func (r Reason) String() string {
+	if int(r) < len(reasonNames) && reasonNames[r] != "" {
+		return reasonNames[r]
 	}
 	return "other"
 }
 
-// Refused returns an opening packet to the entry, which may place it elsewhere, because no server has accepted it.
+// Refused returns an opening packet to the entry, which may place it elsewhere, because no server has
+// accepted it.
 type Refused struct {
 	Header
 	Reason Reason
--- a/internal/flow/msgs/search.go
+++ b/internal/flow/msgs/search.go
@@ -40,8 +40,8 @@
 	return Lookup{Header: h, Question: questionFrom(b)}, nil
 }
 
-// LookupResult answers a Lookup. Owner holds the flow. If Owner is not valid, any agent in Unsure may hold it; if Unsure
-// is empty too, no agent holds it.
+// LookupResult answers a Lookup. Owner holds the flow. If Owner is not valid, any agent in Unsure may hold
+// it; if Unsure is empty too, no agent holds it.
 type LookupResult struct {
 	Header
 	Flow      segs.Flow
@@ -156,7 +156,7 @@
 	return m, nil
 }
 
-// ProbeResult answers a Forward that was a probe: it tells whether the probed server holds the flow.
+// ProbeResult answers a Forward that was a probe: it reports whether the probed server holds the flow.
 type ProbeResult struct {
 	Header
 	Flow segs.Flow
--- a/internal/flow/owner/agent.go
+++ b/internal/flow/owner/agent.go
@@ -59,7 +59,8 @@
 // Get returns the state of a flow, or nil if the flow is unknown.
 func (t *Agent) Get(f segs.Flow) *Flow { return t.flows[f] }
 
-// Add returns the state of a flow and creates it if needed. It returns nil if the flow is new and the table is full.
+// Add returns the state of a flow and creates it if needed. It returns nil if the flow is new and the table
+// is full.
 func (t *Agent) Add(now time.Time, f segs.Flow) *Flow {
 	if o := t.flows[f]; o != nil {
 		return o
@@ -98,7 +99,7 @@
 	o.Accepted, o.Seq, o.acceptedAt = true, seq, now
 }
 
-// Learn records that the server holds a flow whose opening was not observed. seq is not after any
+// Learn records that the server holds a flow whose opening was not observed. seq must not be greater than any
 // sequence number that the caller may acknowledge.
 func (t *Agent) Learn(o *Flow, seq uint32) {
 	o.Accepted, o.Seq, o.Open, o.Requested = true, seq, true, true
@@ -125,7 +126,7 @@
 
 // addData records the data of a caller's packet and reports whether it is new. A caller retransmits data
 // whose acknowledgement was lost, even after the answer. Counted as a request, such data would never be
-// answered, and the server would seem busy for good.
+// answered, and the server would seem permanently busy.
 func (o *Flow) addData(s *segs.Segment) bool {
 	if s.Len == 0 {
 		return false
@@ -166,14 +167,15 @@
 	return took
 }
 
-// answers reports whether a server's packet counts as the first of an answer. On a flow for one request, the closing
-// packet may overtake the data before it. If it did not count, a server of such flows would seem never to answer.
+// answers reports whether a server's packet counts as the first of an answer. On a flow for one request, the
+// closing packet may overtake the data before it. If it did not count, a server of such flows would seem
+// never to answer.
 func answers(s *segs.Segment) bool { return s.Len > 0 || s.Has(segs.Fin) && !s.Has(segs.Rst) }
 
 // Lifetimes bounds how long flows are kept.
 type Lifetimes struct {
 	Idle    time.Duration // without a packet
-	MaxAge  time.Duration // since the flow began
+	MaxAge  time.Duration // since the flow was created
 	Closed  time.Duration // after both ends have closed
 	Opening time.Duration // without the server's answer to the opening packet
 }
@@ -251,14 +253,14 @@
 	}
 }
 
-// Expire removes registrations older than life.
-func (h *Home) Expire(now time.Time, life time.Duration) {
+// Expire removes registrations older than maxAge.
+func (h *Home) Expire(now time.Time, maxAge time.Duration) {
 	if now.Sub(h.lastSweep) < sweepInterval {
 		return
 	}
 	h.lastSweep = now
 	for f, r := range h.flows {
-		if now.Sub(r.registeredAt) > life {
+		if now.Sub(r.registeredAt) > maxAge {
 			delete(h.flows, f)
 		}
 	}
--- a/internal/flow/owner/entry.go
+++ b/internal/flow/owner/entry.go
@@ -39,15 +39,16 @@
 	Claimed    bool      // an agent has announced that it owns the flow
 	Returned   bool      // an agent has returned the opening packet
 	Ack        uint32    // the caller's last acknowledgement; 0 before its first packet after the opening ones
-	// Owner is the agent whose server is known to hold the open flow: the agent has announced it, or the caller
-	// has acknowledged the sequence number with which the server accepted the flow. Candidates alone do not show
-	// the owner, because not every server that accepts is the one that the caller chooses. The zero Addr means unknown.
+	// Owner is the agent whose server is known to hold the open flow: the agent has announced it, or the
+	// caller has acknowledged the sequence number with which the server accepted the flow. Candidates alone
+	// do not show the owner, because not every server that accepts is the one that the caller chooses. The
+	// zero Addr means unknown.
 	Owner   netip.Addr
 	dataEnd uint32 // sequence number after the caller's last data
 }
 
-// Observe records a caller's packet on the open flow and reports whether it retransmits the data of the previous
-// one, which means that this data has not been answered.
+// Observe records a caller's packet on the open flow and reports whether it retransmits the data of the
+// previous one, which means that this data has not been answered.
 func (p *EntryFlow) Observe(s *segs.Segment) bool {
 	p.Ack = s.Ack
 	for _, c := range p.Candidates {
@@ -107,9 +108,9 @@
 	p.Candidates = append(p.Candidates, Candidate{Agent: agent, Seq: seq, Accepted: true})
 }
 
-// MarkReturned records that an agent has returned the opening packet. If that agent had announced that the flow
-// waits there, no agent has the flow any more. With the outdated claim, the flow would not be placed elsewhere, and
-// its caller would wait until it gives up.
+// MarkReturned records that an agent has returned the opening packet. If that agent had announced that the
+// flow waits there, no agent has the flow any more. With the outdated claim, the flow would not be placed
+// elsewhere, and its caller would wait until it gives up.
 func (p *EntryFlow) MarkReturned(agent netip.Addr) {
 	if last := p.Last(); last != nil && last.Agent == agent && !p.Owner.IsValid() {
 		p.Claimed = false
@@ -142,7 +143,8 @@
 // Get returns the state of a flow, or nil if the flow is unknown.
 func (t *Entry) Get(f segs.Flow) *EntryFlow { return t.flows[f] }
 
-// Add returns the state of a flow and creates it if needed. It returns nil if the flow is new and the table is full.
+// Add returns the state of a flow and creates it if needed. It returns nil if the flow is new and the table
+// is full.
 func (t *Entry) Add(now time.Time, f segs.Flow) *EntryFlow {
 	if p := t.flows[f]; p != nil {
 		return p
@@ -158,7 +160,8 @@
 // Delete removes a flow.
 func (t *Entry) Delete(f segs.Flow) { delete(t.flows, f) }
 
-// OwnedBy returns the flows that an agent is known to own and on which the caller has sent a packet after the opening ones.
+// OwnedBy returns the flows that an agent is known to own and on which the caller has sent a packet after the
+// opening ones.
 func (t *Entry) OwnedBy(agent netip.Addr) (flows []segs.Flow) {
 	for f, p := range t.flows {
 		if p.Owner == agent && p.Ack != 0 {
--- a/internal/flow/owner/owner_test.go
+++ b/internal/flow/owner/owner_test.go
@@ -23,9 +23,9 @@
 	return &segs.Segment{Flow: flow, Flags: segs.Ack, Seq: seq, Len: 100}
 }
 
-// Two servers accept a flow and the caller chooses one. If the check were too loose, the caller's acknowledgement would
-// match the other server's sequence number by chance once in 64 flows: that server would return the packet, and the
-// open flow would be reset.
+// Two servers accept a flow and the caller chooses one. If the check were too loose, the caller's
+// acknowledgement would match the other server's sequence number by chance once in 64 flows: that server
+// would return the packet, and the open flow would be reset.
 func TestHalfOpenFlowFitsOnlyPacketsOfItsServer(t *testing.T) {
 	table := NewAgent(10, parts.Off{})
 	o := table.Add(now, flow)
@@ -72,8 +72,8 @@
 	assert.Assert(t, a.Add(now, flow) != nil && e.Add(now, flow) != nil)
 }
 
-// A request that its caller gave up, or whose answer was never observed, must not use a slot of the server for the
-// rest of the flow.
+// A request that its caller gave up, or whose answer was never observed, must not use a slot of the server
+// for the rest of the flow.
 func TestRequestsWithoutAnAnswerAreOverdue(t *testing.T) {
 	table := NewAgent(10, parts.Off{})
 	o := table.Add(now, flow)
@@ -104,8 +104,8 @@
 	assert.Equal(t, table.Expected(now), 0)
 }
 
-// The packet that closes a flow may overtake the answer's data. If it did not count as an answer, the server would seem
-// never to answer.
+// The packet that closes a flow may overtake the answer's data. If it did not count as an answer, the server
+// would seem never to answer.
 func TestClosingPacketBeforeItsDataIsAnAnswer(t *testing.T) {
 	table := NewAgent(10, parts.Off{})
 	o := table.Add(now, flow)
@@ -117,8 +117,8 @@
 	assert.Equal(t, took, time.Duration(0), "counted once")
 }
 
-// A restarted agent learns a flow from its server's acknowledgement, while the caller retransmits a request that the
-// server already has. The retransmission must not count as a request.
+// A restarted agent learns a flow from its server's acknowledgement, while the caller retransmits a request
+// that the server already has. The retransmission must not count as a request.
 func TestAcknowledgedDataIsNoRequest(t *testing.T) {
 	table := NewAgent(10, parts.Off{})
 	o := table.Add(now, flow)
@@ -130,8 +130,9 @@
 	assert.Equal(t, table.Expected(now), 1)
 }
 
-// After a power loss, callers have waited for a second, and many flows are accepted after their caller gave up. If each of
-// them reserved a slot for 300 ms, servers would be idle while flows of waiting callers are refused.
+// After a power loss, callers have waited for a second, and many flows are accepted after their caller gave
+// up. If each of them reserved a slot for 300 ms, servers would be idle while flows of waiting callers are
+// refused.
 func TestFlowsWithoutARequestFreeTheirSlotsSoon(t *testing.T) {
 	table := NewAgent(100, parts.Off{})
 	ask := &segs.Segment{Flags: segs.Ack, Seq: 1, Len: 100}
--- a/internal/flow/owner/work.go
+++ b/internal/flow/owner/work.go
@@ -8,24 +8,25 @@
 )
 
 const (
-	// acceptTimeout is how long a flow that its server has not accepted counts as using a slot. Servers normally
-	// accept within a millisecond.
+	// acceptTimeout is how long a flow that its server has not accepted counts as using a slot. Servers
+	// normally accept within a millisecond.
 	acceptTimeout = 300 * time.Millisecond
-	// initialRequestDelay is the assumed delay from a flow's acceptance to its first request until flows have shown
-	// the actual delay. It covers two trips to the caller, which take 4 to 12 ms.
+	// initialRequestDelay is the assumed delay from a flow's acceptance to its first request until flows have
+	// shown the actual delay. It covers two trips to the caller, which take 4 to 12 ms.
 	initialRequestDelay = 12 * time.Millisecond
-	// requestDelayFactor and minRequestDelay bound how long a flow's first request is awaited: four times the average
-	// delay. After that the caller has given up, and a slot reserved for the request stays idle. After a power loss, with
-	// callers that had waited for a second, two of five flows never had a request; reserving a slot for 300 ms for
-	// each of them made servers serve a third less than they could.
+	// requestDelayFactor and minRequestDelay bound how long a flow's first request is awaited: four times the
+	// average delay. After that the caller has given up, and a slot reserved for the request stays idle.
+	// After a power loss, with callers that had waited for a second, two of five flows never had a request;
+	// reserving a slot for 300 ms for each of them made servers serve a third less than they could.
 	requestDelayFactor = 4
 	minRequestDelay    = 10 * time.Millisecond
-	// minOverdueAge and overdueFactor bound how long a request without an answer counts as using a slot: eight times
-	// the average answer time, but half a second at least. Requests take at most six times their average.
+	// minOverdueAge and overdueFactor bound how long a request without an answer counts as using a slot:
+	// eight times the average answer time, but half a second at least. Requests take at most six times their
+	// average.
 	minOverdueAge = 500 * time.Millisecond
 	overdueFactor = 8
-	// overdueRetention is how long an overdue request counts against its server. The longest deadline of short
-	// requests is 4 s.
+	// overdueRetention is how long an overdue request counts against its server. The longest deadline of
+	// short requests is 4 s.
 	overdueRetention = 4 * time.Second
 	// averageWindow is the number of samples over which the moving averages extend.
 	averageWindow = 32
@@ -38,9 +39,9 @@
 }
 
 // requests counts the requests of an agent's server from the packets that pass the agent. After a restart of
-// the agent, a retransmitted packet may look like a request whose answer the agent has missed. Such a request soon
-// becomes overdue; if it counted as in progress until its flow ends, it would keep new flows away from an idle
-// server for seconds.
+// the agent, a retransmitted packet may look like a request whose answer the agent has missed. Such a request
+// soon becomes overdue; if it counted as in progress until its flow ends, it would keep new flows away from
+// an idle server for seconds.
 type requests struct {
 	off       parts.Off
 	unused    []pending     // flows that may not have had their first request yet
@@ -97,7 +98,8 @@
 	return len(r.unused), len(r.active) - overdue, overdue
 }
 
-// filter keeps the elements that want selects, in place. It clears the rest of the list so that flows can be freed.
+// filter keeps the elements that want selects, in place. It clears the rest of the list so that flows can be
+// freed.
 func filter(list []pending, want func(pending) bool) []pending {
 	kept := list[:0]
 	for _, p := range list {
@@ -115,8 +117,8 @@
 	return unused + active
 }
 
-// Overdue returns how many requests of the last seconds are overdue. A count above zero indicates a server that
-// hangs or fails a part of its requests.
+// Overdue returns how many requests of the last seconds are overdue. A count above zero indicates a server
+// that hangs or fails a part of its requests.
 func (t *Agent) Overdue(now time.Time) int {
 	_, _, overdue := t.requests.count(now)
 	return overdue
--- a/internal/flow/paths/paths.go
+++ b/internal/flow/paths/paths.go
@@ -1,24 +1,26 @@
 // Package paths chooses the entry through which an agent sends datagrams to a caller.
 //
-// A feed sends in one direction: its caller sends nothing until it receives something. If the entry that an agent answers
-// through has failed, the agent thus receives nothing that would show the failure, and QUIC backs off exponentially: the last
-// of 100 feeds ended 56 s late. The agent therefore tracks when it last received a frame, of any flow, from each entry, and
-// probes an entry in use that has become idle.
+// A feed sends in one direction: its caller sends nothing until it receives something. If the entry that an
+// agent answers through has failed, the agent thus receives nothing that would show the failure, and QUIC
+// backs off exponentially: the last of 100 feeds ended 56 s late. The agent therefore tracks when it last
+// received a frame, of any flow, from each entry, and probes an entry in use that has become idle.
 //
-// An entry may also work in one direction only. If the path from agent to entry is cut, the echo of a probe is missing,
-// because a probe makes the round trip. If the path from entry to caller is cut, echoes arrive but the caller sends
-// nothing. As soon as an acknowledgement of the caller is overdue, datagrams to this caller alternate between entries until
-// the caller sends again. A caller that goes on sending although its answers are lost, as in an upload, is not detected in this
-// way. Whenever a caller sends after a pause, its answers therefore go through the entry that forwarded its datagram. QUIC pauses
-// longer after each loss, and the fabric delivers the caller's next datagram through any entry that the caller can reach:
-// during a network partition, one on its own side. Within a stream of datagrams the entry stays the same, because
+// An entry may also work in one direction only. If the path from agent to entry is cut, the echo of a probe
+// is missing, because a probe makes the round trip. If the path from entry to caller is cut, echoes arrive
+// but the caller sends nothing. As soon as an acknowledgement of the caller is overdue, datagrams to this
+// caller alternate between entries until the caller sends again. A caller that goes on sending although its
+// answers are lost, as in an upload, is not detected in this way. Whenever a caller sends after a pause, its
+// answers therefore go through the entry that forwarded its datagram. QUIC pauses longer after each loss, and
+// the fabric delivers the caller's next datagram through any entry that the caller can reach: during a
+// network partition, one on its own side. Within a stream of datagrams the entry stays the same, because
 // alternating would reorder them.
 //
-// An agent answers through a small active set of entries. With 800 entries, an agent receives too few datagrams from each
-// of them to detect failures from those alone, and if each of 6,800 agents probed only four entries five times a second, an
-// entry would receive 37 KB a second. A caller's reaction is therefore evidence as well: if a caller that was silent is sent a
-// datagram through an entry and sends one at once through any other entry, the first entry has delivered the datagram.
-// Entries are probed only while one in use lacks any such evidence.
+// An agent answers through a small active set of entries. With 800 entries, an agent receives too few
+// datagrams from each of them to detect failures from those alone, and if each of 6,800 agents probed only
+// four entries five times a second, an entry would receive 37 KB a second. A caller's reaction is therefore
+// evidence as well: if a caller that was silent is sent a datagram through an entry and sends one at once
+// through any other entry, the first entry has delivered the datagram. Entries are probed only while one in
+// use lacks any such evidence.
 //
 // The package does no input or output. The current time is a parameter.
 //
@@ -42,30 +44,31 @@
 	ProbeEvery = 100 * time.Millisecond
 	// probeAfter is how long an entry in use may be idle before it is probed.
 	probeAfter = 150 * time.Millisecond
-	// FailAfter is how long an entry may be idle before it counts as failed and flows leave it: time for probeAfter, two
-	// probes and a round trip of some milliseconds.
+	// FailAfter is how long an entry may be idle before it counts as failed and flows leave it: time for
+	// probeAfter, two probes and a round trip of some milliseconds.
 	FailAfter = 400 * time.Millisecond
-	// maxActive is the number of entries in the active set. With four, two may fail at once and a caller's datagrams can
-	// still alternate between two others.
+	// maxActive is the number of entries in the active set. With four, two may fail at once and a caller's
+	// datagrams can still alternate between two others.
 	maxActive = 4
-	// unackedTimeout is how long a caller may leave datagrams without an acknowledgement. QUIC acknowledges within 25 ms
-	// and a round trip of 2 to 8 ms; three times as long indicates a loss.
+	// unackedTimeout is how long a caller may leave datagrams without an acknowledgement. QUIC acknowledges
+	// within 25 ms and a round trip of 2 to 8 ms; three times as long indicates a loss.
 	unackedTimeout = 100 * time.Millisecond
-	// minPause is how long a caller must have sent nothing for its next datagram to change the entry that it is answered
-	// through. It is longer than the delay of an acknowledgement, so that the entry never changes within a stream, and
-	// shorter than the time to the second retransmission, so that an upload has six or more attempts before an idle
-	// timeout of 5 s.
+	// minPause is how long a caller must have sent nothing for its next datagram to change the entry that it
+	// is answered through. It is longer than the delay of an acknowledgement, so that the entry never changes
+	// within a stream, and shorter than the time to the second retransmission, so that an upload has six or
+	// more attempts before an idle timeout of 5 s.
 	minPause = 50 * time.Millisecond
 	// inUseFor is how long an entry counts as in use after a datagram was sent through it.
 	inUseFor = time.Second
-	// minSilence is how long a caller must have sent nothing before it is sent a datagram, for its next datagram to
-	// count as a reaction. Callers that stream, as in an upload, send all the time, which proves nothing.
+	// minSilence is how long a caller must have sent nothing before it is sent a datagram, for its next
+	// datagram to count as a reaction. Callers that stream, as in an upload, send all the time, which proves
+	// nothing.
 	minSilence = 10 * time.Millisecond
-	// minUnacked is the number of unacknowledged datagrams above which an acknowledgement can be overdue, so that a
-	// last datagram that needs no acknowledgement does not change the entry.
+	// minUnacked is the number of unacknowledged datagrams above which an acknowledgement can be overdue, so
+	// that a last datagram that needs no acknowledgement does not change the entry.
 	minUnacked = 2
-	// retention is how long an entry or a caller without traffic is kept. The idle timeout of QUIC in this project's
-	// settings is shorter.
+	// retention is how long an entry or a caller without traffic is kept. The idle timeout of QUIC in this
+	// project's settings is shorter.
 	retention = 2 * time.Minute
 	// maxEntries bounds the number of entries kept. The largest deployment that the design covers has 800.
 	maxEntries = 2048
@@ -81,7 +84,7 @@
 }
 
 type entry struct {
-	lastReceived time.Time
+	lastReceived time.Time // last frame from it, or reaction of a caller to a datagram sent through it
 	lastSent     time.Time // when a datagram was last sent through it
 	leaving      bool
 }
@@ -92,8 +95,9 @@
 	unacked      int            // datagrams sent since lastReceived
 	index        int            // position in the active set, modulo its size
 	sentVia      netip.AddrPort // entry of all datagrams sent since lastReceived; not valid if there were several
-	// via is the entry that forwarded the caller's first datagram after its last pause. The caller is answered through it
-	// while it is live. It is not valid while an acknowledgement of the caller is overdue.
+	// via is the entry that forwarded the caller's first datagram after its last pause. The caller is
+	// answered through it while it is live. It is not valid while an acknowledgement of the caller is
+	// overdue.
 	via netip.AddrPort
 }
 
@@ -106,8 +110,8 @@
 	}
 }
 
-// Received records a caller's datagram that arrived through the entry via. leaving reports whether the entry is about
-// to stop.
+// Received records a caller's datagram that arrived through the entry via. leaving reports whether the entry
+// is about to stop.
 func (s *Selector) Received(now time.Time, via, from netip.AddrPort, leaving bool) {
 	s.MarkAlive(now, via, leaving)
 	c := s.callers[from]
@@ -136,9 +140,9 @@
 	return c.unacked > 0 && c.unackedSince.Sub(c.lastReceived) > minSilence && now.Sub(c.unackedSince) < unackedTimeout
 }
 
-// updateVia sets the entry through which a caller is answered that has sent after a pause, to the entry that forwarded its
-// datagram. If the last answers went through that entry too and have been unacknowledged for as long as a pause, they may
-// never arrive that way, and another entry is tried.
+// updateVia chooses the entry for the answers to a caller that has sent a datagram after a pause: the entry
+// that forwarded the datagram. If the last answers went through this entry too and have been unacknowledged
+// for as long as a pause, they may never arrive that way, and another entry is tried.
 func (s *Selector) updateVia(now time.Time, c *caller, via netip.AddrPort) {
 	overdue := c.unacked > 0 && now.Sub(c.unackedSince) > minPause
 	if !overdue || c.via != via {
@@ -171,8 +175,8 @@
 	}
 }
 
-// Choose returns the entry through which to send a datagram to a caller, and records that it is sent. ok is false if no
-// entry is known.
+// Choose returns the entry through which to send a datagram to a caller, and records that it is sent. ok is
+// false if no entry is known.
 func (s *Selector) Choose(now time.Time, to netip.AddrPort) (via netip.AddrPort, ok bool) {
 	if len(s.active) == 0 {
 		return s.any()
@@ -210,8 +214,9 @@
 	return via
 }
 
-// liveFrom returns the first live entry of the active set from an index on. If none is live, it returns the one at the
-// index: a lost datagram costs less than one that is not sent, and the next call of Probes refreshes the set.
+// liveFrom returns the first live entry of the active set from an index on. If none is live, it returns the
+// one at the index: a lost datagram costs less than one that is not sent, and the next call of Probes
+// refreshes the set.
 func (s *Selector) liveFrom(now time.Time, index int) netip.AddrPort {
 	n := len(s.active)
 	for i := range n {
@@ -235,9 +240,9 @@
 	return !e.leaving && now.Sub(e.lastReceived) < FailAfter
 }
 
-// Probes refreshes the active set and returns the entries to be probed now. As soon as an entry in use is idle, these are
-// all idle active entries, so that a live one is known before the one in use counts as failed. Probes also evicts entries and
-// callers that have had no traffic for long.
+// Probes refreshes the active set and returns the entries to be probed now. As soon as an entry in use is
+// idle, these are all idle active entries, so that a live one is known before the one in use counts as
+// failed. Probes also evicts entries and callers that have had no traffic for long.
 func (s *Selector) Probes(now time.Time) (toProbe []netip.AddrPort) {
 	suspect := false
 	for _, a := range s.active {
@@ -258,9 +263,9 @@
 	return toProbe
 }
 
-// refreshActive replaces active entries that have failed or are leaving by the live ones that a frame was received from
-// most recently. A failed entry without a replacement stays and continues to be probed: after an agent was paused, or cut off
-// from all entries, every entry seems to have failed.
+// refreshActive replaces active entries that have failed or are leaving by the live ones that a frame was
+// received from most recently. A failed entry without a replacement stays and continues to be probed: after
+// an agent was paused, or cut off from all entries, every entry seems to have failed.
 func (s *Selector) refreshActive(now time.Time) {
 	var spare []netip.AddrPort
 	for a, e := range s.entries {
@@ -303,7 +308,7 @@
 // Status is the state of an entry for operators. It is encoded under the names of its fields.
 type Status struct {
 	Entry   netip.AddrPort
-	Quiet   time.Duration // time since a frame was last received from it
+	Quiet   time.Duration // time since the last frame from it, or reaction of a caller to a datagram sent through it
 	Live    bool
 	Leaving bool
 	Active  bool // it is in the active set
--- a/internal/flow/paths/paths_test.go
+++ b/internal/flow/paths/paths_test.go
@@ -16,8 +16,9 @@
 	return netip.MustParseAddrPort(fmt.Sprintf("127.0.1.%d:7000", i))
 }
 
-// run sends a datagram each step and lets the entries that echoes selects answer probes. heardBy returns the entry through
-// which the caller's acknowledgement arrives, if it does. run returns how many datagrams went through each entry.
+// run sends a datagram each step and lets the entries that echoes selects answer probes. heardBy returns the
+// entry through which the caller's acknowledgement arrives, if it does. run returns how many datagrams went
+// through each entry.
 func run(s *Selector, now time.Time, steps int, echoes func(netip.AddrPort) bool, heardBy func(sent netip.AddrPort) (netip.AddrPort, bool)) (sent map[netip.AddrPort]int, end time.Time) {
 	sent = make(map[netip.AddrPort]int)
 	const step = 20 * time.Millisecond
@@ -52,8 +53,8 @@
 
 func always(netip.AddrPort) bool { return true }
 
-// A feed is open whose caller sends nothing, and the entry that the agent answers through fails. The feed must continue through
-// another entry within half a second, although the agent is not notified.
+// A feed is open whose caller sends nothing, and the entry that the agent answers through fails. The feed
+// must continue through another entry within half a second, although the agent is not notified.
 func TestOneWayFeedLeavesDeadEntry(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := selector(now, 4)
@@ -70,9 +71,9 @@
 	assert.Equal(t, total, 50)
 }
 
-// An entry still works towards agents but no longer towards callers: probes are echoed, but no datagram arrives. At most half
-// of the datagrams may go through it while the caller sends nothing, so that the connection recovers within a retransmission
-// or two.
+// An entry still works towards agents but no longer towards callers: probes are echoed, but no datagram
+// arrives. At most half of the datagrams may go through it while the caller sends nothing, so that the
+// connection recovers within a retransmission or two.
 func TestHalfDeadEntryIsLeftByAlternating(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := selector(now, 4)
@@ -84,7 +85,8 @@
 	assert.Assert(t, len(sent) == 4)
 }
 
-// An entry announces that it is stopping. No datagram may go through it from then on, even while it still runs.
+// An entry announces that it is stopping. No datagram may go through it from then on, even while it still
+// runs.
 func TestLeavingEntryIsNotUsed(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := selector(now, 3)
@@ -93,8 +95,8 @@
 	assert.Equal(t, sent[entryAt(1)], 0)
 }
 
-// An agent is paused for a minute. Afterwards every entry seems to have failed. The agent must go on sending and find the
-// live entries by its probes.
+// An agent is paused for a minute. Afterwards every entry seems to have failed. The agent must go on sending
+// and find the live entries by its probes.
 func TestPauseLosesNobody(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := selector(now, 4)
@@ -120,9 +122,9 @@
 	assert.Equal(t, len(s.Probes(now.Add(probeAfter))), maxActive)
 }
 
-// 6,800 agents answer feeds with a line each half second through 800 entries. If all idle entries were probed all the time,
-// an entry would receive 37 KB a second, twice its budget. Callers that acknowledge each line must be evidence enough, and an
-// idle agent must probe no entry.
+// 6,800 agents answer feeds with a line each half second through 800 entries. If all idle entries were probed
+// all the time, an entry would receive 37 KB a second, twice its budget. Callers that acknowledge each line
+// must be evidence enough, and an idle agent must probe no entry.
 func TestReactionsSpareProbes(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := selector(now, 4)
@@ -139,8 +141,8 @@
 	assert.Equal(t, probes, 0)
 }
 
-// A caller uploads without a pause while the entry that its acknowledgements go through has failed. The datagrams that it goes
-// on sending must not count as reactions.
+// A caller uploads without a pause while the entry that its acknowledgements go through has failed. The
+// datagrams that it goes on sending must not count as reactions.
 func TestUploadIsNoReaction(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := selector(now, 4)
@@ -168,9 +170,9 @@
 	assert.Equal(t, len(s.callers)+len(s.entries), 0)
 }
 
-// upload simulates a caller that retransmits each unacknowledged datagram, each time after twice the pause, until it gives up
-// after 5 s. Its datagrams arrive through the entry that reach returns, and answers arrive unless they go through an entry
-// that lost selects. upload reports whether 100 datagrams were acknowledged.
+// upload simulates a caller that retransmits each unacknowledged datagram, each time after twice the pause,
+// until it gives up after 5 s. Its datagrams arrive through the entry that reach returns, and answers arrive
+// unless they go through an entry that lost selects. upload reports whether 100 datagrams were acknowledged.
 func upload(s *Selector, now time.Time, from netip.AddrPort, reach func() netip.AddrPort, lost func(netip.AddrPort) bool) bool {
 	const roundTrip, giveUp = 25 * time.Millisecond, 5 * time.Second
 	for range 100 {
@@ -194,9 +196,9 @@
 	return true
 }
 
-// A network partition leaves a caller that uploads with one entry only, while the agent reaches all entries. If any of them
-// could answer, acknowledgements would go to the other side of the partition; and since the caller goes on sending, they would
-// never count as overdue.
+// A network partition leaves a caller that uploads with one entry only, while the agent reaches all entries.
+// If any of them could answer, acknowledgements would go to the other side of the partition; and since the
+// caller goes on sending, they would never count as overdue.
 func TestPartedCallerIsAnsweredByEntriesThatHearIt(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := selector(now, 3)
@@ -209,8 +211,9 @@
 	}
 }
 
-// The path from one of three entries to callers is cut, the path towards it is not. Uploads that were answered through this
-// entry must continue through the others: at most one in a hundred may meet the entry at each of its attempts within 5 s.
+// The path from one of three entries to callers is cut, the path towards it is not. Uploads that were
+// answered through this entry must continue through the others: at most one in a hundred may meet the entry
+// at each of its attempts within 5 s.
 func TestUploadLeavesEntryThatNoLongerAnswers(t *testing.T) {
 	now := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 1))
@@ -231,9 +234,9 @@
 	assert.Assert(t, broken <= 10, "%d of 1000 uploads interrupted", broken)
 }
 
-// One of three entries has stopped, and the path from one of the other two to callers is cut. An upload's next attempts arrive
-// through either of the two at random. The entry that was just tried must not be used twice in a row, so that none of 1000
-// uploads is interrupted.
+// One of three entries has stopped, and the path from one of the other two to callers is cut. An upload's
+// next attempts arrive through either of the two at random. The entry that was just tried must not be used
+// twice in a row, so that none of 1000 uploads is interrupted.
 func TestUploadDoesNotTryTheSameEntryTwice(t *testing.T) {
 	now := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 2))
--- a/internal/flow/route/route.go
+++ b/internal/flow/route/route.go
@@ -1,13 +1,14 @@
 // Package route determines which server a datagram belongs to.
 //
-// Entries share no flow table, so each entry must arrive at the same choice from the datagram and the service's document
-// alone. A datagram whose connection ID names a server goes to that server. For any other datagram, servers are ranked
-// by weighted rendezvous hashing: all entries with the same document agree, and a server that joins or leaves moves only
-// its own share of the flows.
+// Entries share no flow table, so each entry must arrive at the same choice from the datagram and the
+// service's document alone. A datagram whose connection ID names a server goes to that server. For any other
+// datagram, servers are ranked by weighted rendezvous hashing: all entries with the same document agree, and
+// a server that joins or leaves moves only its own share of the flows.
 //
-// Entries do not always have the same document. A Table therefore also holds the servers of the previous document, and a
-// Choice also names the best candidate under that one: an agent can ask it whether it owns the flow (package table). An
-// entry's view of a server (leaving, unresponsive) only changes the order of candidates, never what an agent accepts.
+// Entries do not always have the same document. A Table therefore also holds the servers of the previous
+// document, and a Choice also names the best candidate under that one: an agent can ask it whether it owns
+// the flow (package table). An entry's view of a server (leaving, unresponsive) only changes the order of
+// candidates, never what an agent accepts.
 //
 // The package does no input or output and does not depend on QUIC.
 //
@@ -42,15 +43,17 @@
 type Choice struct {
 	Server     uint32   // first candidate
 	Candidates []uint32 // all, best first
-	// HasFormer means that the last candidate is the choice under the previous document and may already own the flow.
+	// HasFormer means that the last candidate is the choice under the previous document and may already own
+	// the flow.
 	HasFormer bool
 }
 
 // Key returns the hash of the destination connection ID, which a flow's first datagrams have in common.
 func Key(destination []byte) uint64 { return xxhash.Sum64(destination) }
 
-// Choose ranks the servers for a flow and appends their IDs to dst: at most n of the current servers, and possibly one
-// that is the choice of the previous servers. Without any current server, the choice has no candidates.
+// Choose ranks the servers for a flow and appends their IDs to dst: at most n of the current servers, and
+// possibly one that is the choice of the previous servers. Without any current server, the choice has no
+// candidates.
 func (t *Table) Choose(dst []uint32, key uint64, n int) (c Choice) {
 	dst = rank(dst, t.Current, key, n)
 	c.Candidates = dst
@@ -75,8 +78,8 @@
 	return slices.DeleteFunc(ids, func(i uint32) bool { return i == id })
 }
 
-// rank appends the n best servers. Unresponsive and leaving servers come after all others, so that a caller reaches one
-// only if there is no other. A leaving server then at least answers the caller with a refusal.
+// rank appends the n best servers. Unresponsive and leaving servers come after all others, so that a caller
+// reaches one only if there is no other. A leaving server then at least answers the caller with a refusal.
 func rank(dst []uint32, ss []Server, key uint64, n int) []uint32 {
 	type scored struct {
 		id    uint32
@@ -118,8 +121,8 @@
 	}
 }
 
-// score returns the weighted rendezvous score -weight/ln(u), with u uniform in (0,1). The share of keys for which a
-// server has the best score equals its share of the weights.
+// score returns the weighted rendezvous score -weight/ln(u), with u uniform in (0,1). The share of keys for
+// which a server has the best score equals its share of the weights.
 func score(s *Server, key uint64) float64 {
 	h := mix(key ^ mix(uint64(s.ID)))
 	u := (float64(h>>11) + 0.5) / (1 << 53)
--- a/internal/flow/route/route_test.go
+++ b/internal/flow/route/route_test.go
@@ -18,8 +18,8 @@
 
 func choice(t Table, key uint64) uint32 { return t.Choose(nil, key, 1).Server }
 
-// Each server's share of new flows must equal its share of the weights, because the registry weighs imbalance most.
-// With 200,000 keys the standard error is under 0.2 percent.
+// Each server's share of new flows must equal its share of the weights, because the registry weighs imbalance
+// most. With 200,000 keys the standard error is under 0.2 percent.
 func TestSharesFollowWeights(t *testing.T) {
 	list := servers(7)
 	list[2].Weight = 3
@@ -35,7 +35,8 @@
 	}
 }
 
-// A server joins while flows are half open. Only flows that the new server takes may move; all others must stay.
+// A server joins while flows are half open. Only flows that the new server takes may move; all others must
+// stay.
 func TestJoinMovesOnlyItsShare(t *testing.T) {
 	before, after := Table{Current: servers(7)}, Table{Current: servers(8)}
 	moved := 0
@@ -49,8 +50,8 @@
 	assert.Assert(t, moved > 2000 && moved < 3000, "moved %d of 20000, want about 2500", moved)
 }
 
-// A leaving server must not be chosen while there is another one. If all servers leave, one must still be named, so that
-// callers get an answer.
+// A leaving server must not be chosen while there is another one. If all servers leave, one must still be
+// named, so that callers get an answer.
 func TestLeavingServerIsLastChoice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := servers(5)
@@ -65,8 +66,8 @@
 	})
 }
 
-// Two entries have different documents. The one with the newer document must also name the server to which the other one
-// sends a flow, or the second half of a first flight is lost at the wrong server.
+// Two entries have different documents. The one with the newer document must also name the server to which
+// the other one sends a flow, or the second half of a first flight is lost at the wrong server.
 func TestFormerChoiceIsNamed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		key := rapid.Uint64().Draw(t, "key")
@@ -80,8 +81,9 @@
 
 func last(ids []uint32) uint32 { return ids[len(ids)-1] }
 
-// A server fails, and callers' first attempts remain without an answer. After three of them within half a second, the entry
-// must send it no new flows except for one from time to time, and use it again after its first frame.
+// A server fails, and callers' first attempts remain without an answer. After three of them within half a
+// second, the entry must send it no new flows except for one from time to time, and use it again after its
+// first frame.
 func TestSilentServerIsPassedOver(t *testing.T) {
 	d := NewDetector()
 	d.Retain([]uint32{1, 2, 3, 4})
@@ -99,8 +101,8 @@
 	assert.Assert(t, !d.Unresponsive(now, 2))
 }
 
-// An entry loses its own link and receives no frames. If all servers but one counted as unresponsive, that one would get all
-// flows when the link is back.
+// An entry loses its own link and receives no frames. If all servers but one counted as unresponsive, that
+// one would get all flows when the link is back.
 func TestUnresponsiveServersAreBounded(t *testing.T) {
 	d := NewDetector()
 	d.Retain([]uint32{1, 2, 3, 4})
--- a/internal/flow/route/watch.go
+++ b/internal/flow/route/watch.go
@@ -4,24 +4,25 @@
 
 // Thresholds of Detector.
 const (
-	// UnresponsiveAfter is how long opening datagrams to a server may remain without any frame from it before it counts
-	// as unresponsive. An agent answers a first flight within a round trip of 2 to 6 ms between failure domains. Half a
-	// second is longer than a garbage collection pause or the effect of a lost datagram, and shorter than the time to a
-	// caller's second attempt.
+	// UnresponsiveAfter is how long opening datagrams to a server may remain without any frame from it before
+	// it counts as unresponsive. An agent answers a first flight within a round trip of 2 to 6 ms between
+	// failure domains. Half a second is longer than a garbage collection pause or the effect of a lost
+	// datagram, and shorter than the time to a caller's second attempt.
 	UnresponsiveAfter = 500 * time.Millisecond
-	// minOpenings is the number of unanswered opening datagrams from which a server may count as unresponsive, so that
-	// a single lost datagram is not enough.
+	// minOpenings is the number of unanswered opening datagrams from which a server may count as
+	// unresponsive, so that a single lost datagram is not enough.
 	minOpenings = 3
 	// RetryAfter is how long an unresponsive server gets no new flow before one flow tries it again.
 	RetryAfter = 2 * time.Second
-	// unresponsiveDivisor bounds the share of servers that may count as unresponsive. An entry that receives no frames
-	// at all has lost its own link, and would otherwise overload the last server that it received a frame from.
+	// unresponsiveDivisor bounds the share of servers that may count as unresponsive. An entry that receives
+	// no frames at all has lost its own link, and would otherwise overload the last server that it received a
+	// frame from.
 	unresponsiveDivisor = 2 // one in two
 )
 
-// Detector detects unresponsive servers from the traffic alone: a process that crashed or froze stays on the platform's
-// list for a long time, but opening datagrams sent to it remain without an answer. A wrong decision only makes a flow
-// take a longer path, because agents decide for themselves whether to take a flow.
+// Detector detects unresponsive servers from the traffic alone: a process that crashed or froze stays on the
+// platform's list for a long time, but opening datagrams sent to it remain without an answer. A wrong
+// decision only makes a flow take a longer path, because agents decide for themselves whether to take a flow.
 //
 // A Detector is not safe for concurrent use.
 type Detector struct {
@@ -56,8 +57,8 @@
 	return changed
 }
 
-// SentOpening records that a flow's opening datagram was sent to a server. It reports whether the server thereby
-// becomes unresponsive.
+// SentOpening records that a flow's opening datagram was sent to a server. It reports whether the server
+// thereby becomes unresponsive.
 func (d *Detector) SentOpening(now time.Time, id uint32) (changed bool) {
 	s := d.state(id)
 	if s.openings == 0 {
@@ -75,8 +76,8 @@
 	return true
 }
 
-// Unresponsive reports whether a server is to get no new flows now. Once in RetryAfter an unresponsive server gets one, to
-// find out whether it answers again.
+// Unresponsive reports whether a server is to get no new flows now. Once in RetryAfter an unresponsive server
+// gets one, to find out whether it answers again.
 func (d *Detector) Unresponsive(now time.Time, id uint32) bool {
 	s := d.servers[id]
 	return s != nil && s.unresponsive && now.Sub(s.lastOpening) < RetryAfter
--- a/internal/flow/seek/seek.go
+++ b/internal/flow/seek/seek.go
@@ -1,21 +1,23 @@
-// Package seek looks up the owners of flows that their homes have no record of, for many flows at once. A flow's home is
-// the agent that keeps its location record.
+// Package seek looks up the owners of flows that their homes have no record of, for many flows at once. A
+// flow's home is the agent that keeps its location record.
 //
-// After a power loss or a restart of all agents, homes have no records, and the owner of each older flow has to be looked
-// up at all agents. With a lookup per flow, every agent would get a message for every flow, and one lost answer in a
-// hundred would leave a lookup without a result. Callers would then wait for their deadlines although no agent holds
-// their flows.
+// After a power loss or a restart of all agents, homes have no records, and the owner of each older flow has
+// to be looked up at all agents. With a lookup per flow, every agent would get a message for every flow, and
+// one lost answer in a hundred would leave a lookup without a result. Callers would then wait for their
+// deadlines although no agent holds their flows.
 //
-// Homes therefore pass their questions to a few agents, the leads (homes.List.Lead), and a lead queries agents in rounds.
-// A round asks every known agent about all queued flows. Only agents that have not answered are queried again. A budget
-// of questions spaces the rounds: the more agents there are, the more a round costs and the more flows share it.
+// Homes therefore pass their questions to a few agents, the leads (homes.List.Lead), and a lead queries
+// agents in rounds. A round asks every known agent about all queued flows. Only agents that have not answered
+// are queried again. A budget of questions spaces the rounds: the more agents there are, the more a round
+// costs and the more flows share it.
 //
-// A result is reliable because a flow joins a round only if its packet arrived before the round began. It was thus open
-// before each of the answers. A result without an owner means that every agent has answered since then that it does not
-// hold the flow. Agents that become known during a round are queried before it ends; removed ones are no longer awaited.
+// A result is reliable because a flow joins a round only if its packet arrived before the round began. It was
+// thus open before each of the answers. A result without an owner means that every agent has answered since
+// then that it does not hold the flow. Agents that become known during a round are queried before it ends;
+// removed ones are no longer awaited.
 //
-// The package sends nothing and has no clock: it returns the queries to send and processes the answers. Probing servers
-// and answering callers is up to package local. The package is not safe for concurrent use.
+// The package sends nothing and has no clock: it returns the queries to send and processes the answers.
+// Probing servers and answering callers is up to package local. The package is not safe for concurrent use.
 //
 // # Usage
 //
@@ -39,18 +41,20 @@
 )
 
 const (
-	// questionsPerSecond bounds the rate of a lead's questions. With a hundred agents it allows a round every 25 ms, well
-	// within the 200 ms after which a caller retransmits a packet.
+	// questionsPerSecond bounds the rate of a lead's questions. With a hundred agents it allows a round every
+	// 25 ms, well within the 200 ms after which a caller retransmits a packet.
 	questionsPerSecond = 4000
-	// burst is the least number of questions that may be sent at once, so that rounds of a small fleet need no spacing.
-	// A large fleet may always run two rounds at once.
+	// burst is the least number of questions that may be sent at once, so that rounds of a small fleet need
+	// no spacing. A large fleet may always run two rounds at once.
 	burst = 100
-	// retryDelay is the time after which agents without an answer are queried again, because a datagram was lost. An
-	// answer takes 2 ms between failure domains, and a busy agent needs about 10 ms.
+	// retryDelay is the time after which agents without an answer are queried again, because a datagram was
+	// lost. An answer takes 2 ms between failure domains, and a busy agent needs about 10 ms.
 	retryDelay = 30 * time.Millisecond
-	// laterRetryDelay is the pause after later repeats. An agent that misses two queries in a row is slow or unavailable.
+	// laterRetryDelay is the pause after later repeats. An agent that misses two queries in a row is slow or
+	// unavailable.
 	laterRetryDelay = 100 * time.Millisecond
-	// roundTimeout ends a round in which an agent does not answer. The callers' next packets start another round.
+	// roundTimeout ends a round in which an agent does not answer. The callers' next packets start another
+	// round.
 	roundTimeout = 3 * time.Second
 	// maxFlows bounds the flows that are queued or part of a round. Each takes about 100 bytes.
 	maxFlows = 8192
@@ -67,8 +71,9 @@
 // SlowRepeats is the number of repeats from which agents without an answer count as slow or unavailable.
 const SlowRepeats = 2
 
-// Result is the result of a round for one flow. Owner holds the flow. Without an owner, any agent in Unsure may hold it;
-// if Unsure is empty too, no agent holds it. In a Partial result, some agents have not answered yet and may hold it too.
+// Result is the result of a round for one flow. Owner holds the flow. Without an owner, any agent in Unsure
+// may hold it; if Unsure is empty too, no agent holds it. In a Partial result, some agents have not answered
+// yet and may hold it too.
 type Result struct {
 	Flow       segs.Flow
 	Owner      netip.Addr
@@ -99,14 +104,14 @@
 	repeats   int
 }
 
-// New returns a Rounds without rounds. Rounds are numbered from after first, which must differ between process
-// incarnations, so that an answer to a query of a previous incarnation is ignored.
+// New returns a Rounds without rounds. Rounds are numbered from after first, which must differ between
+// process incarnations, so that an answer to a query of a previous incarnation is ignored.
 func New(first uint32) *Rounds {
 	return &Rounds{requesters: map[segs.Flow][]netip.Addr{}, rounds: map[uint32]*round{}, lastNumber: first}
 }
 
-// Add queues a home's question about a flow of which it has no record. It returns false if too many flows are queued or
-// part of a round.
+// Add queues a home's question about a flow of which it has no record. It returns false if too many flows are
+// queued or part of a round.
 func (s *Rounds) Add(home netip.Addr, q msgs.Question) bool {
 	homes, known := s.requesters[q.Flow]
 	if known {
@@ -123,8 +128,8 @@
 	return true
 }
 
-// Next returns the queries to send now: new rounds as far as the budget allows, and repeated queries to agents that have
-// not answered. agents lists all known agents.
+// Next returns the queries to send now: new rounds as far as the budget allows, and repeated queries to
+// agents that have not answered. agents lists all known agents.
 func (s *Rounds) Next(now time.Time, agents []netip.Addr) (queries []Query) {
 	s.refill(now, len(agents))
 	for len(s.queued) > 0 && s.budget >= float64(len(agents)) && len(agents) > 0 {
@@ -166,8 +171,8 @@
 	s.queued = slices.Delete(s.queued, 0, n)
 }
 
-// PartialResults returns the flows of a running round that an unsure agent may hold, so that these flows need not wait
-// for an agent that is unavailable.
+// PartialResults returns the flows of a running round that an unsure agent may hold, so that these flows need
+// not wait for an agent that is unavailable.
 func (s *Rounds) PartialResults(number uint32) (results []Result) {
 	r := s.rounds[number]
 	if r == nil {
@@ -205,8 +210,8 @@
 	return true
 }
 
-// Answer processes an agent's verdicts on a round's questions, in their order, and returns the results they lead to.
-// agents lists all known agents.
+// Answer processes an agent's verdicts on a round's questions, in their order, and returns the results they
+// lead to. agents lists all known agents.
 func (s *Rounds) Answer(from netip.Addr, number uint32, verdicts []msgs.Verdict, agents []netip.Addr) (results []Result) {
 	r := s.rounds[number]
 	if r == nil || len(verdicts) != len(r.questions) {
@@ -243,7 +248,8 @@
 	return results
 }
 
-// addAgents adds agents that have become known since the round began. It reports whether the round waits for any agent.
+// addAgents adds agents that have become known since the round began. It reports whether the round waits for
+// any agent.
 func (r *round) addAgents(agents []netip.Addr) bool {
 	for _, a := range agents {
 		if !r.asked[a] {
@@ -267,7 +273,8 @@
 	Unresponsive []netip.Addr // agents that have not answered
 }
 
-// Expire stops waiting for agents that have been removed, which may complete rounds, and ends rounds that have timed out.
+// Expire stops waiting for agents that have been removed, which may complete rounds, and ends rounds that
+// have timed out.
 func (s *Rounds) Expire(now time.Time, agents []netip.Addr) (results []Result, incomplete []Incomplete) {
 	if len(s.rounds) == 0 {
 		return nil, nil
--- a/internal/flow/seek/seek_test.go
+++ b/internal/flow/seek/seek_test.go
@@ -52,8 +52,8 @@
 	assert.DeepEqual(t, results[0].Requesters, []netip.Addr{agent(9)}, compareAddr)
 }
 
-// One answer of three is lost. If all agents were queried again, all would have to answer again, and in a fleet of hundreds
-// a lookup would hardly ever end.
+// One answer of three is lost. If all agents were queried again, all would have to answer again, and in a
+// fleet of hundreds a lookup would hardly ever end.
 func TestOnlyAgentsThatHaveNotAnsweredAreAskedAgain(t *testing.T) {
 	s := New(0)
 	present := agents(3)
@@ -68,7 +68,8 @@
 	assert.Equal(t, len(s.Answer(agent(1), round, one(msgs.NotHeld), present)), 1)
 }
 
-// A server that joins while a round runs holds the flow. If its agent were not queried, the open flow would be reset.
+// A server that joins while a round runs holds the flow. If its agent were not queried, the open flow would
+// be reset.
 func TestAgentThatJoinsIsAskedBeforeARoundEnds(t *testing.T) {
 	s := New(0)
 	s.Add(agent(9), question(1))
@@ -80,8 +81,8 @@
 	assert.Equal(t, results[0].Owner, agent(1))
 }
 
-// A flow's packet arrives while a round runs that already has answers. They do not cover this flow, so it has to wait for the
-// next round.
+// A flow's packet arrives while a round runs that already has answers. They do not cover this flow, so it has
+// to wait for the next round.
 func TestLateFlowWaitsForTheNextRound(t *testing.T) {
 	s := New(0)
 	present := agents(2)
@@ -98,7 +99,8 @@
 	assert.Equal(t, len(queries[0].To), 2)
 }
 
-// An instance is removed while its agent's answer is awaited. The round ends as soon as the platform no longer lists it.
+// An instance is removed while its agent's answer is awaited. The round ends as soon as the platform no
+// longer lists it.
 func TestRemovedAgentIsNotAwaited(t *testing.T) {
 	s := New(0)
 	s.Add(agent(9), question(1))
@@ -109,8 +111,8 @@
 	assert.Equal(t, len(incomplete), 0)
 }
 
-// One agent never answers. Partial results name flows that another agent may hold, so that its server can be probed. No flow
-// is reported to have no owner.
+// One agent never answers. Partial results name flows that another agent may hold, so that its server can be
+// probed. No flow is reported to have no owner.
 func TestUnresponsiveAgentLeavesARoundIncomplete(t *testing.T) {
 	s := New(0)
 	present := agents(2)
@@ -159,8 +161,8 @@
 	assert.Assert(t, asked <= 400, "%d questions", asked)
 }
 
-// model is a fleet in which flows are opened, servers restart, agents join and leave, and messages are lost, duplicated and
-// delayed.
+// model is a fleet in which flows are opened, servers restart, agents join and leave, and messages are lost,
+// duplicated and delayed.
 type model struct {
 	now     time.Time
 	seek    *Rounds
@@ -183,9 +185,10 @@
 	verdicts []msgs.Verdict
 }
 
-// Whatever happens to messages and agents, a flow that a server holds is never reported to have no owner. An agent answers
-// from the flows that its server holds when the question arrives, or answers that it is unsure. The lead learns later that an
-// agent has joined; it does not query the agent until then, so the flows that this agent holds do not count.
+// Whatever happens to messages and agents, a flow that a server holds is never reported to have no owner. An
+// agent answers from the flows that its server holds when the question arrives, or answers that it is unsure.
+// The lead learns later that an agent has joined; it does not query the agent until then, so the flows that
+// this agent holds do not count.
 func TestHeldFlowIsNeverReportedUnheld(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		m := &model{now: start, seek: New(0), present: agents(3), known: agents(3), next: 3, holds: map[segs.Flow]netip.Addr{}}
--- a/internal/flow/segs/segs.go
+++ b/internal/flow/segs/segs.go
@@ -1,9 +1,9 @@
 // Package segs describes the packets of opaque flows. Only the two ends read the contents of such flows; the
 // balancer sees addresses, flags and sequence numbers alone.
 //
-// The packages that make decisions about opaque flows (owner, steer, edge, local) depend on the types of this package
-// and not on a wire format. The Codec that translates between datagrams and segments is provided by the package that
-// implements the format. This package contains none and does no input or output.
+// The packages that make decisions about opaque flows (owner, steer, edge, local) depend on the types of this
+// package and not on a wire format. The Codec that translates between datagrams and segments is provided by
+// the package that implements the format. This package contains none and does no input or output.
 //
 // # Usage
 //
@@ -24,8 +24,8 @@
 // Flags are the flags of a segment.
 type Flags uint8
 
-// The flags. Returned marks a packet that a backend server returned because it does not hold the flow or cannot
-// accept it.
+// The flags. Returned marks a packet that a backend server returned because it does not hold the flow or
+// cannot accept it.
 const (
 	Syn Flags = 1 << iota
 	Ack
@@ -34,8 +34,8 @@
 	Returned
 )
 
-// Flow identifies a flow by the caller's address and the service address that it called. All processes print it in the
-// same way, so that a single search over all logs shows a flow's path.
+// Flow identifies a flow by the caller's address and the service address that it called. All processes print
+// it in the same way, so that a single search over all logs shows a flow's path.
 type Flow struct {
 	Caller     [4]byte
 	Service    [4]byte
@@ -101,7 +101,8 @@
 	return f
 }
 
-// Hash returns a hash that is the same in every process. It determines the flow's home and which flows are logged.
+// Hash returns a hash that is the same in every process. It determines the flow's home and which flows are
+// logged.
 func (f Flow) Hash() uint64 {
 	var b [FlowSize]byte
 	return xxhash.Sum64(f.AppendTo(b[:0]))
@@ -126,20 +127,22 @@
 // Has reports whether all the flags f are set.
 func (s *Segment) Has(f Flags) bool { return s.Flags&f == f }
 
-// Distance returns how many bytes of a server whose first sequence number is seq are covered by the acknowledgement ack.
-// Servers start at random sequence numbers, so if two servers accepted the same flow, the one with the lesser distance is
-// the one that the caller acknowledges.
+// Distance returns how many bytes of a server whose first sequence number is seq are covered by the
+// acknowledgement ack. Servers start at random sequence numbers, so if two servers accepted the same flow,
+// the one with the lesser distance is the one that the caller acknowledges.
 func Distance(ack, seq uint32) uint32 { return ack - seq - 1 }
 
-// maxFirstData bounds the bytes that a server can have sent when the caller's first packet after the handshake arrives:
-// 16 packets in flight of 1,200 bytes. The acknowledgement of another server's data is within this bound by chance for
-// one in 200,000 flows that two servers accepted.
+// maxFirstData bounds the bytes that a server can have sent when the caller's first packet after the
+// handshake arrives: 16 packets in flight of 1,200 bytes. The acknowledgement of another server's data is
+// within this bound by chance for one in 200,000 flows that two servers accepted.
 const maxFirstData = 16 * 1200
 
-// IsFirstAck reports whether ack can be a caller's first acknowledgement of a server whose first sequence number is seq.
+// IsFirstAck reports whether ack can be a caller's first acknowledgement of a server whose first sequence
+// number is seq.
 func IsFirstAck(ack, seq uint32) bool { return Distance(ack, seq) <= maxFirstData }
 
-// End is an end of a flow. A packet does not show which end sent it; this follows from the socket that received it.
+// End is an end of a flow. A packet does not show which end sent it; this follows from the socket that
+// received it.
 type End bool
 
 // The ends.
@@ -150,8 +153,8 @@
 
 // Codec translates between datagrams and segments.
 type Codec interface {
-	// Decode decodes a datagram that an end sent. A returned datagram counts as the caller's. The result holds no
-	// reference to the datagram.
+	// Decode decodes a datagram that an end sent. A returned datagram counts as the caller's. The result
+	// holds no reference to the datagram.
 	Decode(datagram []byte, end End) (Segment, error)
 	// Restore converts a returned datagram, in place, to the one that its sender wrote.
 	Restore(datagram []byte)
--- a/internal/flow/table/table.go
+++ b/internal/flow/table/table.go
@@ -1,13 +1,14 @@
-// Package table decides, at an agent, what to do with a datagram: keep it, forward it to another agent of the service,
-// or drop it.
+// Package table decides, at an agent, what to do with a datagram: keep it, forward it to another agent of the
+// service, or drop it.
 //
-// A flow's first datagrams carry a connection ID that the caller chose. Two entries with different documents may send them
-// to two agents, and a leaving server may receive them from an entry that does not know yet that it leaves. An agent that
-// does not own the flow and should not take it therefore forwards it (second chance, as in Beamer, NSDI 2018, and
-// GitHub's load balancer). Hops are counted, so that two outdated views cannot forward a datagram in a loop.
+// A flow's first datagrams carry a connection ID that the caller chose. Two entries with different documents
+// may send them to two agents, and a leaving server may receive them from an entry that does not know yet
+// that it leaves. An agent that does not own the flow and should not take it therefore forwards it (second
+// chance, as in Beamer, NSDI 2018, and GitHub's load balancer). Hops are counted, so that two outdated views
+// cannot forward a datagram in a loop.
 //
-// As soon as the caller uses an ID that the agent made, the datagram names its server and needs no lookup here. The table
-// therefore holds flows for seconds only, and its loss costs a caller one retransmission.
+// As soon as the caller uses an ID that the agent made, the datagram names its server and needs no lookup
+// here. The table therefore holds flows for seconds only, and its loss costs a caller one retransmission.
 //
 // The package depends on neither QUIC nor the network. The current time is a parameter.
 //
@@ -35,7 +36,7 @@
 // The reasons.
 const (
 	TooManyHops   Reason = "hops"  // names a server, but was forwarded too often
-	UnknownServer Reason = "owner" // there is no server in the document to forward to
+	UnknownServer Reason = "owner" // the server to forward to is not in the document, or there is none
 )
 
 // Stage is what the sender has already found out about the flow's owner.
@@ -48,13 +49,13 @@
 	NoOwner              // no agent that was asked owns the flow
 )
 
-// retention is the least time for which an opened flow is kept. The QUIC settings of this project limit a handshake to 10 s,
-// and after it the flow's datagrams name their server.
+// retention is the least time for which an opened flow is kept. The QUIC settings of this project limit a
+// handshake to 10 s, and after it the flow's datagrams name their server.
 const retention = 10 * time.Second
 
-// formerWindow is how long the former choice is asked about a flow. It is longer than the milliseconds between the
-// datagrams of a first flight, and shorter than a caller's first timeout, which is 200 ms or more before the caller
-// knows the round-trip time.
+// formerWindow is how long the former choice is asked about a flow. It is longer than the milliseconds
+// between the datagrams of a first flight, and shorter than a caller's first timeout, which is 200 ms or more
+// before the caller knows the round-trip time.
 const formerWindow = 100 * time.Millisecond
 
 // Datagram describes a datagram.
@@ -81,15 +82,15 @@
 	self    uint32
 	limit   int
 	maxHops int
-	// Flows are kept in two generations: lookups use both, inserts go to young. Dropping the old generation as a whole
-	// expires flows without a timer for each of them.
+	// Flows are kept in two generations: lookups use both, inserts go to young. Dropping the old generation
+	// as a whole expires flows without a timer for each of them.
 	young, old  map[uint64]struct{}
 	rotated     time.Time
 	formerAsked map[uint64]time.Time // when the former choice was first asked about a flow
 }
 
-// New returns an empty table for the agent of server self. It holds at most limit flows in each of two generations and
-// does not forward a datagram that has made maxHops hops.
+// New returns an empty table for the agent of server self. It holds at most limit flows in each of two
+// generations and does not forward a datagram that has made maxHops hops.
 func New(self uint32, limit, maxHops int) *Table {
 	return &Table{
 		self:        self,
@@ -100,8 +101,8 @@
 	}
 }
 
-// Decide returns what to do with a datagram. accepting reports whether this server takes new flows. A new flow that is to
-// be kept is added to the table.
+// Decide returns what to do with a datagram. accepting reports whether this server takes new flows. A new
+// flow that is to be kept is added to the table.
 func (t *Table) Decide(now time.Time, d Datagram, accepting bool) Decision {
 	if d.NamesServer {
 		return t.forwardNamed(d)
@@ -112,8 +113,9 @@
 	}
 	switch {
 	case d.Hops >= t.maxHops:
-		// The former choice has been asked and has returned the flow, and leaving servers have forwarded it. This agent
-		// keeps the flow even if its server is leaving: the caller then gets the answer "not run" and not silence.
+		// The former choice has been asked and has returned the flow, and leaving servers have forwarded it.
+		// This agent keeps the flow even if its server is leaving: the caller then gets the answer "not run"
+		// and not silence.
 		t.add(d.Key)
 		return Decision{Verdict: Keep}
 	case d.Stage == IfOwner:
@@ -146,8 +148,9 @@
 	return Decision{Verdict: Forward, Server: d.Candidates[0], Stage: NoOwner}
 }
 
-// forwardNext forwards a new flow to the candidate after this one. Without a further candidate, all candidates are leaving.
-// The flow is then kept, so that its requests get the answer "not run" at once instead of silence.
+// forwardNext forwards a new flow to the candidate after this one. Without a further candidate, all
+// candidates are leaving. The flow is then kept, so that its requests get the answer "not run" at once
+// instead of silence.
 func (t *Table) forwardNext(d Datagram) Decision {
 	after := d.Candidates
 	for i, c := range d.Candidates {
@@ -180,8 +183,9 @@
 	return ok
 }
 
-// add adds a flow unless the table is full. A full table neither evicts nor adds flows: a flood of opening datagrams then
-// only disables the second chance for further flows, memory stays bounded, and flows still open.
+// add adds a flow unless the table is full. A full table neither evicts nor adds flows: a flood of opening
+// datagrams then only disables the second chance for further flows, memory stays bounded, and flows still
+// open.
 func (t *Table) add(key uint64) {
 	if len(t.young) < t.limit {
 		t.young[key] = struct{}{}
@@ -201,10 +205,10 @@
 	t.rotated = now
 }
 
-// formerDone reports whether the former choice was first asked about a flow longer than formerWindow ago. The former
-// choice may have failed: a datagram forwarded to it is then lost, and the caller retransmits after its first timeout. If
-// it were asked each time, all attempts would be lost until the previous document is forgotten. The two datagrams of a
-// first flight arrive together, and both are forwarded to it.
+// formerDone reports whether the former choice was first asked about a flow longer than formerWindow ago. The
+// former choice may have failed: a datagram forwarded to it is then lost, and the caller retransmits after
+// its first timeout. If it were asked each time, all attempts would be lost until the previous document is
+// forgotten. The two datagrams of a first flight arrive together, and both are forwarded to it.
 func (t *Table) formerDone(now time.Time, key uint64) bool {
 	first, ok := t.formerAsked[key]
 	if !ok && len(t.formerAsked) < t.limit {
--- a/internal/flow/table/table_test.go
+++ b/internal/flow/table/table_test.go
@@ -31,8 +31,8 @@
 	return m
 }
 
-// The two datagrams of a caller's first flight reach two entries. Only the second entry has the new document and ranks
-// server 2 first; the first one ranks server 1 first. Both datagrams must end at server 1.
+// The two datagrams of a caller's first flight reach two entries. Only the second entry has the new document
+// and ranks server 2 first; the first one ranks server 1 first. Both datagrams must end at server 1.
 func TestSecondHalfOfFirstFlightFindsItsServer(t *testing.T) {
 	now := time.Unix(1000, 0)
 	agents := newAgents(3)
@@ -51,9 +51,9 @@
 	assert.Equal(t, hops, 2)
 }
 
-// A new document moves a flow from server 1 to server 2, and server 1 has just failed, so that what server 2 forwards
-// to it is lost. Server 2 must keep the caller's second attempt, and not forward every attempt to server 1 for as long
-// as entries name that one.
+// A new document moves a flow from server 1 to server 2, and server 1 has just failed, so that what server 2
+// forwards to it is lost. Server 2 must keep the caller's second attempt, and not forward every attempt to
+// server 1 for as long as entries name that one.
 func TestDeadFormerChoiceIsAskedOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	second := New(2, 100, maxHops)
@@ -63,8 +63,8 @@
 	assert.Equal(t, second.Decide(now.Add(300*time.Millisecond), d, true).Verdict, Keep)
 }
 
-// A server starts to leave, and an entry does not know it yet. The server's agent must forward new flows to the next
-// candidate and keep a flow that is half open.
+// A server starts to leave, and an entry does not know it yet. The server's agent must forward new flows to
+// the next candidate and keep a flow that is half open.
 func TestLeavingServerPassesNewFlowsOn(t *testing.T) {
 	now := time.Unix(1000, 0)
 	agents := newAgents(3)
@@ -78,8 +78,8 @@
 	assert.Equal(t, end, uint32(2))
 }
 
-// All servers leave at once. One of them must keep the flow and answer its requests "not run", so that callers are
-// not left without an answer.
+// All servers leave at once. One of them must keep the flow and answer its requests "not run", so that
+// callers are not left without an answer.
 func TestAllLeavingStillAnswers(t *testing.T) {
 	agents := newAgents(3)
 	all := map[uint32]bool{1: true, 2: true, 3: true}
@@ -88,8 +88,9 @@
 	assert.Equal(t, end, uint32(3))
 }
 
-// Servers 1 and 4 leave, and server 2 is the choice under the previous document. The datagram is forwarded to server 2,
-// returned, and forwarded twice. It must not be dropped at the fourth hop, which would leave the caller without an answer.
+// Servers 1 and 4 leave, and server 2 is the choice under the previous document. The datagram is forwarded to
+// server 2, returned, and forwarded twice. It must not be dropped at the fourth hop, which would leave the
+// caller without an answer.
 func TestLastHopKeeps(t *testing.T) {
 	leaving := map[uint32]bool{1: true, 4: true}
 	end, hops, d := walk(time.Unix(1000, 0), newAgents(4), leaving, 1, Datagram{Key: 1, Candidates: []uint32{1, 4, 2}, HasFormer: true})
@@ -98,8 +99,8 @@
 	assert.Equal(t, hops, maxHops)
 }
 
-// With arbitrary differences between views, no datagram may make more than maxHops hops, and one that names its server
-// arrives there in one hop.
+// With arbitrary differences between views, no datagram may make more than maxHops hops, and one that names
+// its server arrives there in one hop.
 func TestHopsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		agents := newAgents(4)
