--- a/internal/load/share/share_test.go
+++ b/internal/load/share/share_test.go
@@ -25,14 +25,14 @@
 
 // Callers of one failure domain are more than its servers can take. A flow must not be passed on only within it.
 func TestFlowLeavesAnOverloadedDomain(t *testing.T) {
-	others := []Server{{Agent: agent(2), Near: true}, {Agent: agent(3), Near: true}, {Agent: agent(4)}}
+	others := []Server{{Agent: agent(2), SameDomain: true}, {Agent: agent(3), SameDomain: true}, {Agent: agent(4)}}
 	visited := []msgs.Visit{{Agent: agent(2), Utilization: 300}}
 	got := Next(Server{Agent: agent(1), Work: 150}, visited, false, others, first)
 	assert.Equal(t, got.Agent, agent(4))
 }
 
 func TestBusyServerPassesTheFlowOnNearFirst(t *testing.T) {
-	others := []Server{{Agent: agent(2)}, {Agent: agent(3), Near: true}, {Agent: agent(4)}}
+	others := []Server{{Agent: agent(2)}, {Agent: agent(3), SameDomain: true}, {Agent: agent(4)}}
 	got := Next(Server{Agent: agent(1), Work: 150}, nil, false, others, first)
 	assert.Equal(t, got.Agent, agent(3))
 	assert.DeepEqual(t, got.Visited, []msgs.Visit{{Agent: agent(1), Utilization: 150}}, addrs)
--- a/internal/node/edge/edge.go
+++ b/internal/node/edge/edge.go
@@ -54,7 +54,7 @@
 	Domain string
 	Log    *belief.Log
 	Ctrl   Control
-	Vouch  doubt.Voucher // its answers come to Entry.Heard
+	Prober doubt.Prober // its answers come to Entry.Heard
 	Codec  segs.Codec
 	// Callers says how long callers wait for a flow to open.
 	Callers segs.CallerTiming
@@ -88,7 +88,7 @@
 	chooser *steer.Chooser
 	bulk    *bulk.Gate
 	agents  *detect.Detector          // of all agents together: is this entry cut off?
-	doubted *doubt.Watch              // agents that have left something unanswered
+	doubted *doubt.Monitor            // agents that have left something unanswered
 	ending  []segs.Flow               // of lost agents, whose callers are to be told
 	cold    map[string]warmth         // by server ID
 	emptied map[string]order.Revision // failure domains that agents called evacuated, and their revision: this entry is behind
@@ -111,7 +111,7 @@
 		chooser: steer.New(c.Domain, c.Rand, c.Off),
 		agents:  detect.New(cutOff),
 		bulk:    newGate(&c),
-		doubted: doubt.New(c.Self, c.Vouch, c.Rand),
+		doubted: doubt.New(c.Self, c.Prober, c.Rand),
 		cold:    map[string]warmth{},
 		emptied: map[string]order.Revision{},
 	}
@@ -142,12 +142,12 @@
 	e.tellEnding(now)
 }
 
-// Changed is to be called after the view has changed.
-func (e *Entry) Changed(now time.Time) {
+// ViewChanged is to be called after the view has changed.
+func (e *Entry) ViewChanged(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	v := e.Log.View()
-	e.chooser.Keep(v.Homes.Agents())
+	e.chooser.Retain(v.Homes.Agents())
 	present := map[string]bool{}
 	for _, a := range v.Homes.Agents() {
 		s, _ := v.Server(a)
@@ -221,9 +221,9 @@
 // ask sends a packet of a flow that this entry doesn't know to the flow's home, or to whoever takes its place.
 func (e *Entry) ask(now time.Time, v *belief.View, s *segs.Segment, datagram []byte) {
 	home, ok := v.Homes.Of(s.Flow)
-	lost := e.doubted.Lost(home)
+	lost := e.doubted.Failed(home)
 	if lost {
-		home, ok = v.Homes.Except(s.Flow, e.doubted.Lost)
+		home, ok = v.Homes.Except(s.Flow, e.doubted.Failed)
 	}
 	if !ok {
 		dropped("homeless")
@@ -264,7 +264,7 @@
 		e.doubt(now, agent)
 	}
 	switch {
-	case !e.doubted.Lost(agent):
+	case !e.doubted.Failed(agent):
 		e.carry(v, agent, datagram)
 		return true
 	case p.Owner == agent:
--- a/internal/node/edge/lost.go
+++ b/internal/node/edge/lost.go
@@ -34,13 +34,13 @@
 // doubt notes that an agent has left a packet unanswered.
 func (e *Entry) doubt(now time.Time, agent netip.Addr) {
 	if !e.Off.Lost && !e.Ctrl.Leaving(agent) {
-		e.doubted.Doubt(now, agent)
+		e.doubted.Suspect(now, agent)
 	}
 }
 
 // clear ends all doubt about an agent.
 func (e *Entry) clear(now time.Time, agent netip.Addr) {
-	if e.doubted.Heard(now, agent) {
+	if e.doubted.MarkAlive(now, agent) {
 		e.Events.State("agent-back").Stringer("agent", agent).Send()
 	}
 }
@@ -48,7 +48,7 @@
 // watchDoubted asks the agents in doubt, and notes who is lost.
 func (e *Entry) watchDoubted(now time.Time) {
 	v := e.Log.View()
-	exempt := func(agent netip.Addr) bool { return e.agents.Lost() || e.Ctrl.Leaving(agent) }
+	exempt := func(agent netip.Addr) bool { return e.agents.Failed() || e.Ctrl.Leaving(agent) }
 	for _, agent := range e.doubted.Tick(now, v.Homes.Agents(), exempt) {
 		before := len(e.ending)
 		e.ending = append(e.ending, e.flows.OwnedBy(agent)...)
@@ -58,7 +58,7 @@
 
 // tellLost tells a home whom this entry knows to be lost: the home may be about to pass a packet on to one of them.
 func (e *Entry) tellLost(now time.Time, v *belief.View, home netip.Addr) {
-	list := e.doubted.Tell(now, home)
+	list := e.doubted.FailuresFor(now, home)
 	if len(list) == 0 {
 		return
 	}
@@ -75,7 +75,7 @@
 		if p == nil {
 			continue
 		}
-		if e.doubted.Lost(p.Owner) {
+		if e.doubted.Failed(p.Owner) {
 			e.end(now, f, p)
 		}
 	}
--- a/internal/node/edge/place.go
+++ b/internal/node/edge/place.go
@@ -14,7 +14,7 @@
 
 // open places a new flow, or a copy of an opening packet.
 func (e *Entry) open(now time.Time, v *belief.View, route *belief.Route, s *segs.Segment, datagram []byte) {
-	if e.agents.Lost() {
+	if e.agents.Failed() {
 		e.refuse(now, s, "cut-off")
 		return
 	}
@@ -42,7 +42,7 @@
 	if last.Accepted || p.Claimed {
 		return false // the answer was lost, or is on its way
 	}
-	e.chooser.Silent(now, last.Agent)
+	e.chooser.NoReply(now, last.Agent)
 	e.doubt(now, last.Agent)
 	silent.Inc()
 	e.Events.Flow(event.Failure, "unanswered", s.Flow).Stringer("agent", last.Agent).Uint32("copy", s.Ack).Send()
@@ -61,7 +61,7 @@
 	p.Attempts++
 	e.chooser.Placed(agent)
 	if !e.Off.Reach {
-		e.agents.Asked(now)
+		e.agents.Sent(now)
 	}
 	placed.Inc()
 	class := event.Ordinary
@@ -100,7 +100,7 @@
 			Slots:    s.Slots,
 			Draining: s.State == belief.Draining || e.Ctrl.Leaving(s.Addr.Addr()),
 			Cold:     now.Before(e.cold[s.ID].until),
-			Lost:     e.doubted.Lost(s.Addr.Addr()),
+			Failed:   e.doubted.Failed(s.Addr.Addr()),
 		})
 	}
 	return list
--- a/internal/node/entry/services.go
+++ b/internal/node/entry/services.go
@@ -208,7 +208,7 @@
 func (e *Entry) refreshAll(now time.Time) {
 	for _, s := range *e.tags.Load() {
 		s.mu.Lock()
-		if now.Sub(s.stepped) >= shift.Default.Every {
+		if now.Sub(s.stepped) >= shift.Default.Interval {
 			s.weights.Step(now)
 			s.stepped = now
 		}
--- a/internal/node/entry/woken.go
+++ b/internal/node/entry/woken.go
@@ -43,8 +43,8 @@
 
 // hint tells whoever keeps the documents that a newer one exists.
 func (e *Entry) hint(now time.Time, s *service, link netip.AddrPort, revision order.Revision) {
-	if e.hooks.Newer != nil && s.hinted.Claim(now, hintEvery) {
+	if e.hooks.NewerDocument != nil && s.hinted.Claim(now, hintEvery) {
 		s.count.hints.Inc()
-		e.hooks.Newer(link, s.name, revision)
+		e.hooks.NewerDocument(link, s.name, revision)
 	}
 }
--- a/internal/node/local/caller.go
+++ b/internal/node/local/caller.go
@@ -59,7 +59,7 @@
 		a.Wire.ToServer(m.Packet) // a copy: the server's answer was lost or is on its way
 		return
 	}
-	if a.waiting.Has(s.Flow) {
+	if a.waiting.Contains(s.Flow) {
 		return // a copy: it waits in one place only, or two servers would open it
 	}
 	if why := a.closed(now, m, s); why != 0 {
@@ -80,11 +80,11 @@
 
 // take lets a flow that is to be this server's wait for its turn, which may come at once.
 func (a *Agent) take(now time.Time, m msgs.Offer, s *segs.Segment) {
-	w := &hold.Waiting{
-		Flow:   s.Flow,
-		Origin: m.Origin,
-		Began:  now.Add(-a.Callers.Age(s.Ack)),
-		Packet: slices.Clone(m.Packet),
+	w := &hold.QueuedFlow{
+		Flow:      s.Flow,
+		Origin:    m.Origin,
+		FirstSent: now.Add(-a.Callers.Age(s.Ack)),
+		Packet:    slices.Clone(m.Packet),
 	}
 	if r := a.Log.View().Route(s.Flow.ServiceAddr()); r != nil {
 		w.Priority, w.Target = r.Priority, r.Target
@@ -96,7 +96,7 @@
 		}
 	}
 	a.admit(now)
-	if a.waiting.Has(s.Flow) {
+	if a.waiting.Contains(s.Flow) {
 		held.Inc()
 		a.Events.Flow(event.Ordinary, "waits", s.Flow).Int("waiting", a.waiting.Len()).Uint16("work", a.work(now)).
 			Int("priority", w.Priority).Stringer("revision", a.Log.Revision()).Send()
@@ -135,7 +135,7 @@
 			continue
 		}
 		o.Origin = w.Origin
-		a.warmth.Took(now)
+		a.warmth.Record(now)
 		if a.unheard.IsZero() {
 			a.unheard = now
 		}
@@ -150,7 +150,7 @@
 	}
 }
 
-func (a *Agent) handBackWaiting(now time.Time, w *hold.Waiting, why msgs.Reason) {
+func (a *Agent) handBackWaiting(now time.Time, w *hold.QueuedFlow, why msgs.Reason) {
 	s := segs.Segment{Flow: w.Flow}
 	a.handBack(now, w.Origin, &s, w.Packet, why)
 }
@@ -177,7 +177,7 @@
 	self, _ := a.self(v)
 	for _, s := range v.Servers(a.Service) {
 		if s.State == belief.Ready && s.Addr.Addr() != a.Self && !v.Evacuated(s.Domain) {
-			agents = append(agents, share.Server{Agent: s.Addr.Addr(), Near: s.Domain == self.Domain})
+			agents = append(agents, share.Server{Agent: s.Addr.Addr(), SameDomain: s.Domain == self.Domain})
 		}
 	}
 	return agents
@@ -270,7 +270,7 @@
 		return
 	}
 	if owner, ok := a.home.Owner(s.Flow, s.Ack); ok && owner != a.Self {
-		if a.doubted.Lost(owner) {
+		if a.doubted.Failed(owner) {
 			a.searchFor(now, m, s)
 			return
 		}
--- a/internal/node/local/lead.go
+++ b/internal/node/local/lead.go
@@ -78,7 +78,9 @@
 
 // complete says whether the agent has seen all flows that its server can hold: it has
 // run since before the server started, or longer than any flow lives.
-func (a *Agent) complete(now time.Time) bool { return a.server.whole || now.Sub(a.Started) > a.Life }
+func (a *Agent) complete(now time.Time) bool {
+	return a.server.whole || now.Sub(a.Started) > a.MaxLife
+}
 
 // find answers a lead.
 func (a *Agent) find(now time.Time, from netip.Addr, m msgs.Query) {
--- a/internal/node/local/local.go
+++ b/internal/node/local/local.go
@@ -54,22 +54,22 @@
 
 // Config is what an Agent is made of.
 type Config struct {
-	Self    netip.Addr
-	Domain  string // failure domain
-	Service string
-	Backend netip.AddrPort
-	Log     *belief.Log
-	Ctrl    Control
-	Vouch   doubt.Voucher // its answers come to Agent.Heard
-	Codec   segs.Codec
-	Callers segs.CallerTiming
-	Wire    Wire
-	Events  *event.Log
-	Bound   time.Duration // a change is in force within it
-	Life    time.Duration // no flow lives longer
-	Started time.Time     // of the process
-	Rand    *rand.Rand    // used under the agent's lock
-	Off     parts.Off
+	Self             netip.Addr
+	Domain           string // failure domain
+	Service          string
+	Backend          netip.AddrPort
+	Log              *belief.Log
+	Control          Control
+	Prober           doubt.Prober // its answers come to Agent.Heard
+	Codec            segs.Codec
+	Callers          segs.CallerTiming
+	Wire             Wire
+	Events           *event.Log
+	PropagationBound time.Duration // a change is in force within it
+	MaxLife          time.Duration // no flow lives longer
+	Started          time.Time     // of the process
+	Rand             *rand.Rand    // used under the agent's lock
+	Off              parts.Off
 }
 
 const (
@@ -106,11 +106,11 @@
 	probes   map[segs.Flow]probe
 	searches map[segs.Flow]*search // as the home of flows
 	rounds   *seek.Rounds          // as a lead
-	doubted  *doubt.Watch          // agents that have left something unanswered
+	doubted  *doubt.Monitor        // agents that have left something unanswered
 	passed   map[segs.Flow]passing // as the home: packets on their way to owners in doubt
 	leaving  bool
 	breaker  trip.Breaker
-	quick    *quick.Watch
+	quick    *quick.Breaker
 	warmth   warm.Limiter
 	ending   []segs.Flow // that rest at a server that breaks off its requests
 	server   sight
@@ -133,7 +133,7 @@
 		probes:   map[segs.Flow]probe{},
 		searches: map[segs.Flow]*search{},
 		rounds:   seek.New(rand.Uint32()),
-		doubted:  doubt.New(c.Self, c.Vouch, c.Rand),
+		doubted:  doubt.New(c.Self, c.Prober, c.Rand),
 		passed:   map[segs.Flow]passing{},
 		quick:    quick.New(),
 	}
@@ -187,9 +187,9 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	idle := a.idle()
-	a.flows.Expire(now, owner.Lifetimes{Idle: idle, MaxAge: a.Life + overFor, Closed: overFor, Opening: a.Callers.GiveUp + openingAfter})
+	a.flows.Expire(now, owner.Lifetimes{Idle: idle, MaxAge: a.MaxLife + overFor, Closed: overFor, Opening: a.Callers.GiveUp + openingAfter})
 	a.admit(now)
-	a.home.Expire(now, a.Life+overFor)
+	a.home.Expire(now, a.MaxLife+overFor)
 	a.tellResting(now)
 	a.expireProbes(now)
 	a.tickSearches(now)
@@ -202,7 +202,7 @@
 	if c := a.Log.View().Config; c != nil {
 		return max(idleLeast, c.Idle)
 	}
-	return a.Life
+	return a.MaxLife
 }
 
 // Changed is to be called after the view has changed: homes may have.
--- a/internal/node/local/peer.go
+++ b/internal/node/local/peer.go
@@ -31,7 +31,7 @@
 	case msgs.KindQueryAnswer:
 		err = msgs.Handle(h, rest, msgs.ReadQueryAnswer, func(m msgs.QueryAnswer) { a.found(now, from, m) })
 	case msgs.KindFailed:
-		err = msgs.Handle(h, rest, msgs.ReadFailed, func(m msgs.Failed) { a.doubted.Told(now, m.Agents) })
+		err = msgs.Handle(h, rest, msgs.ReadFailed, func(m msgs.Failed) { a.doubted.LearnFailed(now, m.Agents) })
 	default:
 		return false
 	}
--- a/internal/node/local/search.go
+++ b/internal/node/local/search.go
@@ -252,8 +252,8 @@
 		a.Events.Flow(event.Failure, "unfound", f).Str("why", "no answer").Int("agents", q.absent).Send()
 		return
 	}
-	age, known := a.Ctrl.Age(now)
-	if !known || age > a.Bound {
+	age, known := a.Control.Age(now)
+	if !known || age > a.PropagationBound {
 		a.Events.Flow(event.Failure, "unfound", f).Str("why", "belief too old").Dur("age", age).Send()
 		return
 	}
--- a/internal/node/local/server.go
+++ b/internal/node/local/server.go
@@ -132,6 +132,6 @@
 	a.packet = a.Codec.Reset(a.packet[:0], *s)
 	a.Wire.ToCaller(s.Flow.Caller, a.packet)
 	resets(why)
-	age, _ := a.Ctrl.Age(now)
+	age, _ := a.Control.Age(now)
 	a.Events.Flow(event.Failure, "reset", s.Flow).Str("why", why).Stringer("revision", a.Log.Revision()).Dur("age", age).Send()
 }
--- a/internal/node/opaque/messages.go
+++ b/internal/node/opaque/messages.go
@@ -44,7 +44,7 @@
 
 // took handles one message.
 func (p *process) took(now time.Time, from netip.Addr, h msgs.Header, rest []byte, take flowMessages) error {
-	p.vouch.Heard(now, from)
+	p.vouch.MarkAlive(now, from)
 	switch h.Kind {
 	case msgs.KindBeacon:
 		m, err := msgs.ReadBeacon(h, rest)
@@ -64,9 +64,9 @@
 	p.follow.Noticed(from, h.Revision)
 	switch h.Kind {
 	case msgs.KindPing:
-		return msgs.Handle(h, rest, msgs.ReadPing, func(m msgs.Ping) { p.vouch.Asked(from, m) })
+		return msgs.Handle(h, rest, msgs.ReadPing, func(m msgs.Ping) { p.vouch.HandleProbe(from, m) })
 	case msgs.KindPingAck:
-		return msgs.Handle(h, rest, msgs.ReadPingAck, func(m msgs.PingAck) { p.vouch.Alive(now, m) })
+		return msgs.Handle(h, rest, msgs.ReadPingAck, func(m msgs.PingAck) { p.vouch.HandleAck(now, m) })
 	}
 	if !take(now, from, h, rest) {
 		return errKind
--- a/internal/node/opaque/sockets.go
+++ b/internal/node/opaque/sockets.go
@@ -31,22 +31,22 @@
 
 func openSockets(ctx context.Context, s *carry.Settings) (k *sockets, err error) {
 	k = &sockets{port: s.Link.Port()}
-	if k.link, err = sock.UDP(ctx, s.LinkBind, sock.Alone); err != nil {
+	if k.link, err = sock.UDP(ctx, s.LinkBind, sock.Exclusive); err != nil {
 		return nil, err
 	}
-	if k.fetches, err = sock.TCP(ctx, s.LinkBind, sock.Alone); err != nil {
+	if k.fetches, err = sock.TCP(ctx, s.LinkBind, sock.Exclusive); err != nil {
 		return nil, err
 	}
 	if s.Entry != nil {
 		k.answerTo = s.Entry.Bind.Port()
-		k.callers, err = sock.UDP(ctx, s.Entry.Bind, sock.Alone)
+		k.callers, err = sock.UDP(ctx, s.Entry.Bind, sock.Exclusive)
 		return k, err
 	}
 	k.answerTo = s.Agent.Caller.Port()
-	if k.callers, err = sock.UDP(ctx, s.Agent.Caller, sock.Alone); err != nil {
+	if k.callers, err = sock.UDP(ctx, s.Agent.Caller, sock.Exclusive); err != nil {
 		return nil, err
 	}
-	if k.servers, err = sock.UDP(ctx, s.Agent.Listen, sock.Alone); err != nil {
+	if k.servers, err = sock.UDP(ctx, s.Agent.Listen, sock.Exclusive); err != nil {
 		return nil, err
 	}
 	k.backend, err = net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(s.Agent.Backend))
--- a/internal/node/vouch/vouch_test.go
+++ b/internal/node/vouch/vouch_test.go
@@ -41,17 +41,17 @@
 	switch h.Kind {
 	case msgs.KindPing:
 		m, _ := msgs.ReadPing(h, rest)
-		n.Asked(from, m)
+		n.HandleProbe(from, m)
 	case msgs.KindPingAck:
 		m, _ := msgs.ReadPingAck(h, rest)
-		n.Alive(time.Time{}, m)
+		n.HandleAck(time.Time{}, m)
 	}
 }
 
 // ask returns whether node 0 hears that a process is alive.
 func (w *network) ask(target netip.Addr, helpers ...netip.Addr) (alive bool) {
 	w.nodes[addr(0)].OnAlive = func(_ time.Time, process netip.Addr) { alive = alive || process == target }
-	w.nodes[addr(0)].Ask(target, helpers, 0)
+	w.nodes[addr(0)].Probe(target, helpers, 0)
 	return alive
 }
 
