--- a/internal/ctrl/link/link.go
+++ b/internal/ctrl/link/link.go
@@ -1,10 +1,10 @@
-// Package link opens and keeps the connections on which control talks to other processes.
+// Package link opens and pools the connections on which control traffic reaches other processes.
 //
-// It exists because a process talks to many others a little: connections to the
-// few that it talks to often are kept, the others are closed after a while, and
-// their number is bounded. All bytes are counted by the meter.
+// It exists because a process exchanges little traffic with many others: connections to the few processes
+// that it calls often are kept open, others are closed after an idle timeout, and the number of open ones
+// is bounded. The meter counts all bytes.
 //
-// It chooses nobody (package peers) and knows no messages (package wire).
+// It doesn't choose processes (package peers) and doesn't know the messages (package wire).
 //
 // # Usage
 //
@@ -29,15 +29,15 @@
 	"mangowinch/internal/ctrl/wire"
 )
 
-// Bounds of the connections kept.
+// Limits of the connection pool.
 const (
-	perPeer  = 2                // one for exchanges, one for texts
-	capacity = 64               // neighbours, agents of the service and a few more
-	idle     = 90 * time.Second // neighbours are talked to every few seconds
-	maxBytes = 1 << 20          // of one message
+	connsPerPeer = 2                // one for exchanges and one for texts
+	maxConns     = 64               // enough for the neighbours, the agents of the service and a few more
+	idleTimeout  = 90 * time.Second // neighbours are called every few seconds
+	maxMessage   = 1 << 20          // of one message
 )
 
-// Dialer keeps connections. Its methods may be called from any goroutine.
+// Dialer pools connections. Its methods may be called from any goroutine.
 type Dialer struct {
 	meter *budget.Meter
 	wrap  func(net.Conn) net.Conn
@@ -49,20 +49,20 @@
 	return NewWith(meter, func(c net.Conn) net.Conn { return c })
 }
 
-// NewWith is New with connections that are wrapped once they are open, for measurements.
+// NewWith is like New but wraps each connection once it is open, for example to simulate loss.
 func NewWith(meter *budget.Meter, wrap func(net.Conn) net.Conn) *Dialer {
 	return &Dialer{
 		meter: meter,
 		wrap:  wrap,
 		pool: drpcpool.New[netip.AddrPort, drpcpool.Conn](drpcpool.Options{
-			Expiration:  idle,
-			Capacity:    capacity,
-			KeyCapacity: perPeer,
+			Expiration:  idleTimeout,
+			Capacity:    maxConns,
+			KeyCapacity: connsPerPeer,
 		}),
 	}
 }
 
-// Peer returns the process at an address; it is dialled when it is first called.
+// Peer returns a client of the process at an address. The first call dials it.
 func (d *Dialer) Peer(address netip.AddrPort) wire.DRPCRelayClient {
 	return wire.NewDRPCRelayClient(d.pool.Get(context.Background(), address, d.dial))
 }
@@ -79,12 +79,12 @@
 	return drpcconn.NewWithOptions(d.meter.Conn(d.wrap(c)), drpcconn.Options{Manager: Options()}), nil
 }
 
-// Options bounds what one connection may buffer, on either side.
+// Options returns the limits on what one connection may buffer, for clients and servers.
 func Options() drpcmanager.Options {
-	return drpcmanager.Options{Reader: drpcwire.ReaderOptions{MaximumBufferSize: maxBytes}}
+	return drpcmanager.Options{Reader: drpcwire.ReaderOptions{MaximumBufferSize: maxMessage}}
 }
 
-// Transport returns the way of HTTP calls to the platform, whose bytes are control's as well.
+// Transport returns an HTTP transport for calls to the platform, whose bytes count as control traffic too.
 func Transport(meter *budget.Meter) http.RoundTripper {
 	t := http.DefaultTransport.(*http.Transport).Clone()
 	t.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
--- a/internal/ctrl/peers/peers.go
+++ b/internal/ctrl/peers/peers.go
@@ -1,23 +1,21 @@
-// Package peers keeps what one process believes about the other processes.
+// Package peers keeps the membership table of one process: what it believes about the other processes.
 //
-// It exists because nobody knows for certain who is there: the platform's list
-// lags, a partition makes the other half look dead, and a process that was
-// replaced keeps its name. So every belief here is soft. A process itself is
-// the authority on its state, and numbers its lives (incarnations); what others
-// say about it counts only if it's about a life at least as new. That somebody
-// does not answer is a suspicion of this process alone and is told to nobody:
-// it makes the process rarely chosen, and no partition can make it forgotten
-// while the platform lists it.
+// It exists because no process has certain knowledge of the others: the platform's list lags, a partition
+// makes the other half look failed, and a process that is replaced keeps its name. So the table contains
+// beliefs only. Each process is the authority on its own state and numbers its incarnations; a claim by
+// another process counts only if it is about the known incarnation or a later one. That a process does not
+// answer makes it suspected by this process alone and is not gossiped: a suspected process is chosen
+// rarely, and no partition can make it forgotten while the platform lists it.
 //
-// It is not a failure detector for traffic, and sends nothing (package relay).
-// It is pure: the time and the randomness are handed in. Callers lock.
+// It is not a failure detector for traffic, and it sends nothing (package relay). It is pure: time and
+// randomness are parameters. Callers synchronize access.
 //
 // # Usage
 //
 //	table := peers.New(self, peers.MaxMembers)
-//	table.List(now, fromPlatform)
-//	table.Learn(now, member, true)   // heard from it
-//	table.Failed(now, member.Name)   // it did not answer
+//	table.MergeList(now, fromPlatform)
+//	table.Merge(now, member, true)     // received from the member itself
+//	table.CallFailed(now, member.Name) // the member did not answer
 //	for _, m := range table.Pick(now, r, 4, peers.Entries) {
 //		send(m)
 //	}
@@ -31,7 +29,7 @@
 	"time"
 )
 
-// Role says which of the two kinds of process a member is.
+// Role is the kind of process that a member is.
 type Role string
 
 // The roles.
@@ -40,7 +38,7 @@
 	Agent Role = "agent"
 )
 
-// State is what a member says of itself.
+// State is a member's state as the member itself reports it.
 type State string
 
 // The states.
@@ -49,133 +47,135 @@
 	Leaving State = "leaving"
 )
 
-// Member is one life of a process.
+// Member is one incarnation of a process.
 type Member struct {
 	Name        string
 	Role        Role
 	Domain      string // failure domain
 	Address     netip.AddrPort
-	Incarnation uint64 // 0 when only the platform's list names it
+	Incarnation uint64 // 0 if it is known from the platform's list only
 	State       State
 }
 
-// Bounds of a table.
+// Timings and limits of a table.
 const (
-	MaxMembers     = 4096             // five times the entries of the planned size
-	forget         = 10 * time.Minute // unlisted and unheard: longer than a regional partition usually lasts
-	forgetFailures = 8                // in a row, which takes two minutes
+	MaxMembers     = 4096             // five times the number of entries at the planned size
+	forgetAfter    = 10 * time.Minute // without being listed or received from; longer than a regional partition usually lasts
+	forgetFailures = 8                // consecutive ones, which take two minutes
 	retryBase      = time.Second      // after the first failure
-	retryCap       = time.Minute      // with half of the fleet cut off, most tries go to the other half
-	newsSends      = 8                // times a change is passed on, about twice the rounds that a rumour needs
-	maxNews        = 128
+	retryCap       = time.Minute      // when half of the fleet is partitioned off, most calls still go to the reachable half
+	gossipSends    = 8                // sends of one change, about twice the rounds that gossip needs
+	maxGossip      = 128
 )
 
+// record is what the table holds about another process.
 type record struct {
 	Member
-	listed   bool
-	heard    time.Time // directly or from others
-	failures int
-	retry    time.Time // not chosen before
+	listed       bool
+	lastReceived time.Time // directly or from other processes
+	failures     int
+	retryAt      time.Time // Pick doesn't return the member before
 }
 
-type news struct {
-	name string
-	left int
+// gossipItem is a changed member that is still to be gossiped sendsLeft times.
+type gossipItem struct {
+	name      string
+	sendsLeft int
 }
 
-// Table is the belief of one process. It is not safe for concurrent use.
+// Table is the membership table of one process. It is not safe for concurrent use.
 type Table struct {
 	self    Member
-	most    int
+	limit   int
 	records map[string]*record
-	names   []string // of records, ordered
-	news    []news
+	names   []string // of records, sorted
+	gossip  []gossipItem
 	refused int
 }
 
-// New returns the table of a process that knows only itself and will know most others.
-func New(self Member, most int) *Table {
-	return &Table{self: self, most: most, records: map[string]*record{}, news: []news{{self.Name, newsSends}}}
+// New returns a table that contains only the process itself and holds up to limit others.
+func New(self Member, limit int) *Table {
+	return &Table{self: self, limit: limit, records: map[string]*record{}, gossip: []gossipItem{{self.Name, gossipSends}}}
 }
 
-// Self returns what this process says of itself.
+// Self returns this process as it reports itself.
 func (t *Table) Self() Member { return t.self }
 
-// SetState changes what this process says of itself.
+// SetState changes the state that this process reports.
 func (t *Table) SetState(s State) {
 	if t.self.State != s {
 		t.self.State = s
-		t.spread(t.self.Name)
+		t.enqueueGossip(t.self.Name)
 	}
 }
 
-// Len returns how many other processes are known.
+// Len returns the number of other processes in the table.
 func (t *Table) Len() int { return len(t.records) }
 
-// Refused returns how many members were not taken in since the table was full.
+// Refused returns how many members were not added because the table was full.
 func (t *Table) Refused() int { return t.refused }
 
-// List takes in the platform's list. It adds who is new and marks who is still
-// listed. It lags, so it changes nothing about a process that was heard from.
-func (t *Table) List(now time.Time, list []Member) {
+// MergeList merges the platform's list. It adds new members and records which ones are still listed. Since
+// the list lags, it changes nothing else about a process that is known from messages.
+func (t *Table) MergeList(now time.Time, list []Member) {
 	for _, r := range t.records {
 		r.listed = false
 	}
 	for _, m := range list {
 		m.Incarnation = 0
-		t.Learn(now, m, false)
+		t.Merge(now, m, false)
 		if r := t.records[m.Name]; r != nil {
 			r.listed = true
 			if r.Incarnation == 0 {
-				r.Member = m // known by the list alone: the newest list counts
+				r.Member = m // known from the list only: the newest list counts
 			}
 		}
 	}
 	for name, r := range t.records {
-		if !r.listed && now.Sub(r.heard) > forget {
+		if !r.listed && now.Sub(r.lastReceived) > forgetAfter {
 			t.remove(name)
 		}
 	}
 }
 
-// Learn takes in what is said about a member: by itself (direct) or by others.
-// It reports whether anything was new.
-func (t *Table) Learn(now time.Time, m Member, direct bool) (changed bool) {
+// Merge merges a claim about a member, made by the member itself (direct) or by another process. It reports
+// whether the claim changed the table.
+func (t *Table) Merge(now time.Time, m Member, direct bool) (changed bool) {
 	if m.Name == t.self.Name {
-		return t.contradict(m)
+		return t.refute(m)
 	}
 	if m.Name == "" || !m.Address.IsValid() {
 		return false
 	}
 	r := t.records[m.Name]
 	if r == nil {
-		if len(t.records) >= t.most && !t.evict(now) {
+		if len(t.records) >= t.limit && !t.evict(now) {
 			t.refused++
 			return false
 		}
-		r = &record{Member: m, heard: now}
+		r = &record{Member: m, lastReceived: now}
 		t.add(r)
-		t.spread(m.Name)
+		t.enqueueGossip(m.Name)
 		return true
 	}
 	if m.Incarnation < r.Incarnation {
-		// A rumour about an earlier life, as after a partition. To believe it would
-		// send traffic to an address that the process left.
+		// The claim is about an earlier incarnation, as after a partition. Accepting it would send traffic
+		// to an address that the process no longer has.
 		return false
 	}
 	if direct {
-		r.heard, r.failures, r.retry = now, 0, time.Time{}
+		r.lastReceived, r.failures, r.retryAt = now, 0, time.Time{}
 	}
 	switch {
 	case m.Incarnation > r.Incarnation:
-		r.heard, r.failures, r.retry = now, 0, time.Time{}
+		r.lastReceived, r.failures, r.retryAt = now, 0, time.Time{}
 	case m.State == Leaving && r.State != Leaving:
-		// Within one life nobody comes back from leaving.
+		// Within one incarnation, leaving is final.
 	default:
 		return false
 	}
 	r.Member = m
-	t.spread(m.Name)
+	t.enqueueGossip(m.Name)
 	return true
 }
 
@@ -191,22 +191,22 @@
 	t.names = slices.Delete(t.names, at, at+1)
 }
 
-// contradict answers a rumour about this process itself that isn't true of this
-// life: after a restart with a clock that is behind, others hold the former life
-// for newer and would ignore this one. So it takes a newer number than theirs.
-func (t *Table) contradict(m Member) bool {
+// refute handles a claim about this process that isn't true of this incarnation: if the clock was behind at
+// a restart, other processes consider the previous incarnation newer and would ignore this one. So this
+// process takes an incarnation number above theirs.
+func (t *Table) refute(m Member) bool {
 	if m.Incarnation < t.self.Incarnation || m == t.self {
 		return false
 	}
 	t.self.Incarnation = m.Incarnation + 1
-	t.spread(t.self.Name)
+	t.enqueueGossip(t.self.Name)
 	return true
 }
 
-// evict makes room by forgetting somebody who is neither listed nor answers.
+// evict makes room by removing a member that is not listed and does not answer.
 func (t *Table) evict(now time.Time) bool {
 	for name, r := range t.records {
-		if !r.listed && r.failures > 0 && now.Sub(r.heard) > retryCap {
+		if !r.listed && r.failures > 0 && now.Sub(r.lastReceived) > retryCap {
 			t.remove(name)
 			return true
 		}
@@ -214,34 +214,33 @@
 	return false
 }
 
-// Failed notes that a member did not answer. One that never does any more, and that
-// the platform doesn't list as far as is known here, is forgotten in the end.
-func (t *Table) Failed(now time.Time, name string) {
+// CallFailed records that a member did not answer. A member that keeps failing and is not listed by the
+// platform is removed eventually.
+func (t *Table) CallFailed(now time.Time, name string) {
 	r := t.records[name]
 	if r == nil {
 		return
 	}
 	r.failures++
-	r.retry = now.Add(min(retryCap, retryBase<<min(r.failures-1, 10)))
-	if !r.listed && r.failures >= forgetFailures && now.Sub(r.heard) > forget {
+	r.retryAt = now.Add(min(retryCap, retryBase<<min(r.failures-1, 10)))
+	if !r.listed && r.failures >= forgetFailures && now.Sub(r.lastReceived) > forgetAfter {
 		t.remove(name)
 	}
 }
 
-// Suspected says whether a member did not answer lately.
+// Suspected reports whether a member has failed to answer since it was last received from.
 func (t *Table) Suspected(name string) bool {
 	r := t.records[name]
 	return r != nil && r.failures > 0
 }
 
-// Filter says which members are meant.
+// Filter reports whether a member is selected.
 type Filter func(Member) bool
 
-// Entries accepts the members of role entry.
+// Entries selects the members of role entry.
 func Entries(m Member) bool { return m.Role == Entry }
 
-// Members returns all others for which only says true (nil: all), whether they
-// answer or not, ordered by name.
+// Members returns the other members that only selects (nil: all), suspected or not, sorted by name.
 func (t *Table) Members(only Filter) []Member {
 	var members []Member
 	for _, name := range t.names {
@@ -252,7 +251,7 @@
 	return members
 }
 
-// Live returns this process and the others that answer as far as is known, ordered by name.
+// Live returns this process and the others that are neither suspected nor leaving, sorted by name.
 func (t *Table) Live(only Filter) []Member {
 	members := t.Members(func(m Member) bool {
 		return t.records[m.Name].failures == 0 && m.State != Leaving && (only == nil || only(m))
@@ -264,18 +263,18 @@
 	return members
 }
 
-// Pick chooses up to n others at random. Who did not answer is left out until its
-// retry is due, and then chosen like anybody else.
+// Pick chooses up to n other members at random. A suspected member is left out until its retry is due, and
+// then has the same chance as any other.
 func (t *Table) Pick(now time.Time, r *rand.Rand, n int, only Filter) []Member {
 	members := t.Members(func(m Member) bool {
-		return !now.Before(t.records[m.Name].retry) && (only == nil || only(m))
+		return !now.Before(t.records[m.Name].retryAt) && (only == nil || only(m))
 	})
 	r.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
 	return members[:min(n, len(members))]
 }
 
-// Suspect chooses one at random of those that did not answer, whether its retry is due or not.
-func (t *Table) Suspect(r *rand.Rand) (Member, bool) {
+// RandomSuspect chooses one of the suspected members at random, whether its retry is due or not.
+func (t *Table) RandomSuspect(r *rand.Rand) (Member, bool) {
 	members := t.Members(func(m Member) bool { return t.records[m.Name].failures > 0 })
 	if len(members) == 0 {
 		return Member{}, false
@@ -283,25 +282,25 @@
 	return members[r.IntN(len(members))], true
 }
 
-// News returns up to n members to tell somebody about: first those about whom
-// something changed lately, then any, so that in time everybody knows all.
-func (t *Table) News(r *rand.Rand, n int, only Filter) []Member {
+// Gossip returns up to n members for a message: first those that changed recently, then random ones, so
+// that every process eventually knows all members.
+func (t *Table) Gossip(r *rand.Rand, n int, only Filter) []Member {
 	var members []Member
-	var left []news
-	for _, w := range t.news {
+	var left []gossipItem
+	for _, w := range t.gossip {
 		m, ok := t.member(w.name)
 		if !ok || only != nil && !only(m) {
 			continue
 		}
 		if len(members) < n {
 			members = append(members, m)
-			w.left--
+			w.sendsLeft--
 		}
-		if w.left > 0 {
+		if w.sendsLeft > 0 {
 			left = append(left, w)
 		}
 	}
-	t.news = left
+	t.gossip = left
 	for range min(n-len(members), len(t.names)) {
 		m := t.records[t.names[r.IntN(len(t.names))]]
 		if m.failures == 0 && (only == nil || only(m.Member)) {
@@ -321,9 +320,9 @@
 	return Member{}, false
 }
 
-// spread remembers a change to be passed on, newest first.
-func (t *Table) spread(name string) {
-	t.news = slices.DeleteFunc(t.news, func(w news) bool { return w.name == name })
-	t.news = slices.Insert(t.news, 0, news{name, newsSends})
-	t.news = t.news[:min(len(t.news), maxNews)]
+// enqueueGossip queues a changed member for gossip, ahead of earlier changes.
+func (t *Table) enqueueGossip(name string) {
+	t.gossip = slices.DeleteFunc(t.gossip, func(w gossipItem) bool { return w.name == name })
+	t.gossip = slices.Insert(t.gossip, 0, gossipItem{name, gossipSends})
+	t.gossip = t.gossip[:min(len(t.gossip), maxGossip)]
 }
--- a/internal/ctrl/peers/peers_test.go
+++ b/internal/ctrl/peers/peers_test.go
@@ -23,61 +23,61 @@
 	}
 }
 
-// An entry is replaced at another address while a partition lasts. When it ends, the
-// other side still tells of the former life. Believing that would send traffic to
-// an address where nobody is, or somebody else: in any order the newest life counts.
-func TestNewestLifeCounts(t *testing.T) {
+// An entry is replaced at another address during a partition. When the partition ends, the other side still
+// gossips the previous incarnation. Guards against sending traffic to an address where there is no process,
+// or another one: in any order of claims the newest incarnation wins.
+func TestNewestIncarnationWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := peers.New(member("self", 1, 1), peers.MaxMembers)
 		var newest uint64
-		for _, life := range rapid.SliceOfN(rapid.Uint64Range(0, 5), 1, 20).Draw(t, "lives") {
-			table.Learn(start, member("e1", life, uint16(7000+life)), rapid.Bool().Draw(t, "direct"))
-			newest = max(newest, life)
+		for _, incarnation := range rapid.SliceOfN(rapid.Uint64Range(0, 5), 1, 20).Draw(t, "lives") {
+			table.Merge(start, member("e1", incarnation, uint16(7000+incarnation)), rapid.Bool().Draw(t, "direct"))
+			newest = max(newest, incarnation)
 			got := table.Members(nil)[0]
 			assert.Equal(t, got, member("e1", newest, uint16(7000+newest)))
 		}
 	})
 }
 
-// A process restarts on a machine whose clock is behind, so that its new life has a
-// lower number than the one that others remember. They would ignore it for good.
-func TestContradictsRumoursAboutItself(t *testing.T) {
+// A process restarts on a machine whose clock is behind, so that its new incarnation number is lower than
+// the one that others remember. Without a higher number they would ignore it for good.
+func TestRefutesClaimsAboutItself(t *testing.T) {
 	table := peers.New(member("self", 10, 1), peers.MaxMembers)
-	assert.Assert(t, table.Learn(start, member("self", 50, 2), false))
+	assert.Assert(t, table.Merge(start, member("self", 50, 2), false))
 	assert.Equal(t, table.Self(), member("self", 51, 1))
-	assert.Assert(t, !table.Learn(start, member("self", 51, 1), false)) // its own word, come back
+	assert.Assert(t, !table.Merge(start, member("self", 51, 1), false)) // its own claim, returned by another process
 	assert.Equal(t, table.Self().Incarnation, uint64(51))
 }
 
-// The platform's list is late and names an address that an entry has left, and
-// calls it live although it has said that it leaves.
-func TestListChangesNothingThatWasHeard(t *testing.T) {
+// The platform's list lags: it has an address that an entry no longer uses, and lists the entry as live
+// although the entry has reported that it is leaving. Guards against the list overriding what was received.
+func TestListKeepsReceivedState(t *testing.T) {
 	table := peers.New(member("self", 1, 1), peers.MaxMembers)
-	heard := member("e1", 7, 7001)
-	heard.State = peers.Leaving
-	table.Learn(start, heard, true)
-	table.List(start, []peers.Member{member("e1", 0, 7000), member("e2", 0, 7002)})
-	assert.Assert(t, slices.Equal(table.Members(nil), []peers.Member{heard, member("e2", 0, 7002)}))
-	table.List(start, []peers.Member{member("e2", 0, 7003)}) // known by the list alone
+	received := member("e1", 7, 7001)
+	received.State = peers.Leaving
+	table.Merge(start, received, true)
+	table.MergeList(start, []peers.Member{member("e1", 0, 7000), member("e2", 0, 7002)})
+	assert.Assert(t, slices.Equal(table.Members(nil), []peers.Member{received, member("e2", 0, 7002)}))
+	table.MergeList(start, []peers.Member{member("e2", 0, 7003)}) // known from the list only
 	assert.Equal(t, table.Members(nil)[1], member("e2", 0, 7003))
 }
 
-// Half of the fleet is cut off for an hour. It looks dead, and is still listed; it
-// must be tried again within a minute of the end, and be no news meanwhile.
-func TestSuspectsAreTriedAgain(t *testing.T) {
+// Half of the fleet is partitioned off for an hour. It looks failed but is still listed. A suspected member
+// must be chosen again within a minute of the end.
+func TestSuspectsAreRetried(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	table := peers.New(member("self", 1, 1), peers.MaxMembers)
-	table.List(start, []peers.Member{member("e1", 0, 7001)})
+	table.MergeList(start, []peers.Member{member("e1", 0, 7001)})
 	now := start
 	for now.Before(start.Add(time.Hour)) {
 		picked := table.Pick(now, r, 1, peers.Entries)
 		if len(picked) > 0 {
-			table.Failed(now, "e1")
+			table.CallFailed(now, "e1")
 		}
 		now = now.Add(time.Second)
 	}
 	assert.Assert(t, table.Suspected("e1"))
-	suspect, ok := table.Suspect(r)
+	suspect, ok := table.RandomSuspect(r)
 	assert.Assert(t, ok && suspect.Name == "e1")
 	assert.Equal(t, len(table.Live(nil)), 1)
 	tried := false
@@ -86,27 +86,27 @@
 		tried = tried || len(table.Pick(now, r, 1, nil)) > 0
 	}
 	assert.Assert(t, tried)
-	table.Learn(now, member("e1", 3, 7001), true)
+	table.Merge(now, member("e1", 3, 7001), true)
 	assert.Equal(t, len(table.Live(nil)), 2)
-	_, ok = table.Suspect(r)
+	_, ok = table.RandomSuspect(r)
 	assert.Assert(t, !ok)
 }
 
-// Processes come and go for months. The table stays bounded, makes room by those who
-// neither answer nor are listed, and forgets them in the end.
+// Processes come and go for months. The size of the table stays bounded; members that neither answer nor
+// are listed make room for new ones and are eventually removed.
 func TestBounded(t *testing.T) {
 	table := peers.New(member("self", 1, 1), 10)
 	for n := range 20 {
-		table.Learn(start, member(fmt.Sprint("e", n), 1, uint16(7000+n)), false)
+		table.Merge(start, member(fmt.Sprint("e", n), 1, uint16(7000+n)), false)
 	}
 	assert.Equal(t, table.Len(), 10)
 	assert.Equal(t, table.Refused(), 10)
 	later := start.Add(2 * time.Minute)
-	table.Failed(later, "e3")
-	assert.Assert(t, table.Learn(later, member("new", 1, 9000), true))
+	table.CallFailed(later, "e3")
+	assert.Assert(t, table.Merge(later, member("new", 1, 9000), true))
 	assert.Equal(t, table.Len(), 10)
 	for range 8 {
-		table.Failed(start.Add(time.Hour), "e4")
+		table.CallFailed(start.Add(time.Hour), "e4")
 	}
 	assert.Equal(t, table.Len(), 9)
 }
--- a/internal/ctrl/relay/attend.go
+++ b/internal/ctrl/relay/attend.go
@@ -12,73 +12,75 @@
 	"mangowinch/internal/ctrl/peers"
 )
 
-// Bounds of what an entry does at the platform.
+// Timings and limits of an entry's calls to the platform.
 const (
-	dutyEvery     = time.Second
-	watchMost     = 6 * time.Second // between tries to watch: a change accepted at the return of the platform is in force within seven
-	peersFirst    = 2 * time.Second // a start asks peers so long before it believes the platform
-	startFailures = 8               // to read the list of instances, some 5 s in all
-	manyMissing   = 20              // more than a day's change now and then: a start or an outage
+	dutyPeriod       = time.Second     // between two checks whether this entry is a watcher
+	watchBackoffCap  = 6 * time.Second // so that a change accepted when the platform returns is in force within 7 s
+	peersHeadStart   = 2 * time.Second // how long a starting entry waits for its peers before it reads the platform
+	maxStartFailures = 8               // failed reads of the list of instances, about 5 s in all
+	loadBatch        = 20              // more missing documents than this indicate a start or an outage
 )
 
-// attend does what this process does at the platform.
-func (n *Node) attend(ctx context.Context) {
+// platformLoop runs the part of this process that calls the platform. An entry watches the platform while
+// it is one of the watchers of its failure domain, and otherwise probes the platform occasionally.
+func (n *Node) platformLoop(ctx context.Context) {
 	if n.Self.Role != peers.Entry {
-		n.attendAgent(ctx)
+		n.agentPlatformLoop(ctx)
 		return
 	}
 	n.mu.Lock()
 	start := duty.Start(peers.Entry, n.Rand)
 	n.mu.Unlock()
-	if !sleep(ctx, start) || !n.meetMembers(ctx) {
+	if !sleep(ctx, start) || !n.awaitMembers(ctx) {
 		return
 	}
 	var running sync.WaitGroup
 	defer running.Wait()
 	stop := func() {}
 	defer func() { stop() }()
-	for probe := time.Now().Add(duty.Tick); ctx.Err() == nil; sleep(ctx, n.jitter(dutyEvery)) {
+	for nextProbe := time.Now().Add(duty.Tick); ctx.Err() == nil; sleep(ctx, n.jitter(dutyPeriod)) {
 		n.mu.Lock()
 		live := n.table.Live(peers.Entries)
 		watch := duty.Watches(n.table.Self(), live)
-		age := time.Since(n.contact)
-		ask := !watch && time.Now().After(probe) && duty.Probes(age, len(live), n.Rand)
+		age := time.Since(n.lastContact)
+		probeDue := !watch && time.Now().After(nextProbe) && duty.Probes(age, len(live), n.Rand)
 		changed := watch != n.watching
 		n.watching = watch
 		n.mu.Unlock()
-		if time.Now().After(probe) {
-			probe = time.Now().Add(n.jitter(duty.Tick))
+		if time.Now().After(nextProbe) {
+			nextProbe = time.Now().Add(n.jitter(duty.Tick))
 		}
 		switch {
 		case changed && watch:
-			stop = n.begin(ctx, &running)
+			stop = n.startWatch(ctx, &running)
 		case changed:
-			n.Log.Info().Msg("leaves watching the platform to others")
+			n.Log.Info().Msg("stopped watching the platform; other entries of the failure domain watch it")
 			stop()
-		case ask:
+		case probeDue:
 			probesTotal.Inc()
 			if list, err := n.Platform.Documents(ctx); err == nil {
-				n.heardPlatform(time.Now())
+				n.recordContact(time.Now())
 				_ = n.load(ctx, list)
 			}
 		}
 	}
 }
 
-// begin starts watching, and returns what ends it.
-func (n *Node) begin(ctx context.Context, running *sync.WaitGroup) (stop context.CancelFunc) {
-	n.Log.Info().Msg("watches the platform")
+// startWatch starts the watch and the reading of the list of instances, and returns the function that stops
+// both.
+func (n *Node) startWatch(ctx context.Context, running *sync.WaitGroup) (stop context.CancelFunc) {
+	n.Log.Info().Msg("started watching the platform")
 	ctx, stop = context.WithCancel(ctx)
 	running.Go(func() { n.watch(ctx) })
 	running.Go(func() { n.listInstances(ctx) })
 	return stop
 }
 
-// meetMembers waits until members are known, from peers or else from the
-// platform: a process that knows nobody would think that it's to watch. When
-// neither tells, it does watch after some seconds.
-func (n *Node) meetMembers(ctx context.Context) bool {
-	for failures := 0; failures < startFailures; {
+// awaitMembers waits until some members are known, either from peers or from the platform's list of
+// instances: a process that knows no members would consider itself a watcher. If neither source answers
+// within a few seconds, the process proceeds and does watch.
+func (n *Node) awaitMembers(ctx context.Context) bool {
+	for failures := 0; failures < maxStartFailures; {
 		n.mu.Lock()
 		known := n.table.Len() > 0
 		n.mu.Unlock()
@@ -87,7 +89,7 @@
 		}
 		list, err := n.Platform.Instances(ctx)
 		if err == nil {
-			n.takeList(list)
+			n.mergeList(list)
 			break
 		}
 		failures++
@@ -95,86 +97,85 @@
 			return false
 		}
 	}
-	// A platform that serves an old revision to a process that has just started would
-	// take a document back there. So peers, which know better, get their turn first.
-	for end := time.Now().Add(peersFirst); time.Now().Before(end); {
+	// A platform that serves an old revision could make a process that has just started revert a document.
+	// The process therefore first waits for an exchange with a peer, which may hold a newer revision.
+	for end := time.Now().Add(peersHeadStart); time.Now().Before(end); {
 		n.mu.Lock()
 		alone := n.table.Len() == 0 && len(n.Seeds) == 0
-		met := n.met
+		synced := n.synced
 		n.mu.Unlock()
-		if met || alone {
+		if synced || alone {
 			break
 		}
-		if !sleep(ctx, peersFirst/20) {
+		if !sleep(ctx, peersHeadStart/20) {
 			return false
 		}
 	}
 	return ctx.Err() == nil
 }
 
-// watch holds a watch at the platform and loads what changes. A document that can't
-// be read is tried again while the watch goes on, so that it holds up no other.
+// watch repeats a watch call to the platform and loads the documents that changed. If some documents can't
+// be loaded, it retries them between watch calls with a backoff, so that they don't delay other documents.
 func (n *Node) watch(ctx context.Context) {
 	var last fetch.List
-	failures, broken := 0, 0
+	failures, loadFailures := 0, 0
 	for ctx.Err() == nil {
 		call, cancel := ctx, context.CancelFunc(func() {})
-		if broken > 0 {
-			call, cancel = context.WithTimeout(ctx, dutyEvery+n.backoff(broken))
+		if loadFailures > 0 {
+			call, cancel = context.WithTimeout(ctx, dutyPeriod+n.backoff(loadFailures))
 		}
 		list, err := n.Platform.Watch(call, last.Index)
-		again := call.Err() != nil
+		interrupted := call.Err() != nil
 		cancel()
 		switch {
 		case err == nil:
-			n.heardPlatform(time.Now())
+			n.recordContact(time.Now())
 			last, failures = list, 0
-		case !again:
+		case !interrupted:
 			failures++
-			sleep(ctx, n.backoffUpTo(failures, watchMost))
+			sleep(ctx, n.backoffUpTo(failures, watchBackoffCap))
 			continue
 		}
-		broken++
+		loadFailures++
 		if n.load(ctx, last) == nil {
-			broken = 0
+			loadFailures = 0
 		}
 	}
 }
 
 func (n *Node) backoff(failures int) time.Duration { return n.backoffUpTo(failures, fetch.BackoffCap) }
 
-func (n *Node) backoffUpTo(failures int, most time.Duration) time.Duration {
+func (n *Node) backoffUpTo(failures int, limit time.Duration) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return fetch.Backoff(failures, fetch.BackoffBase, most, n.Rand)
+	return fetch.Backoff(failures, fetch.BackoffBase, limit, n.Rand)
 }
 
-// load reads what the list has and this process lacks; the first error is
-// returned when the others were tried too. With much missing it goes slowly in a
-// random order, so that several that start together share the work by telling
-// each other.
+// load reads the documents that are newer in the list than in this process. It tries all of them and
+// returns the first error. If many are missing, it reads them in batches, in random order and with pauses,
+// so that several processes that start together read different documents and pass them on to each other.
 func (n *Node) load(ctx context.Context, list fetch.List) (err error) {
-	n.noteStale(list)
+	n.recordStale(list)
 	tried := map[string]bool{}
 	for ctx.Err() == nil {
-		missing := n.missing(list, tried)
+		missing := n.missingItems(list, tried)
 		if len(missing) == 0 {
-			wait := n.heldFor(list.Documents...)
+			wait := n.holdTime(list.Documents...)
 			if wait == 0 {
 				return err
 			}
 			sleep(ctx, wait)
 			continue
 		}
-		if len(missing) > manyMissing {
-			sleep(ctx, n.jitter(time.Second)) // peers that have them give them meanwhile
+		if len(missing) > loadBatch {
+			sleep(ctx, n.jitter(time.Second)) // meanwhile peers may send some of them
 		}
 		skipped := 0
-		for _, item := range missing[:min(len(missing), manyMissing)] {
+		for _, item := range missing[:min(len(missing), loadBatch)] {
 			if item.Revision <= n.Store.View().Revision(item.Name) {
 				continue
 			}
-			if n.wanted(item) {
+			if n.pulling(item) {
 				skipped++
 				continue
 			}
@@ -193,16 +194,17 @@
 	return err
 }
 
-// missing returns what the list has newer than this process and isn't held, in random order.
-func (n *Node) missing(list fetch.List, but map[string]bool) []fetch.Item {
+// missingItems returns, in random order, the documents that are newer in the list than in this process,
+// without those on hold after a restore of the platform and those in except.
+func (n *Node) missingItems(list fetch.List, except map[string]bool) []fetch.Item {
 	view := n.Store.View()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var missing []fetch.Item
 	for _, item := range list.Documents {
-		n.returns.see(time.Now(), item.Revision)
+		n.platformEra.observe(time.Now(), item.Revision)
 		known := view.Revision(item.Name)
-		if item.Revision > known && !but[item.Name] && n.returns.held(time.Now(), item, known) == 0 {
+		if item.Revision > known && !except[item.Name] && n.platformEra.holdTime(time.Now(), item, known) == 0 {
 			missing = append(missing, item)
 		}
 	}
@@ -210,17 +212,17 @@
 	return missing
 }
 
-// wanted says whether the document is being pulled from a peer that has it at least
-// as new. If no peer gives it, the want ends and the platform is asked.
-func (n *Node) wanted(item fetch.Item) bool {
+// pulling reports whether a revision of the document that is at least as new is being pulled from a peer.
+// If no peer sends it, the want is dropped and the document is read from the platform.
+func (n *Node) pulling(item fetch.Item) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	w := n.pull.wants[item.Name]
 	return w != nil && w.item.Newest >= item.Revision
 }
 
-// noteStale remembers how many documents the platform serves older than they are known here.
-func (n *Node) noteStale(list fetch.List) {
+// recordStale records for how many documents the platform serves an older revision than this process knows.
+func (n *Node) recordStale(list fetch.List) {
 	view := n.Store.View()
 	stale := 0
 	for _, item := range list.Documents {
@@ -231,21 +233,21 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if stale != n.stale {
-		n.Log.Warn().Int("documents", stale).Msg("the platform serves older revisions than are known")
+		n.Log.Warn().Int("documents", stale).Msg("platform serves older revisions than this process knows")
 	}
 	n.stale = stale
 }
 
-// offer puts what the platform gave into the store, which counts what is faulty or old.
+// offer passes a document read from the platform to the store, which counts faulty and outdated revisions.
 func (n *Node) offer(d fetch.Document) {
 	if d.Name == "" {
 		return
 	}
 	accepted, err := n.Store.Offer(d.Name, d.Revision, d.Text, "platform")
 	if err != nil {
-		n.Log.Warn().Err(err).Msg("document is faulty")
+		n.Log.Warn().Err(err).Msg("document rejected")
 	}
 	if accepted {
-		n.Log.Info().Str("document", d.Name).Stringer("revision", d.Revision).Str("from", "platform").Msg("document taken")
+		n.Log.Info().Str("document", d.Name).Stringer("revision", d.Revision).Str("from", "platform").Msg("document accepted")
 	}
 }
--- a/internal/ctrl/relay/beat.go
+++ b/internal/ctrl/relay/beat.go
@@ -15,58 +15,59 @@
 	"mangowinch/internal/flow/order"
 )
 
-// beatEvery is the longest that two agents of a service go without a heartbeat. One
-// of the two begins it, the other's answer is its own: so 7 agents send 21 a second.
-const beatEvery = time.Second
+// heartbeatPeriod is the longest time between two heartbeats of a pair of agents of a service. One agent of
+// the pair sends a heartbeat and the other's reply is its own heartbeat, so that 7 agents send 21 a second.
+const heartbeatPeriod = time.Second
 
-// Mate is what an agent knows of another agent of its service. It's a hint: the
-// other one decides on its own what it takes.
-type Mate struct {
-	Server      uint32         `json:"server"` // its ID in the document
-	Name        string         `json:"name"`   // of its server section
-	Address     netip.AddrPort `json:"address"`
-	Incarnation uint64         `json:"incarnation"`
-	State       peers.State    `json:"state"`
-	Load        Load           `json:"load"`
-	Revision    order.Revision `json:"revision"`       // of the document in force there
-	Heard       time.Time      `json:"heard,omitzero"` // zero: never
-	Failures    int            `json:"failures"`       // heartbeats in a row without an answer
+// PeerAgent is what an agent knows about another agent of its service. It is a hint: the other agent
+// decides itself which work it accepts.
+type PeerAgent struct {
+	Server       uint32         `json:"server"` // server ID in the service document
+	Name         string         `json:"name"`   // name of the server section
+	Address      netip.AddrPort `json:"address"`
+	Incarnation  uint64         `json:"incarnation"`
+	State        peers.State    `json:"state"`
+	Load         Load           `json:"load"`
+	Revision     order.Revision `json:"revision"`       // of the document in force at that agent
+	LastReceived time.Time      `json:"heard,omitzero"` // zero: never
+	Failures     int            `json:"failures"`       // consecutive heartbeats without a reply
 }
 
-// Mates returns what is known of the other agents of the service, by server ID.
-func (n *Node) Mates() map[uint32]Mate {
+// PeerAgents returns what is known about the other agents of the service, by server ID.
+func (n *Node) PeerAgents() map[uint32]PeerAgent {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	mates := map[uint32]Mate{}
-	for id, m := range n.mates {
-		mates[id] = *m
+	copies := map[uint32]PeerAgent{}
+	for id, m := range n.peerAgents {
+		copies[id] = *m
 	}
-	return mates
+	return copies
 }
 
-// beat is an agent's loop of heartbeats to the other agents of its service.
-func (n *Node) beat(ctx context.Context) {
+// heartbeatLoop sends heartbeats to the other agents of the service.
+func (n *Node) heartbeatLoop(ctx context.Context) {
 	var running sync.WaitGroup
 	defer running.Wait()
-	slots := make(chan struct{}, tellsAtOnce)
-	for sleep(ctx, n.jitter(beatEvery/2)) {
-		for _, m := range n.silent() {
+	slots := make(chan struct{}, concurrentSends)
+	for sleep(ctx, n.jitter(heartbeatPeriod/2)) {
+		for _, m := range n.heartbeatsDue() {
 			select {
 			case slots <- struct{}{}:
 			default:
-				refused("beats")
+				countRefused("beats")
 				continue
 			}
 			running.Go(func() {
 				defer func() { <-slots }()
-				n.beatOne(ctx, m)
+				n.sendHeartbeat(ctx, m)
 			})
 		}
 	}
 }
 
-// silent fits the mates to the document and returns those to whom a heartbeat is due.
-func (n *Node) silent() []Mate {
+// heartbeatsDue updates the list of peer agents from the service document and returns those to which a
+// heartbeat is due.
+func (n *Node) heartbeatsDue() []PeerAgent {
 	e := n.Store.View().Entries[n.Service]
 	if e == nil {
 		return nil
@@ -79,82 +80,82 @@
 			listed[s.ID] = s
 		}
 	}
-	for id := range n.mates {
+	for id := range n.peerAgents {
 		if _, ok := listed[id]; !ok {
-			delete(n.mates, id)
+			delete(n.peerAgents, id)
 		}
 	}
-	var due []Mate
+	var due []PeerAgent
 	for id, s := range listed {
-		m := n.mates[id]
+		m := n.peerAgents[id]
 		if m == nil || m.Address != s.Agent {
-			m = &Mate{Server: id, Name: s.Name, Address: s.Agent, State: peers.Live}
-			n.mates[id] = m
+			m = &PeerAgent{Server: id, Name: s.Name, Address: s.Agent, State: peers.Live}
+			n.peerAgents[id] = m
 		}
-		if time.Since(m.Heard) >= beatEvery*3/4 {
+		if time.Since(m.LastReceived) >= heartbeatPeriod*3/4 {
 			due = append(due, *m)
 		}
 	}
 	return due
 }
 
-func (n *Node) beatOne(ctx context.Context, m Mate) {
-	ctx, cancel := context.WithTimeout(ctx, timeout)
+func (n *Node) sendHeartbeat(ctx context.Context, m PeerAgent) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	in, err := n.Dial(m.Address).Beat(ctx, n.pulse())
+	in, err := n.Dial(m.Address).Beat(ctx, n.newHeartbeat())
 	if err != nil {
-		beaten("failed")
+		countHeartbeat("failed")
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		if k := n.mates[m.Server]; k != nil && k.Address == m.Address {
+		if k := n.peerAgents[m.Server]; k != nil && k.Address == m.Address {
 			k.Failures++
 		}
 		return
 	}
-	beaten("done")
-	n.feel(in)
+	countHeartbeat("done")
+	n.receiveHeartbeat(in)
 }
 
-// Beat answers the heartbeat of another agent of the service.
+// Beat replies to a heartbeat of another agent of the service with a heartbeat of this agent.
 func (n *Node) Beat(_ context.Context, in *wire.Pulse) (out *wire.Pulse, err error) {
 	defer func() { n.Meter.Answered(proto.Size(in), proto.Size(out)) }()
 	if n.Service == "" || in.GetService() != n.Service {
-		// An address that was given to another service: the other side's document is old.
-		refused("service")
+		// The address now belongs to another service: the sender's document is outdated.
+		countRefused("service")
 		return nil, ErrService
 	}
-	if !n.answers.Allow() {
-		refused("rate")
+	if !n.answerLimiter.Allow() {
+		countRefused("rate")
 		return nil, ErrBusy
 	}
-	n.feel(in)
-	return n.pulse(), nil
+	n.receiveHeartbeat(in)
+	return n.newHeartbeat(), nil
 }
 
-// feel takes in a heartbeat.
-func (n *Node) feel(in *wire.Pulse) {
-	from, ok := memberOf(in.GetFrom())
+// receiveHeartbeat updates the peer agent that sent a heartbeat.
+func (n *Node) receiveHeartbeat(in *wire.Pulse) {
+	from, ok := memberFromWire(in.GetFrom())
 	if !ok || in.GetService() != n.Service {
-		refused("service")
+		countRefused("service")
 		return
 	}
-	theirs := itemOf(&wire.Item{Name: n.Service, Revision: in.GetRevision(), Newest: in.GetNewest()})
-	n.lack(map[string]digest.Item{n.Service: theirs}, from.Address)
+	theirs := itemFromWire(&wire.Item{Name: n.Service, Revision: in.GetRevision(), Newest: in.GetNewest()})
+	n.queueNewer(map[string]digest.Item{n.Service: theirs}, from.Address)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	m := n.mates[in.GetServer()]
+	m := n.peerAgents[in.GetServer()]
 	if m == nil || m.Address != from.Address || from.Incarnation < m.Incarnation {
-		// Not in the document here, or not yet; or the last words of an earlier life.
-		refused("mate")
+		// The sender is not in the local document, or the heartbeat is from an earlier incarnation.
+		countRefused("mate")
 		return
 	}
 	m.Incarnation, m.State, m.Revision = from.Incarnation, from.State, theirs.Revision
 	m.Load = Load{Busy: int(in.GetBusy()), Slots: int(in.GetSlots()), Queue: int(in.GetQueue()), Draining: in.GetDraining()}
-	m.Heard, m.Failures = time.Now(), 0
+	m.LastReceived, m.Failures = time.Now(), 0
 }
 
-// pulse is this agent's heartbeat.
-func (n *Node) pulse() *wire.Pulse {
+// newHeartbeat returns a heartbeat with the current state of this agent.
+func (n *Node) newHeartbeat() *wire.Pulse {
 	view := n.Store.View()
 	own := digest.Know(view, n.Service)
 	p := &wire.Pulse{Service: n.Service, Revision: uint64(own.Revision), Newest: uint64(own.Newest)}
@@ -171,6 +172,6 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	p.From = memberTo(n.table.Self())
+	p.From = memberToWire(n.table.Self())
 	return p
 }
--- a/internal/ctrl/relay/codec.go
+++ b/internal/ctrl/relay/codec.go
@@ -9,8 +9,8 @@
 	"mangowinch/internal/flow/order"
 )
 
-// memberOf reads a member; false when it has no usable name or address.
-func memberOf(w *wire.Member) (peers.Member, bool) {
+// memberFromWire decodes a member. It returns false if the member has no usable name, address or domain.
+func memberFromWire(w *wire.Member) (peers.Member, bool) {
 	address, err := netip.ParseAddrPort(w.GetAddress())
 	if err != nil || w.GetName() == "" || len(w.GetName()) > 64 || len(w.GetDomain()) > 64 {
 		return peers.Member{}, false
@@ -21,17 +21,17 @@
 	}, true
 }
 
-func memberTo(m peers.Member) *wire.Member {
+func memberToWire(m peers.Member) *wire.Member {
 	return &wire.Member{
 		Name: m.Name, Role: string(m.Role), Domain: m.Domain, Address: m.Address.String(),
 		Incarnation: m.Incarnation, State: string(m.State),
 	}
 }
 
-func itemOf(w *wire.Item) digest.Item {
+func itemFromWire(w *wire.Item) digest.Item {
 	return digest.Item{Name: w.GetName(), Revision: order.Revision(w.GetRevision()), Newest: order.Revision(max(w.GetNewest(), w.GetRevision()))}
 }
 
-func itemTo(i digest.Item) *wire.Item {
+func itemToWire(i digest.Item) *wire.Item {
 	return &wire.Item{Name: i.Name, Revision: uint64(i.Revision), Newest: uint64(i.Newest)}
 }
--- a/internal/ctrl/relay/copy.go
+++ b/internal/ctrl/relay/copy.go
@@ -7,42 +7,44 @@
 	"mangowinch/internal/flow/order"
 )
 
-// A platform that has come back from a copy serves older texts, in its next era, until the teams have written again what it lost. Taken at
-// once, they would put out of force what the teams know to be accepted.
+// A platform that is restored from a backup starts a new era and serves older texts until the customers
+// have written the lost changes again. Accepting these texts at once would replace documents that the
+// customers know to be accepted.
 
-// writtenAgain is how long texts that may be older than those in force are left at the platform. It leaves the rest of the seven seconds
-// in which a change is to be in force.
-const writtenAgain = 3 * time.Second
+// restoreHold is how long documents that may be older than those in force are not accepted after a restore
+// of the platform. It leaves the remaining 4 s of the 7 s within which a change has to be in force.
+const restoreHold = 3 * time.Second
 
-// returns notes when the platform's present era was first seen.
-type returns struct {
+// eraTracker records when the platform's current era was first seen.
+type eraTracker struct {
 	era   uint16
 	since time.Time
 }
 
-// see takes what the platform has told into account.
-func (r *returns) see(now time.Time, told order.Revision) {
-	if told.Era() > r.era {
-		r.era, r.since = told.Era(), now
+// observe records the era of a revision that the platform served.
+func (r *eraTracker) observe(now time.Time, revision order.Revision) {
+	if revision.Era() > r.era {
+		r.era, r.since = revision.Era(), now
 	}
 }
 
-// held says for how long a document is left at the platform: it is of a later era than the one that is known, and its number is lower.
-func (r *returns) held(now time.Time, item fetch.Item, known order.Revision) time.Duration {
+// holdTime returns for how long a document of the platform must not be accepted yet. A document is held if
+// its era is later than that of the known revision while its number is lower.
+func (r *eraTracker) holdTime(now time.Time, item fetch.Item, known order.Revision) time.Duration {
 	if item.Revision.Era() <= known.Era() || item.Revision.Number() >= known.Number() {
 		return 0
 	}
-	return max(0, writtenAgain-now.Sub(r.since))
+	return max(0, restoreHold-now.Sub(r.since))
 }
 
-// heldFor says for how long some documents that the platform told are left there; 0 if none is.
-func (n *Node) heldFor(documents ...fetch.Item) (wait time.Duration) {
+// holdTime returns the longest time for which any of the platform's documents is held, 0 if none is.
+func (n *Node) holdTime(documents ...fetch.Item) (wait time.Duration) {
 	view, now := n.Store.View(), time.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, item := range documents {
-		n.returns.see(now, item.Revision)
-		wait = max(wait, n.returns.held(now, item, view.Revision(item.Name)))
+		n.platformEra.observe(now, item.Revision)
+		wait = max(wait, n.platformEra.holdTime(now, item, view.Revision(item.Name)))
 	}
 	return wait
 }
--- a/internal/ctrl/relay/counts.go
+++ b/internal/ctrl/relay/counts.go
@@ -8,23 +8,23 @@
 
 var probesTotal = metrics.GetOrCreateCounter(`mangowinch_relay_probes_total`)
 
-// refused counts what was turned away or left out, by reason.
-func refused(reason string) {
+// countRefused counts what was refused or left out, by reason.
+func countRefused(reason string) {
 	metrics.GetOrCreateCounter(fmt.Sprintf(`mangowinch_relay_refused_total{reason=%q}`, reason)).Inc()
 }
 
-func exchanged(result string) {
+func countExchange(result string) {
 	metrics.GetOrCreateCounter(fmt.Sprintf(`mangowinch_relay_exchanges_total{result=%q}`, result)).Inc()
 }
 
-func pulled(result string) {
+func countPull(result string) {
 	metrics.GetOrCreateCounter(fmt.Sprintf(`mangowinch_relay_pulls_total{result=%q}`, result)).Inc()
 }
 
-func beaten(result string) {
+func countHeartbeat(result string) {
 	metrics.GetOrCreateCounter(fmt.Sprintf(`mangowinch_relay_beats_total{result=%q}`, result)).Inc()
 }
 
-func told(to string) {
+func countSent(to string) {
 	metrics.GetOrCreateCounter(fmt.Sprintf(`mangowinch_relay_told_total{to=%q}`, to)).Inc()
 }
--- a/internal/ctrl/relay/fleet_test.go
+++ b/internal/ctrl/relay/fleet_test.go
@@ -25,7 +25,7 @@
 	"mangowinch/internal/flow/order"
 )
 
-// process is one node of a fleet, with what it can be reached by.
+// process is one node of a fleet.
 type process struct {
 	*relay.Node
 	store  *store.Store
@@ -33,23 +33,23 @@
 	stop   context.CancelFunc
 }
 
-// fleet is a set of nodes on a network in memory. Calls take a millisecond each
-// way, are lost with a chance, and don't get from one side to another when sides are set.
+// fleet is a set of nodes on an in-memory network. A message takes a millisecond, is lost with probability
+// loss, and is not delivered to a process on another side of a partition.
 type fleet struct {
 	t        *testing.T
 	platform *platform
 	seeds    []netip.AddrPort
 	running  sync.WaitGroup
 
-	mu        sync.Mutex
-	processes map[netip.AddrPort]*process
-	side      map[netip.AddrPort]int
-	cut       bool // the platform is reached from side 0 only
-	loss      float64
-	calls     int
-	bytes     int
-	random    *rand.Rand
-	life      uint64
+	mu              sync.Mutex
+	processes       map[netip.AddrPort]*process
+	side            map[netip.AddrPort]int
+	platformCut     bool // the platform is reached from side 0 only
+	loss            float64
+	calls           int
+	bytes           int
+	random          *rand.Rand
+	lastIncarnation uint64
 }
 
 func newFleet(t *testing.T) *fleet {
@@ -64,24 +64,24 @@
 	return f
 }
 
-// reseed makes the losses of the network those of a seed.
+// reseed seeds the random choice of lost messages.
 func (f *fleet) reseed(seed uint64) { f.random = rand.New(rand.NewPCG(seed, 2)) }
 
-func linkOf(n int) netip.AddrPort {
+func entryLink(n int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(n >> 8), byte(n)}), 7000)
 }
 
-// domain spreads entries over 7 failure domains.
-func domain(n int) string { return fmt.Sprint("domain", n%7) }
+// domainOf assigns entries to 7 failure domains.
+func domainOf(n int) string { return fmt.Sprint("domain", n%7) }
 
-// entries starts entries 0 to count-1. The platform lists them.
+// entries starts entries 0 to count-1 and adds them to the platform's list.
 func (f *fleet) entries(count int) {
 	for n := range count {
 		f.platform.list.Instances = append(f.platform.list.Instances, fetch.Instance{
-			Name: fmt.Sprint("e", n), Role: "entry", Domain: domain(n), Address: linkOf(n), State: "live",
+			Name: fmt.Sprint("e", n), Role: "entry", Domain: domainOf(n), Address: entryLink(n), State: "live",
 		})
 		if n < 5 {
-			f.seeds = append(f.seeds, linkOf(n))
+			f.seeds = append(f.seeds, entryLink(n))
 		}
 	}
 	for n := range count {
@@ -89,23 +89,23 @@
 	}
 }
 
-// entry starts, or starts again, one entry.
+// entry starts or restarts one entry.
 func (f *fleet) entry(n int) *process {
-	return f.begin(relay.Config{Self: peers.Member{
-		Name: fmt.Sprint("e", n), Role: peers.Entry, Domain: domain(n), Address: linkOf(n),
+	return f.startProcess(relay.Config{Self: peers.Member{
+		Name: fmt.Sprint("e", n), Role: peers.Entry, Domain: domainOf(n), Address: entryLink(n),
 	}})
 }
 
-// agent starts the agent of one server; its document is to name it.
+// agent starts the agent of one server of a service. The service document must contain that server.
 func (f *fleet) agent(service string, n int) *process {
-	return f.begin(relay.Config{Self: f.agentMember(n), Service: service, Server: fmt.Sprint("s", n)})
+	return f.startProcess(relay.Config{Self: f.agentMember(n), Service: service, Server: fmt.Sprint("s", n)})
 }
 
 func (f *fleet) agentMember(n int) peers.Member {
-	return peers.Member{Name: fmt.Sprint("a", n), Role: peers.Agent, Domain: domain(n), Address: agentLink(n)}
+	return peers.Member{Name: fmt.Sprint("a", n), Role: peers.Agent, Domain: domainOf(n), Address: agentLink(n)}
 }
 
-// listAgent lets the platform's list say something about an agent.
+// listAgent sets the state of an agent in the platform's list.
 func (f *fleet) listAgent(p *process, state string) {
 	f.platform.mu.Lock()
 	defer f.platform.mu.Unlock()
@@ -114,9 +114,9 @@
 	}), fetch.Instance{Name: p.member.Name, Role: "agent", Domain: p.member.Domain, Address: p.member.Address, State: state})
 }
 
-func agentLink(n int) netip.AddrPort { return linkOf(20000 + n) }
+func agentLink(n int) netip.AddrPort { return entryLink(20000 + n) }
 
-// parse reads "NAME servers=N" and refuses texts with "faulty" in them.
+// parse parses documents of the form "NAME servers=N" and rejects texts that contain "faulty".
 func parse(_ string, text []byte) (*docs.Service, error) {
 	if strings.Contains(string(text), "faulty") {
 		return nil, errors.New("faulty")
@@ -131,15 +131,15 @@
 	return s, nil
 }
 
-func (f *fleet) begin(c relay.Config) *process {
+func (f *fleet) startProcess(c relay.Config) *process {
 	f.mu.Lock()
-	f.life++
-	c.Self.Incarnation, c.Self.State = f.life, peers.Live
-	c.Rand = rand.New(rand.NewPCG(f.life, 7))
+	f.lastIncarnation++
+	c.Self.Incarnation, c.Self.State = f.lastIncarnation, peers.Live
+	c.Rand = rand.New(rand.NewPCG(f.lastIncarnation, 7))
 	f.mu.Unlock()
 	from := c.Self.Address
-	c.Seeds, c.Platform, c.Store, c.Meter = f.seeds, &window{f.platform, f, from}, store.New(parse), budget.New()
-	c.Dial = func(to netip.AddrPort) relay.Peer { return &route{f, from, to} }
+	c.Seeds, c.Platform, c.Store, c.Meter = f.seeds, &platformView{f.platform, f, from}, store.New(parse), budget.New()
+	c.Dial = func(to netip.AddrPort) relay.Peer { return &memoryPeer{f, from, to} }
 	ctx, stop := context.WithCancel(f.t.Context())
 	p := &process{relay.New(c), c.Store, c.Self, stop}
 	f.mu.Lock()
@@ -149,7 +149,7 @@
 	return p
 }
 
-// kill ends a process without a word.
+// kill ends a process without notifying the others.
 func (f *fleet) kill(p *process) {
 	p.stop()
 	f.mu.Lock()
@@ -157,11 +157,11 @@
 	delete(f.processes, p.member.Address)
 }
 
-// part cuts the processes for which aside says true, and the platform, from each other.
-func (f *fleet) part(aside func(netip.AddrPort) bool) {
+// partition separates the processes for which aside returns true from the other processes and the platform.
+func (f *fleet) partition(aside func(netip.AddrPort) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cut = true
+	f.platformCut = true
 	clear(f.side)
 	for address := range f.processes {
 		if aside(address) {
@@ -174,13 +174,13 @@
 func (f *fleet) heal() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cut, f.loss = false, 0
+	f.platformCut, f.loss = false, 0
 	clear(f.side)
 }
 
-// floor returns the revision that an entry which starts now has to begin with: what
-// all others have, when nothing keeps it from them.
-func (f *fleet) floor(n int) order.Revision {
+// minRevision returns the lowest revision with which an entry that starts now may begin: the lowest that any
+// other process has in force, or 0 if losses or a partition may prevent the entry from receiving it.
+func (f *fleet) minRevision(n int) order.Revision {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.loss > 0 || len(f.side) > 0 {
@@ -188,7 +188,7 @@
 	}
 	least := order.Revision(math.MaxUint64)
 	for address, p := range f.processes {
-		if address == linkOf(n) {
+		if address == entryLink(n) {
 			continue
 		}
 		if e := p.store.View().Entries["svc"]; e != nil {
@@ -200,8 +200,8 @@
 	return least
 }
 
-// best returns the highest revision that any process has in force.
-func (f *fleet) best() order.Revision {
+// highestInForce returns the highest revision that any process has in force.
+func (f *fleet) highestInForce() order.Revision {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var best order.Revision
@@ -224,8 +224,9 @@
 	f.running.Wait()
 }
 
-// have returns how many processes have at least a revision in force, and how many there are.
-func (f *fleet) have(name string, revision order.Revision) (have, all int) {
+// countAtLeast returns the number of processes that have the given revision or a newer one in force, and the
+// number of all processes.
+func (f *fleet) countAtLeast(name string, revision order.Revision) (have, all int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, p := range f.processes {
@@ -236,12 +237,13 @@
 	return have, len(f.processes)
 }
 
-// within waits until all processes have a revision in force, and returns how long it took.
-func (f *fleet) within(limit time.Duration, name string, revision order.Revision) time.Duration {
+// awaitAll waits until all processes have the given revision or a newer one in force, and returns how long it
+// took.
+func (f *fleet) awaitAll(limit time.Duration, name string, revision order.Revision) time.Duration {
 	f.t.Helper()
 	start := time.Now()
 	for {
-		have, all := f.have(name, revision)
+		have, all := f.countAtLeast(name, revision)
 		took := time.Since(start)
 		if have == all {
 			return took
@@ -253,14 +255,15 @@
 	}
 }
 
-// route is the way from one process to another.
-type route struct {
+// memoryPeer is a relay.Peer that calls the process at an address of the in-memory network.
+type memoryPeer struct {
 	fleet    *fleet
 	from, to netip.AddrPort
 }
 
-// cross takes one message over; nil when it never arrives.
-func (r *route) cross(ctx context.Context, message proto.Message) *process {
+// deliver delivers one message and returns the receiving process. If the message is lost, it returns nil when
+// ctx ends.
+func (r *memoryPeer) deliver(ctx context.Context, message proto.Message) *process {
 	time.Sleep(time.Millisecond)
 	f := r.fleet
 	f.mu.Lock()
@@ -276,9 +279,9 @@
 	return nil
 }
 
-func call[In, Out proto.Message](ctx context.Context, r *route, in In, handle func(*process) (Out, error)) (out Out, err error) {
+func call[In, Out proto.Message](ctx context.Context, r *memoryPeer, in In, handle func(*process) (Out, error)) (out Out, err error) {
 	var none Out
-	p := r.cross(ctx, in)
+	p := r.deliver(ctx, in)
 	if p == nil {
 		return none, ctx.Err()
 	}
@@ -286,20 +289,20 @@
 	if err != nil {
 		return none, err
 	}
-	if (&route{r.fleet, r.to, r.from}).cross(ctx, out) == nil {
+	if (&memoryPeer{r.fleet, r.to, r.from}).deliver(ctx, out) == nil {
 		return none, ctx.Err()
 	}
 	return out, nil
 }
 
-func (r *route) Exchange(ctx context.Context, in *wire.Summary) (*wire.Summary, error) {
+func (r *memoryPeer) Exchange(ctx context.Context, in *wire.Summary) (*wire.Summary, error) {
 	return call(ctx, r, in, func(p *process) (*wire.Summary, error) { return p.Exchange(ctx, in) })
 }
 
-func (r *route) Pull(ctx context.Context, in *wire.Wants) (*wire.Texts, error) {
+func (r *memoryPeer) Pull(ctx context.Context, in *wire.Wants) (*wire.Texts, error) {
 	return call(ctx, r, in, func(p *process) (*wire.Texts, error) { return p.Pull(ctx, in) })
 }
 
-func (r *route) Beat(ctx context.Context, in *wire.Pulse) (*wire.Pulse, error) {
+func (r *memoryPeer) Beat(ctx context.Context, in *wire.Pulse) (*wire.Pulse, error) {
 	return call(ctx, r, in, func(p *process) (*wire.Pulse, error) { return p.Beat(ctx, in) })
 }
--- a/internal/ctrl/relay/give.go
+++ b/internal/ctrl/relay/give.go
@@ -15,33 +15,33 @@
 	"mangowinch/internal/flow/order"
 )
 
-// Sizes of answers, in bytes.
+// Limits of the answers to pulls, in bytes.
 const (
-	largeAnswer = 64 << 10 // bytes of text in one answer, before deflating
-	smallAnswer = 16 << 10 // when the budget is nearly spent; passes in 1.4 s even if it can't be deflated
-	maxAnswer   = 256 << 10
+	largeAnswer = 64 << 10  // text in one answer, before compression
+	smallAnswer = 16 << 10  // when the budget is nearly spent; takes 1.4 s to send even if the text is incompressible
+	maxAnswer   = 256 << 10 // of a received answer, after decompression
 )
 
-// Pull answers with the texts that the asker lacks, as many as the budget allows.
+// Pull returns texts that the caller lacks, as many as the budget allows.
 func (n *Node) Pull(ctx context.Context, in *wire.Wants) (out *wire.Texts, err error) {
 	defer func() { n.Meter.Answered(proto.Size(in), proto.Size(out)) }()
-	if !n.answers.Allow() {
-		refused("rate")
+	if !n.answerLimiter.Allow() {
+		countRefused("rate")
 		return nil, ErrBusy
 	}
-	n.Meter.Work(func() { out, err = n.pack(in) })
+	n.Meter.Work(func() { out, err = n.packTexts(in) })
 	if err != nil {
 		return nil, err
 	}
 	if !n.Meter.Spend(ctx, len(out.GetDeflated())) {
-		refused("budget")
+		countRefused("budget")
 		return nil, ErrBusy
 	}
 	return out, nil
 }
 
-// pack collects texts up to the size of one answer.
-func (n *Node) pack(in *wire.Wants) (*wire.Texts, error) {
+// packTexts compresses texts, in pieces if necessary, up to the size of one answer.
+func (n *Node) packTexts(in *wire.Wants) (*wire.Texts, error) {
 	left := smallAnswer
 	if n.Meter.Room() > largeAnswer {
 		left = largeAnswer
@@ -52,7 +52,7 @@
 		if left <= 0 {
 			break
 		}
-		revision, text := lacked(view, w)
+		revision, text := missingText(view, w)
 		if text == nil {
 			continue
 		}
@@ -68,9 +68,9 @@
 	return &wire.Texts{Deflated: b}, err
 }
 
-// lacked returns the text that brings an asker forward: first the newest, then,
-// if it could not read that one, the one in force.
-func lacked(view *store.View, w *wire.Want) (revision order.Revision, text []byte) {
+// missingText returns the text that the caller lacks: the newest one first and, if the caller couldn't
+// parse that one, the one in force.
+func missingText(view *store.View, w *wire.Want) (revision order.Revision, text []byte) {
 	inForce, newest := order.Revision(w.GetRevision()), order.Revision(w.GetNewest())
 	f, e := view.Faults[w.GetName()], view.Entries[w.GetName()]
 	if f != nil && f.Revision > newest {
@@ -82,9 +82,9 @@
 	return 0, nil
 }
 
-// writers keeps deflaters, which take most of a megabyte each.
-var writers = sync.Pool{New: func() any {
-	w, _ := flate.NewWriter(nil, flate.DefaultCompression) // fails for a wrong level only
+// deflaters pools compressors, which take most of a megabyte each.
+var deflaters = sync.Pool{New: func() any {
+	w, _ := flate.NewWriter(nil, flate.DefaultCompression) // fails only for an invalid level
 	return w
 }}
 
@@ -95,8 +95,8 @@
 		return nil, err
 	}
 	var out bytes.Buffer
-	w := writers.Get().(*flate.Writer)
-	defer writers.Put(w)
+	w := deflaters.Get().(*flate.Writer)
+	defer deflaters.Put(w)
 	w.Reset(&out)
 	if _, err := w.Write(b); err != nil {
 		return nil, err
--- a/internal/ctrl/relay/list.go
+++ b/internal/ctrl/relay/list.go
@@ -9,39 +9,39 @@
 	"mangowinch/internal/ctrl/peers"
 )
 
-// Bounds of reading the platform's list of instances.
+// Timings and sizes of reading the platform's list of instances.
 const (
-	listEvery    = 2 * time.Second // while it's small
-	listPerByte  = time.Second / 2000
-	instanceSize = 110              // bytes of one instance in the list, about
-	turnedFor    = 10 * time.Second // a change of the list counts as just made
+	listPeriod         = 2 * time.Second // while the list is small
+	listPerByte        = time.Second / 2000
+	instanceSize       = 110              // approximate bytes of one instance in the list
+	newlyLeavingPeriod = 10 * time.Second // how long a change to leaving counts as new
 )
 
-// listInstances reads the platform's list now and then: every 2 s while it's
-// small, and seldom enough that it takes 2 KB a second when it's large.
+// listInstances reads the platform's list of instances periodically: every 2 s while the list is small, and
+// less often when it is large, so that reading it takes at most 2 KB a second.
 func (n *Node) listInstances(ctx context.Context) {
-	turned := map[netip.AddrPort]time.Time{}
-	live := map[netip.AddrPort]bool{}
+	leavingSince := map[netip.AddrPort]time.Time{}
+	wasLive := map[netip.AddrPort]bool{}
 	failures := 0
 	for ctx.Err() == nil {
 		list, err := n.Platform.Instances(ctx)
 		if err != nil {
 			failures++
-			sleep(ctx, listEvery+n.backoff(failures))
+			sleep(ctx, listPeriod+n.backoff(failures))
 			continue
 		}
 		failures = 0
-		n.heardPlatform(time.Now())
-		old, fresh := n.leaving(n.takeList(list), live, turned)
-		n.tellLeaving(ctx, fresh, true)
-		n.tellLeaving(ctx, old, false)
-		every := max(listEvery, time.Duration(len(list.Instances)*instanceSize)*listPerByte)
+		n.recordContact(time.Now())
+		earlier, newly := n.leavingMembers(n.mergeList(list), wasLive, leavingSince)
+		n.notifyLeaving(ctx, newly, true)
+		n.notifyLeaving(ctx, earlier, false)
+		every := max(listPeriod, time.Duration(len(list.Instances)*instanceSize)*listPerByte)
 		sleep(ctx, n.jitter(every))
 	}
 }
 
-// takeList puts the platform's list into the table, and returns it as members.
-func (n *Node) takeList(list fetch.Instances) []peers.Member {
+// mergeList merges the platform's list of instances into the table and returns the list as members.
+func (n *Node) mergeList(list fetch.Instances) []peers.Member {
 	var all, entries []peers.Member
 	for _, i := range list.Instances {
 		m := peers.Member{Name: i.Name, Role: peers.Role(i.Role), Domain: i.Domain, Address: i.Address, State: peers.State(i.State)}
@@ -52,27 +52,28 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.table.List(time.Now(), entries)
+	n.table.MergeList(time.Now(), entries)
 	return all
 }
 
-// leaving returns who is listed as leaving, apart those that turned so just now.
-func (n *Node) leaving(list []peers.Member, live map[netip.AddrPort]bool, turned map[netip.AddrPort]time.Time) (old, fresh []peers.Member) {
+// leavingMembers returns the members that are listed as leaving: newly those whose state changed within
+// newlyLeavingPeriod, earlier the others.
+func (n *Node) leavingMembers(list []peers.Member, wasLive map[netip.AddrPort]bool, leavingSince map[netip.AddrPort]time.Time) (earlier, newly []peers.Member) {
 	for _, m := range list {
 		if m.State != peers.Leaving {
-			live[m.Address] = true
-			delete(turned, m.Address)
+			wasLive[m.Address] = true
+			delete(leavingSince, m.Address)
 			continue
 		}
-		if live[m.Address] {
-			delete(live, m.Address)
-			turned[m.Address] = time.Now()
+		if wasLive[m.Address] {
+			delete(wasLive, m.Address)
+			leavingSince[m.Address] = time.Now()
 		}
-		if at, ok := turned[m.Address]; ok && time.Since(at) < turnedFor {
-			fresh = append(fresh, m)
+		if at, ok := leavingSince[m.Address]; ok && time.Since(at) < newlyLeavingPeriod {
+			newly = append(newly, m)
 		} else {
-			old = append(old, m)
+			earlier = append(earlier, m)
 		}
 	}
-	return old, fresh
+	return earlier, newly
 }
--- a/internal/ctrl/relay/platform_test.go
+++ b/internal/ctrl/relay/platform_test.go
@@ -13,13 +13,13 @@
 	"mangowinch/internal/flow/order"
 )
 
-// platform is the stand-in for the platform, with the revisions that it serves.
+// platform is an in-memory platform.
 type platform struct {
 	mu      sync.Mutex
 	era     uint16
 	index   order.Revision
 	serves  map[string]order.Revision
-	texts   map[string]string // by name and revision; others are made up
+	texts   map[string]string // by name and revision; the default text is the name
 	list    fetch.Instances
 	down    bool
 	changed chan struct{}
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// set lets the platform serve a revision; a lower one makes it stale.
+// set makes the platform serve a revision. A lower revision than before makes the platform stale.
 func (p *platform) set(name string, revision order.Revision) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -48,8 +48,9 @@
 	p.changed = make(chan struct{})
 }
 
-// comeBack brings the platform back from a copy in which a document has a revision. Its index goes back as well.
-func (p *platform) comeBack(name string, revision order.Revision) {
+// restore simulates that the platform is restored from a backup in which the document has the given revision.
+// The platform's index decreases too.
+func (p *platform) restore(name string, revision order.Revision) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.era++
@@ -63,7 +64,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.down = down
-	close(p.changed) // waiting watches break off
+	close(p.changed) // ends the waiting watches
 	p.changed = make(chan struct{})
 }
 
@@ -73,16 +74,16 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := fetch.List{Index: p.told(p.index)}
+	list := fetch.List{Index: p.inEra(p.index)}
 	for name, revision := range p.serves {
-		list.Documents = append(list.Documents, fetch.Item{Name: name, Revision: p.told(revision)})
+		list.Documents = append(list.Documents, fetch.Item{Name: name, Revision: p.inEra(revision)})
 	}
 	return list, nil
 }
 
 func (p *platform) Watch(ctx context.Context, since order.Revision) (fetch.List, error) {
 	p.mu.Lock()
-	wait, changed := since.Era() == p.era && p.told(p.index) <= since && !p.down, p.changed
+	wait, changed := since.Era() == p.era && p.inEra(p.index) <= since && !p.down, p.changed
 	p.mu.Unlock()
 	if wait {
 		timer := time.NewTimer(25 * time.Second)
@@ -106,15 +107,15 @@
 	if p.serves[name] == 0 {
 		return fetch.Document{}, fetch.ErrNotFound
 	}
-	return fetch.Document{Name: name, Revision: p.told(p.serves[name]), Text: p.text(name, p.serves[name])}, nil
+	return fetch.Document{Name: name, Revision: p.inEra(p.serves[name]), Text: p.text(name, p.serves[name])}, nil
 }
 
-// told is a number as the platform tells it, in its era.
-func (p *platform) told(number order.Revision) order.Revision {
+// inEra returns the revision with the given number in the platform's era.
+func (p *platform) inEra(number order.Revision) order.Revision {
 	return order.At(p.era, number.Number())
 }
 
-// setText says what the text of a revision is.
+// setText sets the text of a revision.
 func (p *platform) setText(name string, revision order.Revision, text string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -137,8 +138,8 @@
 	return p.list, nil
 }
 
-// busiest returns the most calls in any second since a time.
-func (p *platform) busiest(since time.Time) int {
+// peakRate returns the largest number of calls in any second since a time.
+func (p *platform) peakRate(since time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	seconds, most := map[int64]int{}, 0
@@ -151,46 +152,46 @@
 	return most
 }
 
-// window is the platform as one process reaches it.
-type window struct {
+// platformView is the platform as one process of a fleet reaches it.
+type platformView struct {
 	*platform
 	fleet *fleet
 	from  netip.AddrPort
 }
 
-func (w *window) open() error {
+func (w *platformView) reachable() error {
 	w.fleet.mu.Lock()
 	defer w.fleet.mu.Unlock()
-	if w.fleet.cut && w.fleet.side[w.from] != 0 {
+	if w.fleet.platformCut && w.fleet.side[w.from] != 0 {
 		return errDown
 	}
 	return nil
 }
 
-func (w *window) Watch(ctx context.Context, since order.Revision) (fetch.List, error) {
-	if err := w.open(); err != nil {
+func (w *platformView) Watch(ctx context.Context, since order.Revision) (fetch.List, error) {
+	if err := w.reachable(); err != nil {
 		return fetch.List{}, err
 	}
 	list, err := w.platform.Watch(ctx, since)
-	return list, errors.CombineErrors(err, w.open())
+	return list, errors.CombineErrors(err, w.reachable())
 }
 
-func (w *window) Documents(ctx context.Context) (fetch.List, error) {
-	if err := w.open(); err != nil {
+func (w *platformView) Documents(ctx context.Context) (fetch.List, error) {
+	if err := w.reachable(); err != nil {
 		return fetch.List{}, err
 	}
 	return w.platform.Documents(ctx)
 }
 
-func (w *window) Document(ctx context.Context, name string) (fetch.Document, error) {
-	if err := w.open(); err != nil {
+func (w *platformView) Document(ctx context.Context, name string) (fetch.Document, error) {
+	if err := w.reachable(); err != nil {
 		return fetch.Document{}, err
 	}
 	return w.platform.Document(ctx, name)
 }
 
-func (w *window) Instances(ctx context.Context) (fetch.Instances, error) {
-	if err := w.open(); err != nil {
+func (w *platformView) Instances(ctx context.Context) (fetch.Instances, error) {
+	if err := w.reachable(); err != nil {
 		return fetch.Instances{}, err
 	}
 	return w.platform.Instances(ctx)
--- a/internal/ctrl/relay/poll.go
+++ b/internal/ctrl/relay/poll.go
@@ -10,30 +10,31 @@
 	"mangowinch/internal/ctrl/peers"
 )
 
-// How often an agent asks some entry whether its document is still the newest.
-// It's what makes up for lost news: with 5 agents of a service that tell each other,
-// a change that no entry told of is found within a second on average, 4 s at worst.
+// How often an agent asks an entry whether its document is still the newest. Polling compensates for lost
+// updates: with 5 agents of a service that exchange heartbeats, a change of which no entry notified them is
+// found within a second on average and within 4 s at worst.
 const (
-	pollEvery  = 3 * time.Second
-	pollAtOnce = 500 * time.Millisecond // while it has no document, doubled with each failure
-	pollGiveUp = time.Minute            // without an answer of any entry: the platform is asked, seldom
-	pollChance = 20                     // one in so many polls then, so 6,800 agents make some 110 calls a second
+	pollPeriod        = 3 * time.Second
+	initialPollPeriod = 500 * time.Millisecond // while the agent has no document; doubles with each failure
+	platformFallback  = time.Minute            // without an answer from any entry, after which the agent occasionally reads the platform
+	platformPollOdds  = 20                     // one in this many polls then reads the platform, so that 6,800 agents make about 110 calls a second
 )
 
-// poll is an agent's loop that asks entries.
-func (n *Node) poll(ctx context.Context) {
+// pollLoop makes an agent poll entries.
+func (n *Node) pollLoop(ctx context.Context) {
 	failures := 0
 	for {
-		m, ok := n.anyEntry()
-		if ok && n.pollOne(ctx, m) {
+		m, ok := n.pickEntry()
+		if ok && n.pollEntry(ctx, m) {
 			failures = 0
 		} else {
-			// A whole failure domain that restarts asks the few seeds that it has.
+			// When a whole failure domain restarts, all its agents ask the same few seeds, hence the
+			// backoff.
 			failures++
 		}
-		every := pollEvery
+		every := pollPeriod
 		if n.Store.View().Revision(n.Service) == 0 {
-			every = min(pollEvery, pollAtOnce<<min(failures, 4))
+			every = min(pollPeriod, initialPollPeriod<<min(failures, 4))
 		}
 		if !sleep(ctx, n.jitter(every)) {
 			return
@@ -41,12 +42,12 @@
 	}
 }
 
-// anyEntry chooses an entry that is known, or a seed.
-func (n *Node) anyEntry() (peers.Member, bool) {
+// pickEntry chooses a known entry or a seed at random.
+func (n *Node) pickEntry() (peers.Member, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	known := n.table.Pick(time.Now(), n.Rand, 1, peers.Entries)
-	if seeds := len(n.Seeds); seeds > 0 && (len(known) == 0 || n.Rand.IntN(entriesOfAgent) == 0) {
+	if seeds := len(n.Seeds); seeds > 0 && (len(known) == 0 || n.Rand.IntN(maxAgentEntries) == 0) {
 		return peers.Member{Address: n.Seeds[n.Rand.IntN(seeds)]}, true
 	}
 	if len(known) == 0 {
@@ -55,43 +56,44 @@
 	return known[0], true
 }
 
-func (n *Node) pollOne(ctx context.Context, m peers.Member) bool {
+// pollEntry compares the agent's document with an entry's.
+func (n *Node) pollEntry(ctx context.Context, m peers.Member) bool {
 	out := n.summary()
-	out.Items = append(out.Items, itemTo(digest.Know(n.Store.View(), n.Service)))
+	out.Items = append(out.Items, itemToWire(digest.Know(n.Store.View(), n.Service)))
 	_, ok := n.exchange(ctx, m, out)
 	if ok {
 		n.mu.Lock()
-		n.polled, n.met = time.Now(), true
+		n.lastPolled, n.synced = time.Now(), true
 		n.mu.Unlock()
 	}
 	return ok
 }
 
-// attendAgent is the part of an agent that may call the platform: when no peer
-// gave it its document, and seldom when it has lost all entries.
-func (n *Node) attendAgent(ctx context.Context) {
+// agentPlatformLoop reads the agent's document from the platform: while no peer has sent the document, and
+// occasionally when no entry answers.
+func (n *Node) agentPlatformLoop(ctx context.Context) {
 	n.mu.Lock()
 	start := duty.Start(peers.Agent, n.Rand)
 	n.mu.Unlock()
 	failures := 0
-	for d := start; sleep(ctx, d); {
-		d = n.jitter(pollEvery)
+	for delay := start; sleep(ctx, delay); {
+		delay = n.jitter(pollPeriod)
 		n.mu.Lock()
-		lost := time.Since(n.polled) > pollGiveUp && n.Rand.IntN(pollChance) == 0
+		noEntry := time.Since(n.lastPolled) > platformFallback && n.Rand.IntN(platformPollOdds) == 0
 		n.mu.Unlock()
-		if n.Store.View().Entries[n.Service] != nil && !lost {
+		if n.Store.View().Entries[n.Service] != nil && !noEntry {
 			continue
 		}
 		document, err := n.Platform.Document(ctx, n.Service)
 		if err != nil {
 			failures++
-			d = pollEvery + n.backoff(failures)
+			delay = pollPeriod + n.backoff(failures)
 			continue
 		}
 		failures = 0
-		n.heardPlatform(time.Now())
-		if wait := n.heldFor(fetch.Item{Name: n.Service, Revision: document.Revision}); wait > 0 {
-			d = wait
+		n.recordContact(time.Now())
+		if wait := n.holdTime(fetch.Item{Name: n.Service, Revision: document.Revision}); wait > 0 {
+			delay = wait
 			continue
 		}
 		n.offer(document)
--- a/internal/ctrl/relay/pull.go
+++ b/internal/ctrl/relay/pull.go
@@ -11,46 +11,46 @@
 	"mangowinch/internal/ctrl/wire"
 )
 
-// Bounds of pulling.
+// Timings and limits of pulls.
 const (
-	pullTimeout = 2500 * time.Millisecond
-	pullHedge   = 600 * time.Millisecond // then another one is asked as well; the first may have waited half a second for its budget
-	pullsAtOnce = 6                      // so that slow peers don't hold up all
-	namesAtOnce = 256                    // of one call
-	maxPartial  = 4 << 20                // of texts that came in part
-	linksOfWant = 4                      // peers that are known to have one document
-	failsOfWant = 6                      // then comparing brings it up again
-	triedFor    = 30 * time.Second
-	pullRetry   = 250 * time.Millisecond
+	pullTimeout       = 2500 * time.Millisecond
+	pullHedge         = 600 * time.Millisecond // after which another peer is asked too; the first may wait half a second for its budget
+	concurrentPulls   = 6                      // enough that slow peers don't block all pulls
+	namesPerPull      = 256                    // documents requested in one call
+	maxPartialBytes   = 4 << 20                // of incomplete texts
+	maxWantLinks      = 4                      // peers remembered for one document
+	maxWantFailures   = 6                      // after which the want is dropped; a later exchange queues it again
+	uselessPullPeriod = 30 * time.Second       // before a useless pull is repeated
+	pullRetry         = 250 * time.Millisecond
 )
 
-// want is a document of which somebody has more than this process.
+// want is a document of which a peer has a newer revision than this process.
 type want struct {
-	item   digest.Item
-	links  []netip.AddrPort // who has it; the first is asked next
-	due    time.Time
-	active bool
-	failed int // calls in a row
+	item     digest.Item
+	links    []netip.AddrPort // peers that have it; the first is asked next
+	due      time.Time
+	inFlight bool
+	failures int // consecutive failed calls
 }
 
-// partial is a text that came in part.
+// partial is a text of which only the beginning has been received.
 type partial struct {
 	revision, size uint64
 	text           []byte
 }
 
-// trial remembers what was pulled in vain: a text that this program can't read
-// and another one can would else be pulled every second.
-type trial struct {
+// uselessPull records a pulled text that this process couldn't use. Without it, a text that this version of
+// the program can't parse but a peer's version can would be pulled every second.
+type uselessPull struct {
 	item digest.Item
 	at   time.Time
 }
 
-// puller is the state of pulling. The node's lock guards it.
+// puller is the state of pulls. The node's lock guards it.
 type puller struct {
 	wants    map[string]*want
 	partials map[string]*partial
-	tried    map[string]trial
+	useless  map[string]uselessPull
 	wake     chan struct{}
 }
 
@@ -58,22 +58,22 @@
 	return puller{
 		wants:    map[string]*want{},
 		partials: map[string]*partial{},
-		tried:    map[string]trial{},
+		useless:  map[string]uselessPull{},
 		wake:     make(chan struct{}, 1),
 	}
 }
 
-// want asks for a document from somebody who has it.
-func (n *Node) want(i digest.Item, link netip.AddrPort) {
+// queuePull queues a pull of a document from the peer at link.
+func (n *Node) queuePull(i digest.Item, link netip.AddrPort) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if t, ok := n.pull.tried[i.Name]; ok && !i.Newer(t.item) && time.Since(t.at) < triedFor {
+	if t, ok := n.pull.useless[i.Name]; ok && !i.Newer(t.item) && time.Since(t.at) < uselessPullPeriod {
 		return
 	}
 	w := n.pull.wants[i.Name]
 	if w == nil {
 		if len(n.pull.wants) >= store.MaxNames {
-			refused("wants")
+			countRefused("wants")
 			return
 		}
 		w = &want{}
@@ -86,7 +86,7 @@
 		w.links = append(w.links, link)
 	}
 	w.links = unique(w.links)
-	w.links = w.links[:min(len(w.links), linksOfWant)]
+	w.links = w.links[:min(len(w.links), maxWantLinks)]
 	n.wakePuller()
 }
 
@@ -109,11 +109,11 @@
 	}
 }
 
-// pulls is the loop that fetches what is wanted.
-func (n *Node) pulls(ctx context.Context) {
+// pullLoop pulls the wanted documents.
+func (n *Node) pullLoop(ctx context.Context) {
 	var running sync.WaitGroup
 	defer running.Wait()
-	slots := make(chan struct{}, pullsAtOnce)
+	slots := make(chan struct{}, concurrentPulls)
 	for ctx.Err() == nil {
 		select {
 		case slots <- struct{}{}:
@@ -139,17 +139,17 @@
 	}
 }
 
-// nextPull chooses a peer, and everything that it has and is not being pulled.
+// nextPull chooses a peer and returns the wanted documents that it has and that are not being pulled.
 func (n *Node) nextPull() (link netip.AddrPort, batch map[string]digest.Item) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	batch = map[string]digest.Item{}
 	for name, w := range n.pull.wants {
-		if w.active || time.Now().Before(w.due) || len(batch) >= namesAtOnce {
+		if w.inFlight || time.Now().Before(w.due) || len(batch) >= namesPerPull {
 			continue
 		}
 		if len(w.links) == 0 {
-			delete(n.pull.wants, name) // comparing brings it up again
+			delete(n.pull.wants, name) // a later exchange queues it again
 			continue
 		}
 		if len(batch) == 0 {
@@ -157,7 +157,7 @@
 		}
 		for _, l := range w.links {
 			if l == link {
-				w.active = true
+				w.inFlight = true
 				batch[name] = w.item
 			}
 		}
@@ -165,18 +165,18 @@
 	return link, batch
 }
 
-// pullFrom carries out one call.
+// pullFrom pulls a batch of documents from one peer and updates their wants.
 func (n *Node) pullFrom(ctx context.Context, link netip.AddrPort, batch map[string]digest.Item) {
-	parts, err := n.ask(ctx, link, batch)
+	parts, err := n.sendPull(ctx, link, batch)
 	if err != nil {
-		pulled("failed")
+		countPull("failed")
 	} else {
-		pulled("done")
+		countPull("done")
 	}
-	got := map[string]taken{}
+	got := map[string]partResult{}
 	for _, p := range parts {
 		if _, asked := batch[p.GetName()]; asked {
-			got[p.GetName()] = n.take(p, link)
+			got[p.GetName()] = n.takePart(p, link)
 		}
 	}
 	view := n.Store.View()
@@ -187,25 +187,26 @@
 		if w == nil {
 			continue
 		}
-		w.active = false
+		w.inFlight = false
 		own := digest.Know(view, name)
 		if !w.item.Newer(own) {
 			delete(n.pull.wants, name)
-			delete(n.pull.tried, name)
+			delete(n.pull.useless, name)
 			continue
 		}
 		switch got[name] {
-		case forward:
-			w.failed = 0
+		case partProgress:
+			w.failures = 0
 			continue
-		case useless:
-			n.pull.tried[name] = trial{w.item, time.Now()}
+		case partUseless:
+			n.pull.useless[name] = uselessPull{w.item, time.Now()}
 			delete(n.pull.wants, name)
 		}
 		w.links = without(w.links, link)
-		if err != nil && w.failed < failsOfWant {
-			// Lost, or over its budget: another one is asked next, and this one later.
-			w.failed++
+		if err != nil && w.failures < maxWantFailures {
+			// The call timed out or the peer is over its budget: another peer is asked next, and this one
+			// again later.
+			w.failures++
 			w.links = append(w.links, link)
 		}
 		w.due = time.Now().Add(time.Duration(n.Rand.Int64N(int64(pullRetry))))
@@ -223,10 +224,10 @@
 	return left
 }
 
-// ask sends one call and unpacks its answer.
-func (n *Node) ask(ctx context.Context, link netip.AddrPort, batch map[string]digest.Item) (parts []*wire.Part, err error) {
+// sendPull makes one Pull call and decompresses the reply.
+func (n *Node) sendPull(ctx context.Context, link netip.AddrPort, batch map[string]digest.Item) (parts []*wire.Part, err error) {
 	view := n.Store.View()
-	in := &wire.Wants{From: memberTo(n.Self)}
+	in := &wire.Wants{From: memberToWire(n.Self)}
 	n.mu.Lock()
 	for name := range batch {
 		own := digest.Know(view, name)
@@ -250,15 +251,15 @@
 	return parts, err
 }
 
-// hedge lets others be asked for what this peer was slow to give. With a fifth of
-// the messages lost, one in sixty texts would else be late by three timeouts.
+// hedge makes documents of a slow pull available for pulls from other peers. Otherwise, with a fifth of the
+// messages lost, one in sixty texts would be delayed by three timeouts.
 func (n *Node) hedge(link netip.AddrPort, batch map[string]digest.Item) {
-	pulled("slow")
+	countPull("slow")
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for name := range batch {
 		if w := n.pull.wants[name]; w != nil {
-			w.active = false
+			w.inFlight = false
 			w.links = append(without(w.links, link), link)
 		}
 	}
--- a/internal/ctrl/relay/real_test.go
+++ b/internal/ctrl/relay/real_test.go
@@ -26,8 +26,8 @@
 	"mangowinch/internal/stand/plat"
 )
 
-// realEntry starts an entry on TCP.
-func realEntry(ctx context.Context, t *testing.T, running *sync.WaitGroup, name, platform string, seeds ...netip.AddrPort) (*store.Store, netip.AddrPort) {
+// startTCPEntry starts an entry that is reachable by TCP.
+func startTCPEntry(ctx context.Context, t *testing.T, running *sync.WaitGroup, name, platform string, seeds ...netip.AddrPort) (*store.Store, netip.AddrPort) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -49,8 +49,9 @@
 	return s, address
 }
 
-// until waits for a revision of a document to be in force, and checks that it is that one.
-func until(ctx context.Context, t *testing.T, s *store.Store, name string, revision order.Revision) {
+// awaitRevision waits until a document reaches at least the given revision, and checks that it is exactly
+// that one.
+func awaitRevision(ctx context.Context, t *testing.T, s *store.Store, name string, revision order.Revision) {
 	t.Helper()
 	for {
 		changed := s.Changed()
@@ -67,8 +68,8 @@
 	}
 }
 
-// Two entries on TCP, and one of them can't reach the platform. It follows every
-// change by the other one, and neither goes back when the platform does.
+// Two entries communicate by TCP, and one of them can't reach the platform. That one must receive every
+// change from the other, and neither may revert when the platform serves an older revision.
 func TestFollowsOverTCP(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	directory := t.TempDir()
@@ -82,16 +83,16 @@
 	running.Go(func() { platform.Run(ctx) })
 	server := httptest.NewServer(platform.Reader())
 	defer server.Close()
-	one, address := realEntry(ctx, t, &running, "e1", server.URL)
-	two, _ := realEntry(ctx, t, &running, "e2", "http://127.0.0.1:1", address)
-	until(ctx, t, one, "tracing-core", 3)
-	until(ctx, t, two, "tracing-core", 3)
+	one, address := startTCPEntry(ctx, t, &running, "e1", server.URL)
+	two, _ := startTCPEntry(ctx, t, &running, "e2", "http://127.0.0.1:1", address)
+	awaitRevision(ctx, t, one, "tracing-core", 3)
+	awaitRevision(ctx, t, two, "tracing-core", 3)
 	write("tracing-core", "7", "tracing-core seven")
-	until(ctx, t, one, "tracing-core", 7)
-	until(ctx, t, two, "tracing-core", 7)
+	awaitRevision(ctx, t, one, "tracing-core", 7)
+	awaitRevision(ctx, t, two, "tracing-core", 7)
 	write("tracing-core", "4", "tracing-core four")
 	write("doc-intake", "1", "doc-intake one")
-	until(ctx, t, two, "doc-intake", 1)
+	awaitRevision(ctx, t, two, "doc-intake", 1)
 	assert.Equal(t, one.View().Entries["tracing-core"].Revision, order.Revision(7))
 	assert.Equal(t, two.View().Entries["tracing-core"].Revision, order.Revision(7))
 	cancel()
--- a/internal/ctrl/relay/revert_test.go
+++ b/internal/ctrl/relay/revert_test.go
@@ -14,21 +14,21 @@
 	"mangowinch/internal/flow/order"
 )
 
-// history is what was in force in one life of a process.
+// history is the sequence of revisions in force in one incarnation of a process.
 type history struct {
-	name  string
-	floor order.Revision // what it had to know from the start
-	seen  []order.Revision
+	name        string
+	minRevision order.Revision // the lowest revision with which it may begin
+	revisions   []order.Revision
 }
 
-// follow records every revision that comes into force in a process.
-func follow(ctx context.Context, p *process, floor order.Revision) *history {
-	h := &history{name: p.member.Name, floor: floor}
+// recordHistory records every revision that comes into force in a process.
+func recordHistory(ctx context.Context, p *process, floor order.Revision) *history {
+	h := &history{name: p.member.Name, minRevision: floor}
 	go func() {
 		for {
 			changed := p.store.Changed()
-			if e := p.store.View().Entries["svc"]; e != nil && (len(h.seen) == 0 || h.seen[len(h.seen)-1] != e.Revision) {
-				h.seen = append(h.seen, e.Revision)
+			if e := p.store.View().Entries["svc"]; e != nil && (len(h.revisions) == 0 || h.revisions[len(h.revisions)-1] != e.Revision) {
+				h.revisions = append(h.revisions, e.Revision)
 			}
 			select {
 			case <-changed:
@@ -40,10 +40,10 @@
 	return h
 }
 
-// event is one thing that happens, and how long nothing happens then.
+// event is a step of a random scenario, followed by a wait.
 type event struct {
 	step string
-	n    int // which entry, how many, which revision
+	n    int // an entry, a number of entries or a revision, depending on the step
 	wait time.Duration
 }
 
@@ -55,24 +55,24 @@
 	}
 })
 
-// A team's accepted document is in force, and then, by a late message, a stale
-// platform, a restart or a partition's end, callers are treated by the one
-// before. In any order of such events no life of a process goes back, a process that
-// restarts among peers that know better does not begin with less, and in the
-// end all have the newest that can be read. The events and losses come from the
-// printed seed; the order of what happens in one instant is the scheduler's.
+// Guards against a document that is in force and then replaced by an older revision, because of a delayed
+// message, a stale platform, a restart or the end of a partition. In any order of such events no incarnation
+// of a process reverts, a process that restarts among peers with newer revisions doesn't begin with an older
+// one, and in the end all processes have the newest revision that can be parsed. Events and losses follow
+// from the printed seed; the order of what happens at the same instant depends on the scheduler.
 func TestNeverRevertsInFleet(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		losses := rapid.Uint64().Draw(r, "losses")
 		steps := rapid.SliceOfN(events, 3, 10).Draw(r, "events")
 		var fault string
-		synctest.Test(t, func(t *testing.T) { fault = play(t, losses, steps) })
+		synctest.Test(t, func(t *testing.T) { fault = runEvents(t, losses, steps) })
 		assert.Equal(r, fault, "")
 	})
 }
 
-// play lets events happen to 6 entries and 3 agents, and returns what went wrong.
-func play(t *testing.T, losses uint64, steps []event) string {
+// runEvents applies events to a fleet of 6 entries and 3 agents. It returns a description of the first
+// violation, or "".
+func runEvents(t *testing.T, losses uint64, steps []event) string {
 	const entries, agents = 6, 3
 	f := newFleet(t)
 	f.reseed(losses)
@@ -81,13 +81,13 @@
 	f.platform.setText("svc", 1, "svc servers=3")
 	f.platform.set("svc", 1)
 	f.entries(entries)
-	f.seeds = nil // of those that restart, so that only the platform tells them of peers
+	f.seeds = nil // restarted entries get their peers from the platform only
 	var histories []*history
 	for n := range entries {
-		histories = append(histories, follow(ctx, f.processes[linkOf(n)], 0))
+		histories = append(histories, recordHistory(ctx, f.processes[entryLink(n)], 0))
 	}
 	for n := range agents {
-		histories = append(histories, follow(ctx, f.agent("svc", n), 0))
+		histories = append(histories, recordHistory(ctx, f.agent("svc", n), 0))
 	}
 	time.Sleep(8 * time.Second)
 	for _, e := range steps {
@@ -101,7 +101,7 @@
 		case "down", "up":
 			f.platform.setDown(e.step == "down")
 		case "part":
-			f.part(func(a netip.AddrPort) bool { return int(a.Addr().As4()[3])%entries > e.n })
+			f.partition(func(a netip.AddrPort) bool { return int(a.Addr().As4()[3])%entries > e.n })
 		case "lossy":
 			f.mu.Lock()
 			f.loss = 0.3
@@ -109,28 +109,28 @@
 		case "heal":
 			f.heal()
 		case "restart":
-			f.kill(f.processes[linkOf(e.n)])
-			histories = append(histories, follow(ctx, f.entry(e.n), f.floor(e.n)))
+			f.kill(f.processes[entryLink(e.n)])
+			histories = append(histories, recordHistory(ctx, f.entry(e.n), f.minRevision(e.n)))
 		}
 		time.Sleep(e.wait)
 	}
-	good := newest // what all must have in the end
+	good := newest // the revision that all must have in the end
 	if f.platform.texts[fmt.Sprint("svc", newest)] == "svc servers=3 faulty" {
-		good = f.best() // those before it may have been replaced before anybody read them
+		good = f.highestInForce() // earlier revisions may have been replaced before any process read them
 	}
 	f.heal()
 	f.platform.setDown(false)
 	f.platform.set("svc", newest)
-	time.Sleep(40 * time.Second) // the longest wait before the platform is asked again, and 7 s
-	have, all := f.have("svc", good)
+	time.Sleep(40 * time.Second) // the longest backoff before the platform is called again, and 7 s
+	have, all := f.countAtLeast("svc", good)
 	cancel()
 	f.stop()
 	synctest.Wait()
 	for _, h := range histories {
-		last := h.floor
-		for _, n := range h.seen {
+		last := h.minRevision
+		for _, n := range h.revisions {
 			if n < last {
-				return fmt.Sprintf("%s went back: %v, it had to begin with %d", h.name, h.seen, h.floor)
+				return fmt.Sprintf("%s reverted: revisions %v, expected the first to be at least %d", h.name, h.revisions, h.minRevision)
 			}
 			last = n
 		}
--- a/internal/ctrl/relay/take.go
+++ b/internal/ctrl/relay/take.go
@@ -9,43 +9,43 @@
 	"mangowinch/internal/flow/order"
 )
 
-// taken is what became of one piece of a text.
-type taken int
+// partResult is the effect of a received piece of a text.
+type partResult int
 
 const (
-	nothing taken = iota // none came, or one that doesn't fit
-	forward              // this process has more than before
-	useless              // the text is whole, and yet this process has no more than before
+	partIgnored  partResult = iota // no piece was received, or it doesn't continue the text
+	partProgress                   // the text has grown, or it is complete and was stored
+	partUseless                    // the text is complete, but the store didn't use it
 )
 
-// take adds a piece to what came of its text, and offers the text once it is whole.
-func (n *Node) take(p *wire.Part, link netip.AddrPort) taken {
-	text, whole, ok := n.join(p)
+// takePart adds a received piece to its text and offers the text to the store once it is complete.
+func (n *Node) takePart(p *wire.Part, link netip.AddrPort) partResult {
+	text, whole, ok := n.joinPart(p)
 	switch {
 	case !ok:
-		return nothing
+		return partIgnored
 	case !whole:
-		return forward
+		return partProgress
 	}
 	before := digest.Know(n.Store.View(), p.GetName())
 	revision := order.Revision(p.GetRevision())
 	accepted, err := n.Store.Offer(p.GetName(), revision, text, link.String())
 	if err != nil {
-		n.Log.Warn().Err(err).Msg("document is faulty")
+		n.Log.Warn().Err(err).Msg("document rejected")
 	}
 	if accepted {
-		n.Log.Info().Str("document", p.GetName()).Stringer("revision", revision).Stringer("from", link).Msg("document taken")
+		n.Log.Info().Str("document", p.GetName()).Stringer("revision", revision).Stringer("from", link).Msg("document accepted")
 	}
 	if digest.Know(n.Store.View(), p.GetName()) == before {
-		return useless
+		return partUseless
 	}
-	return forward
+	return partProgress
 }
 
-// join adds a piece to the text that it belongs to.
-func (n *Node) join(p *wire.Part) (text []byte, whole, ok bool) {
+// joinPart appends a piece to its text.
+func (n *Node) joinPart(p *wire.Part) (text []byte, whole, ok bool) {
 	if p.GetSize() > store.MaxText || p.GetOffset()+uint64(len(p.GetData())) > p.GetSize() {
-		refused("part")
+		countRefused("part")
 		return nil, false, false
 	}
 	if p.GetOffset() == 0 && uint64(len(p.GetData())) == p.GetSize() {
@@ -55,17 +55,17 @@
 	defer n.mu.Unlock()
 	q := n.pull.partials[p.GetName()]
 	if p.GetOffset() == 0 && (q == nil || q.revision < p.GetRevision()) {
-		if q == nil && (len(n.pull.partials)+1)*store.MaxText > maxPartial {
-			clear(n.pull.partials) // begun and never ended
+		if q == nil && (len(n.pull.partials)+1)*store.MaxText > maxPartialBytes {
+			clear(n.pull.partials) // texts that were never completed
 		}
 		q = &partial{revision: p.GetRevision(), size: p.GetSize()}
 		n.pull.partials[p.GetName()] = q
 	}
 	if q != nil && q.revision == p.GetRevision() && p.GetOffset()+uint64(len(p.GetData())) <= uint64(len(q.text)) {
-		return nil, false, false // came by another call before
+		return nil, false, false // already received by another call
 	}
 	if q == nil || q.revision != p.GetRevision() || q.size != p.GetSize() || uint64(len(q.text)) != p.GetOffset() {
-		refused("part")
+		countRefused("part")
 		delete(n.pull.partials, p.GetName())
 		return nil, false, false
 	}
--- a/internal/ctrl/relay/tell.go
+++ b/internal/ctrl/relay/tell.go
@@ -16,34 +16,34 @@
 	"mangowinch/internal/ctrl/wire"
 )
 
-// Bounds of rumours.
+// Limits of gossip.
 const (
-	fanout      = 4  // who learns of a change tells so many: all but 2 % are reached, comparing finds these
-	maxRumours  = 32 // in one message; more at once is a start, not news
-	maxRecent   = 16 // changes that exchanges repeat for some seconds
-	sendTries   = 3
-	contacts    = 3  // entries that tell the agents of a service
-	notesSecond = 50 // to agents; at the planned size a change is told to 5 agents by 3 entries
-	tellsAtOnce = 16
+	fanout              = 4  // processes that each entry notifies of a change: this reaches all but 2 %, which digest comparisons find
+	maxGossipItems      = 32 // in one message; more changes at once indicate a start, which gossip doesn't spread
+	maxRecent           = 16 // recent changes that exchanges repeat
+	sendTries           = 3
+	contactsPerService  = 3  // entries that notify the agents of a service
+	agentSendsPerSecond = 50 // to agents; at the planned size 3 entries notify 5 agents of a change
+	concurrentSends     = 16
 )
 
-// tell is an entry's loop that passes on what changed in its store.
-func (n *Node) tell(ctx context.Context) {
+// notifyLoop makes an entry notify other entries and agents of the documents that changed in its store.
+func (n *Node) notifyLoop(ctx context.Context) {
 	var running sync.WaitGroup
 	defer running.Wait()
-	slots := make(chan struct{}, tellsAtOnce)
-	limiter := rate.NewLimiter(notesSecond, notesSecond)
+	slots := make(chan struct{}, concurrentSends)
+	limiter := rate.NewLimiter(agentSendsPerSecond, agentSendsPerSecond)
 	before := n.Store.View()
 	for ctx.Err() == nil {
 		changed := n.Store.Changed()
 		now := n.Store.View()
-		items := changes(before, now)
-		n.remember(items)
-		for _, m := range n.listeners(len(items)) {
+		items := changedItems(before, now)
+		n.recordRecent(items)
+		for _, m := range n.pickTargets(len(items)) {
 			n.send(ctx, &running, slots, m, items)
 		}
 		for _, i := range items {
-			for _, agent := range n.agents(i, before, now) {
+			for _, agent := range n.agentsToNotify(i, before, now) {
 				if limiter.Wait(ctx) != nil {
 					return
 				}
@@ -58,14 +58,14 @@
 	}
 }
 
-// change is a document that changed here a moment ago.
+// change is a recently changed document.
 type change struct {
 	item digest.Item
 	at   time.Time
 }
 
-// remember keeps the last changes for the next exchanges.
-func (n *Node) remember(items []digest.Item) {
+// recordRecent keeps the latest changes for the next exchanges.
+func (n *Node) recordRecent(items []digest.Item) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, i := range items {
@@ -74,8 +74,8 @@
 	n.recent = slices.Clone(n.recent[max(0, len(n.recent)-maxRecent):])
 }
 
-// send tells a process about some documents, without waiting for its answer. If
-// there is none, a neighbour is told instead.
+// send notifies a process of some documents without waiting for the reply. If an entry does not answer, up
+// to two other neighbours are notified instead.
 func (n *Node) send(ctx context.Context, running *sync.WaitGroup, slots chan struct{}, m peers.Member, items []digest.Item) {
 	select {
 	case slots <- struct{}{}:
@@ -87,14 +87,14 @@
 		out := n.summary()
 		out.Members = nil
 		for _, i := range items {
-			out.Items = append(out.Items, itemTo(i))
+			out.Items = append(out.Items, itemToWire(i))
 		}
-		told(role(m))
+		countSent(role(m))
 		for range sendTries {
 			if _, ok := n.exchange(ctx, m, out); ok || m.Name == "" {
 				return
 			}
-			others := n.listeners(1)
+			others := n.pickTargets(1)
 			if len(others) == 0 {
 				return
 			}
@@ -110,8 +110,8 @@
 	return "agent"
 }
 
-// changes returns the documents that are known differently in two snapshots.
-func changes(before, now *store.View) []digest.Item {
+// changedItems returns the documents that differ between two snapshots.
+func changedItems(before, now *store.View) []digest.Item {
 	var items []digest.Item
 	if before == now {
 		return nil
@@ -129,33 +129,33 @@
 	return items
 }
 
-// listeners chooses who is told of a number of changes.
-func (n *Node) listeners(changes int) []peers.Member {
+// pickTargets chooses the neighbours that are notified of a number of changes.
+func (n *Node) pickTargets(changes int) []peers.Member {
 	if changes == 0 {
 		return nil
 	}
-	if changes > maxRumours {
-		refused("rumours")
+	if changes > maxGossipItems {
+		countRefused("rumours")
 		return nil
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.renewNear()
-	n.Rand.Shuffle(len(n.near), func(i, j int) { n.near[i], n.near[j] = n.near[j], n.near[i] })
-	return append([]peers.Member(nil), n.near[:min(fanout, len(n.near))]...)
+	n.renewNeighbours()
+	n.Rand.Shuffle(len(n.neighbours), func(i, j int) { n.neighbours[i], n.neighbours[j] = n.neighbours[j], n.neighbours[i] })
+	return append([]peers.Member(nil), n.neighbours[:min(fanout, len(n.neighbours))]...)
 }
 
-// agents returns the agents that this entry is to tell of a change: those of the
-// document, and those that it left out.
-func (n *Node) agents(i digest.Item, before, now *store.View) []netip.AddrPort {
+// agentsToNotify returns the agents that this entry has to notify of a change: those of the new document
+// and those that only the previous document has. It returns nil if other entries are responsible.
+func (n *Node) agentsToNotify(i digest.Item, before, now *store.View) []netip.AddrPort {
 	n.mu.Lock()
-	chosen := duty.Contacts(i.Name, n.table.Live(peers.Entries), contacts)
+	chosen := duty.Contacts(i.Name, n.table.Live(peers.Entries), contactsPerService)
 	n.mu.Unlock()
-	mine := false
+	isContact := false
 	for _, m := range chosen {
-		mine = mine || m.Name == n.Self.Name
+		isContact = isContact || m.Name == n.Self.Name
 	}
-	if !mine {
+	if !isContact {
 		return nil
 	}
 	var links []netip.AddrPort
@@ -169,24 +169,25 @@
 	return unique(links)
 }
 
-// tellLeaving passes on the platform's word that processes are to leave.
-func (n *Node) tellLeaving(ctx context.Context, leaving []peers.Member, turned bool) {
+// notifyLeaving notifies processes that the platform lists them as leaving.
+func (n *Node) notifyLeaving(ctx context.Context, leaving []peers.Member, newly bool) {
 	for _, m := range leaving {
 		out := n.summary()
-		out.Members, out.Turned = []*wire.Member{memberTo(m)}, turned
-		told("leaving")
+		out.Members, out.Turned = []*wire.Member{memberToWire(m)}, newly
+		countSent("leaving")
 		n.exchange(ctx, m, out)
 	}
 }
 
-// leaveGrace is how long a new process is deaf to a list that has long said that it is to
-// leave: the list lags, and may mean the process that had its name before.
+// leaveGrace is how long a new process ignores that it has been listed as leaving for some time: the list
+// lags and may mean the previous process of the same name.
 const leaveGrace = 30 * time.Second
 
-// toldToLeave takes the platform's word about this process, if it's about this life.
-func (n *Node) toldToLeave(m peers.Member, turned bool) {
-	if m.Address != n.Self.Address || !turned && time.Since(n.start) < leaveGrace {
-		refused("leave")
+// receiveLeave makes this process leave as the platform's list says, unless the list means an earlier
+// process.
+func (n *Node) receiveLeave(m peers.Member, newly bool) {
+	if m.Address != n.Self.Address || !newly && time.Since(n.started) < leaveGrace {
+		countRefused("leave")
 		return
 	}
 	if n.Leave != nil {
