--- a/internal/ctrl/scale/fleet.go
+++ b/internal/ctrl/scale/fleet.go
@@ -1,19 +1,17 @@
-// Package scale runs many relays in one process, to measure what control costs at
-// several sizes and to work out from the slopes what it costs at others.
+// Package scale runs many relays in one process, to measure the cost of control traffic at several sizes
+// and to extrapolate it to others from the slopes.
 //
-// The relays, their messages and their limits are the real ones; what is
-// smaller is the network: TCP on loopback addresses, or calls within the process when
-// more relays are wanted than one machine has room for. The platform is answered in the
-// process, through the real client with its rate limit.
+// The relays, their messages and their limits are the real ones. Only the network is simplified: TCP on
+// loopback addresses, or calls within the process if the machine has no room for that many relays on TCP.
+// The platform is simulated within the process and called by the real client with its rate limit.
 //
-// It proves nothing about correctness (tests of package relay do) and nothing about
-// the path of callers' packets.
+// It doesn't test correctness (the tests of package relay do) or the path of callers' packets.
 //
 // # Usage
 //
-//	f := scale.Start(scale.Size{Entries: 28, Documents: 100, Text: 2000})
+//	f := scale.Start(scale.Size{Entries: 28, Documents: 100, TextSize: 2000})
 //	defer f.Stop()
-//	f.Await(time.Minute)
+//	f.Await(f.Processes(), time.Minute)
 //	cost := f.Measure(20 * time.Second)
 package scale
 
@@ -41,21 +39,21 @@
 	"mangowinch/internal/flow/order"
 )
 
-// Domains is how many failure domains the processes are spread over.
+// Domains is the number of failure domains of a fleet.
 const Domains = 7
 
-// Size is what a fleet consists of.
+// Size is the size of a fleet and its network conditions.
 type Size struct {
 	Entries   int
 	Documents int
-	Text      int     // bytes of one document
-	Services  int     // of the documents, those that have agents
+	TextSize  int     // bytes of one document
+	Services  int     // number of documents whose services have agents
 	Agents    int     // of each such service
-	Memory    bool    // calls within the process instead of TCP
-	Loss      float64 // share of writes that arrive only after retransmission
+	InMemory  bool    // calls within the process instead of TCP
+	Loss      float64 // fraction of writes that arrive only after a retransmission
 }
 
-// Process is one relay with what is its own.
+// Process is one relay with its store and meter.
 type Process struct {
 	Member  peers.Member
 	Service string
@@ -75,16 +73,16 @@
 	processes []*Process
 }
 
-// name returns the name of a document.
-func name(n int) string { return fmt.Sprintf("service-%04d", n) }
+// documentName returns the name of a document.
+func documentName(n int) string { return fmt.Sprintf("service-%04d", n) }
 
-// Base is the second byte of the loopback addresses of entries; agents have the next
-// one. It's to be set before the first fleet, so that two measurements can run at a time.
-var Base = 100
+// AddressBase is the second byte of the loopback addresses of entries; agents have the next one. Set it
+// before starting the first fleet, to a different value for each of two concurrent measurements.
+var AddressBase = 100
 
-// address gives each process an address of its own in 127/8.
+// address returns a distinct address in 127/8 for each process.
 func address(role, n int) netip.AddrPort {
-	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(Base + role), byte(n >> 8), byte(n)}), 7000)
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(AddressBase + role), byte(n >> 8), byte(n)}), 7000)
 }
 
 const (
@@ -93,21 +91,21 @@
 	seedCount = 5
 )
 
-// Start starts a fleet whose platform has all documents at revision 1.
+// Start starts a fleet whose platform serves all documents at revision 1.
 func Start(size Size) *Fleet {
 	f := &Fleet{Size: size, Platform: newPlatform(), network: newNetwork()}
 	for n := range size.Documents {
-		f.Platform.Set(name(n), 1, f.text(n, 1))
+		f.Platform.Set(documentName(n), 1, f.text(n, 1))
 	}
 	for n := range size.Entries {
-		f.Platform.list(fetch.Instance{Name: fmt.Sprint("e", n), Role: "entry", Domain: domain(n), Address: address(entryRole, n), State: "live"})
+		f.Platform.addInstance(fetch.Instance{Name: fmt.Sprint("e", n), Role: "entry", Domain: domain(n), Address: address(entryRole, n), State: "live"})
 	}
 	for n := range size.Entries {
 		f.start(f.entry(n), "", "")
 	}
 	for s := range size.Services {
 		for n := range size.Agents {
-			f.start(f.agent(s, n), name(s), fmt.Sprint("s", n+1))
+			f.start(f.agent(s, n), documentName(s), fmt.Sprint("s", n+1))
 		}
 	}
 	return f
@@ -124,29 +122,29 @@
 	return peers.Member{Name: fmt.Sprint("a", at), Role: peers.Agent, Domain: domain(n), Address: address(agentRole, at)}
 }
 
-// text makes a document as they are: some lines for each of 5 servers, and then
-// classes and callers up to its size.
+// text generates a document that resembles a real one: a block of lines for each server, cut to the
+// document's size.
 func (f *Fleet) text(n int, revision order.Revision) []byte {
 	var b strings.Builder
 	agents := 0
 	if n < f.Size.Services {
 		agents = f.Size.Agents
 	}
-	fmt.Fprintf(&b, "%s %d %d\n", name(n), n*f.Size.Agents, agents)
+	fmt.Fprintf(&b, "%s %d %d\n", documentName(n), n*f.Size.Agents, agents)
 	fmt.Fprintf(&b, "; revision %d\n[service]\naddress = 10.%d.%d.1:443\nkey = k%d\n", revision, n>>8, n&255, n)
-	for s := 0; b.Len() < f.Size.Text; s++ {
+	for s := 0; b.Len() < f.Size.TextSize; s++ {
 		fmt.Fprintf(&b, "[server s%d]\nid = %d\nagent = 10.%d.%d.%d:7001\ndomain = domain-%d\nslots = 4\nconnections = 2000\nweight = %d\n",
 			s, s, n>>8, n&255, s, s%Domains, 1+(n*s)%9)
 	}
-	return []byte(b.String()[:max(f.Size.Text, 40)])
+	return []byte(b.String()[:max(f.Size.TextSize, 40)])
 }
 
-// parse reads what text wrote: its first line says everything that a relay needs.
+// parse parses the first line of a generated document, which contains all that a relay needs.
 func parse(_ string, text []byte) (*docs.Service, error) {
 	var first, agents int
 	s := &docs.Service{}
 	if _, err := fmt.Sscanf(string(text), "%s %d %d\n", &s.Name, &first, &agents); err != nil {
-		return nil, errors.Wrap(err, "made-up document")
+		return nil, errors.Wrap(err, "parse generated document")
 	}
 	for n := range agents {
 		s.Servers = append(s.Servers, docs.Server{
@@ -169,7 +167,7 @@
 		config.Seeds = append(config.Seeds, address(entryRole, n))
 	}
 	var serve func()
-	if f.Size.Memory {
+	if f.Size.InMemory {
 		config.Dial = func(a netip.AddrPort) relay.Peer { return f.network.route(p, a) }
 		serve = func() { f.network.add(p); <-ctx.Done(); f.network.remove(p) }
 	} else {
@@ -190,22 +188,22 @@
 	return p
 }
 
-// Processes returns those that run now.
+// Processes returns the running processes.
 func (f *Fleet) Processes() []*Process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]*Process(nil), f.processes...)
 }
 
-// RestartDomain ends all entries of a failure domain at once, and starts them again.
+// RestartDomain stops all entries of a failure domain at once and starts them again.
 func (f *Fleet) RestartDomain(d string) (restarted []*Process) {
 	f.mu.Lock()
 	var left []*Process
-	var gone []peers.Member
+	var stopped []peers.Member
 	for _, p := range f.processes {
 		if p.Member.Domain == d && p.Member.Role == peers.Entry {
 			p.stop()
-			gone = append(gone, p.Member)
+			stopped = append(stopped, p.Member)
 			defer func() { <-p.ended }()
 			continue
 		}
@@ -213,8 +211,8 @@
 	}
 	f.processes = left
 	f.mu.Unlock()
-	time.Sleep(100 * time.Millisecond) // listeners have closed
-	for _, m := range gone {
+	time.Sleep(100 * time.Millisecond) // until the listeners are closed
+	for _, m := range stopped {
 		restarted = append(restarted, f.start(m, "", ""))
 	}
 	return restarted
@@ -230,8 +228,8 @@
 	}
 }
 
-// Full says whether a process has all the documents that it is to have.
-func (f *Fleet) Full(p *Process) bool {
+// HasAll reports whether a process has all the documents that it should have.
+func (f *Fleet) HasAll(p *Process) bool {
 	have := len(p.Store.View().Entries)
 	if p.Service != "" {
 		return have == 1
@@ -239,11 +237,11 @@
 	return have == f.Size.Documents
 }
 
-// Await waits until all of the given processes are full.
+// Await waits until each of the processes has all its documents.
 func (f *Fleet) Await(processes []*Process, limit time.Duration) (took time.Duration, err error) {
 	start := time.Now()
 	for _, p := range processes {
-		for !f.Full(p) {
+		for !f.HasAll(p) {
 			if time.Since(start) > limit {
 				return limit, errors.Newf("%s has %d documents after %v", p.Member.Name, len(p.Store.View().Entries), limit)
 			}
@@ -253,11 +251,11 @@
 	return time.Since(start), nil
 }
 
-// serve answers other processes on TCP until ctx ends.
+// serve serves calls of other processes on TCP until ctx ends.
 func (n *network) serve(ctx context.Context, p *Process, loss float64) {
 	mux := drpcmux.New()
 	if err := p.Node.Register(mux); err != nil {
-		panic(err) // the relay's own description is wrong
+		panic(err) // the relay's service description is invalid
 	}
 	l, err := net.Listen("tcp", p.Member.Address.String())
 	for tries := 0; err != nil && tries < 50; tries++ {
@@ -265,18 +263,18 @@
 		l, err = net.Listen("tcp", p.Member.Address.String())
 	}
 	if err != nil {
-		panic(err) // the address is taken: nothing can be measured
+		panic(err) // the address is in use, so that no measurement is possible
 	}
 	server := drpcserver.NewWithOptions(mux, drpcserver.Options{Manager: link.Options()})
 	_ = server.Serve(ctx, &lossyListener{l, n, loss})
 }
 
-// Change lets the platform serve another revision of a document.
+// Change makes the platform serve another revision of a document.
 func (f *Fleet) Change(document int, revision order.Revision) {
-	f.Platform.Set(name(document), revision, f.text(document, revision))
+	f.Platform.Set(documentName(document), revision, f.text(document, revision))
 }
 
-// Kill ends the first entries at once, without a word.
+// Kill stops the first entries at once, without notifying the others.
 func (f *Fleet) Kill(entries int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -292,24 +290,24 @@
 	f.processes = left
 }
 
-// Part keeps the two regions from reaching each other, or ends that. It's for fleets in
-// memory. Failed is the number of calls that nobody has answered so far.
-func (f *Fleet) Part(parted bool) (failed int) {
+// SetPartitioned starts or ends a partition between the two regions of a fleet that runs in memory. It
+// returns the number of calls that have failed so far.
+func (f *Fleet) SetPartitioned(partitioned bool) (failed int) {
 	f.network.mu.Lock()
 	defer f.network.mu.Unlock()
-	f.network.parted = parted
+	f.network.partitioned = partitioned
 	return f.network.failed
 }
 
-// Offer gives a revision to the first entry, as if it alone had seen it at the platform.
+// Offer offers a revision to the first entry, as if only that entry had read it from the platform.
 func (f *Fleet) Offer(document int, revision order.Revision) {
-	_, _ = f.Processes()[0].Store.Offer(name(document), revision, f.text(document, revision), "platform")
+	_, _ = f.Processes()[0].Store.Offer(documentName(document), revision, f.text(document, revision), "platform")
 }
 
-// Have returns how many processes have at least a revision of a document.
-func (f *Fleet) Have(document int, revision order.Revision) (have int) {
+// CountAtLeast returns how many processes have the given revision of a document or a newer one.
+func (f *Fleet) CountAtLeast(document int, revision order.Revision) (have int) {
 	for _, p := range f.Processes() {
-		if p.Store.View().Revision(name(document)) >= revision {
+		if p.Store.View().Revision(documentName(document)) >= revision {
 			have++
 		}
 	}
--- a/internal/ctrl/scale/measure.go
+++ b/internal/ctrl/scale/measure.go
@@ -14,20 +14,20 @@
 	"mangowinch/internal/flow/order"
 )
 
-// Cost is what one process of a role spends.
+// Cost is the average cost of one process of a role.
 type Cost struct {
-	Bytes float64 // a second, sent and received
-	CPU   float64 // milliseconds a second; of all roles together, for each process
+	Bytes float64 // sent and received per second
+	CPU   float64 // milliseconds per second, averaged over the processes of all roles
 }
 
-// Costs are the costs by role, and the memory of all for each process.
+// Costs are the costs by role and those of the whole fleet.
 type Costs struct {
 	Entry, Agent Cost
-	CPU          float64 // milliseconds a second, of the whole program
-	Calls        float64 // to the platform, a second
+	CPU          float64 // milliseconds per second, of the whole program
+	Calls        float64 // calls to the platform per second
 }
 
-// Measure looks at a fleet for a while.
+// Measure measures the costs of a fleet over a duration.
 func (f *Fleet) Measure(d time.Duration) Costs {
 	before := map[*Process]uint64{}
 	processes := f.Processes()
@@ -66,7 +66,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// MemoryInUse returns the bytes of objects and stacks after a collection.
+// MemoryInUse returns the bytes of heap objects and stacks after a garbage collection.
 func MemoryInUse() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -75,12 +75,12 @@
 	return float64(m.HeapAlloc + m.StackInuse)
 }
 
-// Spread makes changes with a pause between them, and returns how long each took to be in
-// force at each process that is to have it. By one says that only one entry sees it at
-// the platform, which is down from then on.
-func (f *Fleet) Spread(changes int, pause time.Duration, byOne bool) []time.Duration {
+// MeasureSpread makes changes with a pause between them and returns the sorted delays until each was in
+// force at each process that should have it. If oneObserver is set, only one entry reads each change, and
+// the platform is down from then on.
+func (f *Fleet) MeasureSpread(changes int, pause time.Duration, oneObserver bool) []time.Duration {
 	var mu sync.Mutex
-	var all []time.Duration
+	var delays []time.Duration
 	for change := range changes {
 		document := change % max(f.Size.Services, 1)
 		revision := order.Revision(change + 2)
@@ -88,40 +88,42 @@
 		start := time.Now()
 		var running sync.WaitGroup
 		for _, p := range f.Processes() {
-			if p.Service != "" && p.Service != name(document) {
+			if p.Service != "" && p.Service != documentName(document) {
 				continue
 			}
 			running.Go(func() {
-				if f.reach(p, document, revision, start) {
+				if f.awaitRevision(p, document, revision, start) {
 					mu.Lock()
 					defer mu.Unlock()
-					all = append(all, time.Since(start))
+					delays = append(delays, time.Since(start))
 				}
 			})
 		}
-		if byOne {
+		if oneObserver {
 			f.Platform.SetDown(true)
-			_, _ = f.Processes()[change%f.Size.Entries].Store.Offer(name(document), revision, text, "platform")
+			_, _ = f.Processes()[change%f.Size.Entries].Store.Offer(documentName(document), revision, text, "platform")
 		} else {
-			f.Platform.Set(name(document), revision, text)
+			f.Platform.Set(documentName(document), revision, text)
 		}
 		running.Wait()
 		time.Sleep(pause)
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(delays)
+	return delays
 }
 
-// giveUp is when a change counts as lost.
-const giveUp = time.Minute
+// spreadTimeout is the delay after which a change counts as lost.
+const spreadTimeout = time.Minute
 
-func (f *Fleet) reach(p *Process, document int, revision order.Revision, start time.Time) bool {
-	for time.Since(start) < giveUp {
+// awaitRevision waits until a process has the given revision of a document or a newer one. It returns false
+// if that takes longer than spreadTimeout.
+func (f *Fleet) awaitRevision(p *Process, document int, revision order.Revision, start time.Time) bool {
+	for time.Since(start) < spreadTimeout {
 		changed := p.Store.Changed()
-		if e := p.Store.View().Entries[name(document)]; e != nil && e.Revision >= revision {
+		if e := p.Store.View().Entries[documentName(document)]; e != nil && e.Revision >= revision {
 			return true
 		}
-		timer := time.NewTimer(giveUp - time.Since(start))
+		timer := time.NewTimer(spreadTimeout - time.Since(start))
 		select {
 		case <-changed:
 		case <-timer.C:
@@ -131,7 +133,7 @@
 	return false
 }
 
-// Quantile returns a quantile of sorted times.
+// Quantile returns the q-quantile of sorted durations.
 func Quantile(sorted []time.Duration, q float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/ctrl/scale/network.go
+++ b/internal/ctrl/scale/network.go
@@ -14,12 +14,12 @@
 	"mangowinch/internal/ctrl/wire"
 )
 
-// network is the way between processes.
+// network connects the processes of a fleet.
 type network struct {
-	mu        sync.Mutex
-	processes map[netip.AddrPort]*Process
-	parted    bool // the two regions don't reach each other
-	failed    int  // calls that nobody answered
+	mu          sync.Mutex
+	processes   map[netip.AddrPort]*Process
+	partitioned bool // the two regions can't reach each other
+	failed      int  // calls that were not answered
 }
 
 func newNetwork() *network { return &network{processes: map[netip.AddrPort]*Process{}} }
@@ -38,24 +38,26 @@
 	}
 }
 
-var errGone = errors.New("nobody answers there")
+var errUnreachable = errors.New("no process at this address")
 
-// route is the way to a process by calls within this one.
-type route struct {
+// memoryRoute is a relay.Peer that calls another process of the fleet directly.
+type memoryRoute struct {
 	network *network
 	from    *Process
 	to      netip.AddrPort
 }
 
-func (n *network) route(from *Process, to netip.AddrPort) *route { return &route{n, from, to} }
+func (n *network) route(from *Process, to netip.AddrPort) *memoryRoute {
+	return &memoryRoute{n, from, to}
+}
 
-// find returns the process at the other end. One in the other region of a
-// partition never answers.
-func (r *route) find(ctx context.Context) (*Process, error) {
+// target returns the process at the other end. If a partition separates the two processes, it waits until
+// ctx ends.
+func (r *memoryRoute) target(ctx context.Context) (*Process, error) {
 	n := r.network
 	n.mu.Lock()
 	p := n.processes[r.to]
-	cut := p != nil && n.parted && region(p.Member.Domain) != region(r.from.Member.Domain)
+	cut := p != nil && n.partitioned && region(p.Member.Domain) != region(r.from.Member.Domain)
 	if p == nil || cut {
 		n.failed++
 	}
@@ -65,26 +67,27 @@
 		return nil, ctx.Err()
 	}
 	if p == nil {
-		return nil, errGone
+		return nil, errUnreachable
 	}
 	return p, nil
 }
 
-// region says which of the two regions a failure domain belongs to: 4 to the one, 3 to the other.
+// region reports which of the two regions a failure domain belongs to: 4 domains to the first (true), 3 to
+// the second.
 func region(d string) bool { return d < domain(Domains/2+1) }
 
-// oneWay is how long a message takes between two failure domains of one region.
-const oneWay = time.Millisecond
+// oneWayDelay is the latency of a message between two failure domains of one region.
+const oneWayDelay = time.Millisecond
 
-func pass[In, Out proto.Message](ctx context.Context, r *route, in In, handle func(*Process) (Out, error)) (out Out, err error) {
-	time.Sleep(oneWay)
+func call[In, Out proto.Message](ctx context.Context, r *memoryRoute, in In, handle func(*Process) (Out, error)) (out Out, err error) {
+	time.Sleep(oneWayDelay)
 	var none Out
-	p, err := r.find(ctx)
+	p, err := r.target(ctx)
 	if err != nil {
 		return none, err
 	}
 	out, err = handle(p)
-	time.Sleep(oneWay)
+	time.Sleep(oneWayDelay)
 	if err != nil {
 		return none, err
 	}
@@ -92,23 +95,23 @@
 	return out, nil
 }
 
-func (r *route) Exchange(ctx context.Context, in *wire.Summary) (*wire.Summary, error) {
-	return pass(ctx, r, in, func(p *Process) (*wire.Summary, error) { return p.Node.Exchange(ctx, in) })
+func (r *memoryRoute) Exchange(ctx context.Context, in *wire.Summary) (*wire.Summary, error) {
+	return call(ctx, r, in, func(p *Process) (*wire.Summary, error) { return p.Node.Exchange(ctx, in) })
 }
 
-func (r *route) Pull(ctx context.Context, in *wire.Wants) (*wire.Texts, error) {
-	return pass(ctx, r, in, func(p *Process) (*wire.Texts, error) { return p.Node.Pull(ctx, in) })
+func (r *memoryRoute) Pull(ctx context.Context, in *wire.Wants) (*wire.Texts, error) {
+	return call(ctx, r, in, func(p *Process) (*wire.Texts, error) { return p.Node.Pull(ctx, in) })
 }
 
-func (r *route) Beat(ctx context.Context, in *wire.Pulse) (*wire.Pulse, error) {
-	return pass(ctx, r, in, func(p *Process) (*wire.Pulse, error) { return p.Node.Beat(ctx, in) })
+func (r *memoryRoute) Beat(ctx context.Context, in *wire.Pulse) (*wire.Pulse, error) {
+	return call(ctx, r, in, func(p *Process) (*wire.Pulse, error) { return p.Node.Beat(ctx, in) })
 }
 
-// resend is how long TCP waits before it sends a lost segment again, at first.
-const resend = 200 * time.Millisecond
+// retransmitDelay is TCP's initial retransmission timeout.
+const retransmitDelay = 200 * time.Millisecond
 
-// lossy returns a wrapper under which a share of the writes is late as if its segment
-// had been lost, and lost again, and sent again each time.
+// lossy returns a wrapper that delays a fraction of the writes as if their segments had been lost and
+// retransmitted, possibly several times.
 func (n *network) lossy(loss float64) func(net.Conn) net.Conn {
 	return func(c net.Conn) net.Conn {
 		if loss == 0 {
@@ -124,7 +127,7 @@
 }
 
 func (c *lossyConn) Write(b []byte) (int, error) {
-	for wait := resend; rand.Float64() < c.loss; wait *= 2 {
+	for wait := retransmitDelay; rand.Float64() < c.loss; wait *= 2 {
 		time.Sleep(wait)
 	}
 	return c.Conn.Write(b)
--- a/internal/ctrl/scale/platform.go
+++ b/internal/ctrl/scale/platform.go
@@ -18,21 +18,21 @@
 	"mangowinch/internal/flow/order"
 )
 
-// watchFor is how long the platform lets a watch wait.
-const watchFor = 25 * time.Second
+// watchTimeout is how long a watch waits for a change.
+const watchTimeout = 25 * time.Second
 
-// Platform answers the platform's API within the process, and counts calls.
+// Platform implements the platform's API within the process and counts calls.
 type Platform struct {
-	mu        sync.Mutex
-	index     uint64
-	revisions map[string]order.Revision
-	texts     map[string][]byte
-	instances fetch.Instances
-	down      bool
-	changed   chan struct{}
-	seconds   map[int64]int // calls by second
-	paths     map[string]int
-	waiting   int
+	mu             sync.Mutex
+	index          uint64
+	revisions      map[string]order.Revision
+	texts          map[string][]byte
+	instances      fetch.Instances
+	down           bool
+	changed        chan struct{}
+	seconds        map[int64]int // number of calls by Unix second
+	paths          map[string]int
+	waitingWatches int
 }
 
 func newPlatform() *Platform {
@@ -45,7 +45,7 @@
 	}
 }
 
-// Set lets the platform serve a revision of a document.
+// Set makes the platform serve a revision of a document.
 func (p *Platform) Set(name string, revision order.Revision, text []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -55,7 +55,7 @@
 	p.changed = make(chan struct{})
 }
 
-// SetDown makes every call fail, or ends that.
+// SetDown sets whether every call fails.
 func (p *Platform) SetDown(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,12 +64,12 @@
 	p.changed = make(chan struct{})
 }
 
-func (p *Platform) list(i fetch.Instance) {
+func (p *Platform) addInstance(i fetch.Instance) {
 	p.instances.Instances = append(p.instances.Instances, i)
 }
 
-// Calls returns the calls since a time: all, the most in one second, and the watches
-// that wait now.
+// Calls returns the number of calls since a time, the largest number in one second, and the number of
+// watches that wait now.
 func (p *Platform) Calls(since time.Time) (all, most, waiting int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,10 +79,10 @@
 			most = max(most, n)
 		}
 	}
-	return all, most, p.waiting
+	return all, most, p.waitingWatches
 }
 
-// Paths returns the calls by kind and forgets them.
+// Paths returns the number of calls by path since the previous call of Paths.
 func (p *Platform) Paths() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -99,7 +99,7 @@
 	p.paths[kind[0]+strings.Repeat("/NAME", len(kind)-1)]++
 	p.mu.Unlock()
 	if kind[0] == "watch" {
-		if err := p.wait(r); err != nil {
+		if err := p.awaitChange(r); err != nil {
 			return nil, err
 		}
 	}
@@ -109,9 +109,9 @@
 	case p.down:
 		return nil, errors.New("platform is down")
 	case kind[0] == "instances":
-		return answer(p.instances)
+		return jsonResponse(p.instances)
 	case len(kind) == 2:
-		response := respond(p.texts[kind[1]])
+		response := newResponse(p.texts[kind[1]])
 		response.Header.Set("Revision", strconv.FormatUint(p.revisions[kind[1]].Number(), 10))
 		return response, nil
 	}
@@ -119,23 +119,23 @@
 	for _, name := range slices.Sorted(maps.Keys(p.revisions)) {
 		list.Documents = append(list.Documents, fetch.Item{Name: name, Revision: p.revisions[name]})
 	}
-	return answer(list)
+	return jsonResponse(list)
 }
 
-func (p *Platform) wait(r *http.Request) error {
+func (p *Platform) awaitChange(r *http.Request) error {
 	since, err := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64)
 	if err != nil {
 		return err
 	}
-	timer := time.NewTimer(watchFor)
+	timer := time.NewTimer(watchTimeout)
 	defer timer.Stop()
 	p.mu.Lock()
-	p.waiting++
+	p.waitingWatches++
 	wait, changed := !p.down && p.index <= since, p.changed
 	p.mu.Unlock()
 	defer func() {
 		p.mu.Lock()
-		p.waiting--
+		p.waitingWatches--
 		p.mu.Unlock()
 	}()
 	if !wait {
@@ -150,11 +150,11 @@
 	return nil
 }
 
-func answer(v any) (*http.Response, error) {
+func jsonResponse(v any) (*http.Response, error) {
 	b, err := json.Marshal(v)
-	return respond(b), err
+	return newResponse(b), err
 }
 
-func respond(b []byte) *http.Response {
+func newResponse(b []byte) *http.Response {
 	return &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(bytes.NewReader(b))}
 }
