--- a/internal/ctrl/relay/relay.go
+++ b/internal/ctrl/relay/relay.go
@@ -20,7 +20,7 @@
 //		return err
 //	}
 //	go node.Run(ctx)
-//	node.ObserveRevision("tracing-core", 7, entryLink) // a frame carried a revision
+//	node.Observe("tracing-core", 7, entryLink) // a frame carried a revision
 package relay
 
 import (
@@ -176,9 +176,9 @@
 	n.table.SetState(s)
 }
 
-// ObserveRevision records that the process at link has a revision of a document, as carried by a frame. It
+// Observe records that the process at link has a revision of a document, as carried by a frame. It
 // is cheap if the revision is not newer than the known one.
-func (n *Node) ObserveRevision(name string, revision order.Revision, link netip.AddrPort) {
+func (n *Node) Observe(name string, revision order.Revision, link netip.AddrPort) {
 	if revision <= n.Store.View().Revision(name) || !n.holds(name) {
 		return
 	}
--- a/internal/ctrl/relay/revert_test.go
+++ b/internal/ctrl/relay/revert_test.go
@@ -22,8 +22,8 @@
 }
 
 // recordHistory records every revision that comes into force in a process.
-func recordHistory(ctx context.Context, p *process, floor order.Revision) *history {
-	h := &history{name: p.member.Name, minRevision: floor}
+func recordHistory(ctx context.Context, p *process, minRevision order.Revision) *history {
+	h := &history{name: p.member.Name, minRevision: minRevision}
 	go func() {
 		for {
 			changed := p.store.Changed()
--- a/internal/ctrl/scale/network.go
+++ b/internal/ctrl/scale/network.go
@@ -40,20 +40,18 @@
 
 var errUnreachable = errors.New("no process at this address")
 
-// memoryRoute is a relay.Peer that calls another process of the fleet directly.
-type memoryRoute struct {
+// memPeer is a relay.Peer that calls another process of the fleet directly.
+type memPeer struct {
 	network *network
 	from    *Process
 	to      netip.AddrPort
 }
 
-func (n *network) route(from *Process, to netip.AddrPort) *memoryRoute {
-	return &memoryRoute{n, from, to}
-}
+func (n *network) route(from *Process, to netip.AddrPort) *memPeer { return &memPeer{n, from, to} }
 
 // target returns the process at the other end. If a partition separates the two processes, it waits until
 // ctx ends.
-func (r *memoryRoute) target(ctx context.Context) (*Process, error) {
+func (r *memPeer) target(ctx context.Context) (*Process, error) {
 	n := r.network
 	n.mu.Lock()
 	p := n.processes[r.to]
@@ -79,7 +77,7 @@
 // oneWayDelay is the latency of a message between two failure domains of one region.
 const oneWayDelay = time.Millisecond
 
-func call[In, Out proto.Message](ctx context.Context, r *memoryRoute, in In, handle func(*Process) (Out, error)) (out Out, err error) {
+func call[In, Out proto.Message](ctx context.Context, r *memPeer, in In, handle func(*Process) (Out, error)) (out Out, err error) {
 	time.Sleep(oneWayDelay)
 	var none Out
 	p, err := r.target(ctx)
@@ -95,15 +93,15 @@
 	return out, nil
 }
 
-func (r *memoryRoute) Exchange(ctx context.Context, in *wire.Summary) (*wire.Summary, error) {
+func (r *memPeer) Exchange(ctx context.Context, in *wire.Summary) (*wire.Summary, error) {
 	return call(ctx, r, in, func(p *Process) (*wire.Summary, error) { return p.Node.Exchange(ctx, in) })
 }
 
-func (r *memoryRoute) Pull(ctx context.Context, in *wire.Wants) (*wire.Texts, error) {
+func (r *memPeer) Pull(ctx context.Context, in *wire.Wants) (*wire.Texts, error) {
 	return call(ctx, r, in, func(p *Process) (*wire.Texts, error) { return p.Node.Pull(ctx, in) })
 }
 
-func (r *memoryRoute) Beat(ctx context.Context, in *wire.Pulse) (*wire.Pulse, error) {
+func (r *memPeer) Beat(ctx context.Context, in *wire.Pulse) (*wire.Pulse, error) {
 	return call(ctx, r, in, func(p *Process) (*wire.Pulse, error) { return p.Node.Beat(ctx, in) })
 }
 
--- a/internal/node/start/relayentry.go
+++ b/internal/node/start/relayentry.go
@@ -27,9 +27,7 @@
 		Self: peers.Member{Role: peers.Entry, Address: p.settings.Entry.Link},
 	})
 	e.SetHooks(entry.Hooks{
-		Newer: func(link netip.AddrPort, service string, revision order.Revision) {
-			c.ObserveRevision(service, revision, link)
-		},
+		Newer:   func(link netip.AddrPort, service string, revision order.Revision) { c.Observe(service, revision, link) },
 		Refresh: c.Refresh,
 	})
 	mux := drpcmux.New()
