--- a/internal/ctrl/peers/peers_test.go
+++ b/internal/ctrl/peers/peers_test.go
@@ -63,7 +63,7 @@
 }
 
 // Half of the fleet is partitioned off for an hour. It looks failed but is still listed. A suspected member
-// must be chosen again within a minute of the end.
+// must not count as live meanwhile, and must be chosen again within a minute of the end.
 func TestSuspectsAreRetried(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	table := peers.New(member("self", 1, 1), peers.MaxMembers)
--- a/internal/ctrl/relay/exchange.go
+++ b/internal/ctrl/relay/exchange.go
@@ -147,8 +147,8 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.renewNeighbours()
-	seed := len(n.neighbours) == 0 || !n.synced && rounds%2 == 0 || rounds%roundsPerSeed == roundsPerSeed-1
-	if seeds := n.Seeds; len(seeds) > 0 && seed {
+	useSeed := len(n.neighbours) == 0 || !n.synced && rounds%2 == 0 || rounds%roundsPerSeed == roundsPerSeed-1
+	if seeds := n.Seeds; len(seeds) > 0 && useSeed {
 		// The name of a seed is unknown until it answers.
 		return peers.Member{Address: seeds[n.Rand.IntN(len(seeds))]}, true
 	}
--- a/internal/ctrl/relay/list.go
+++ b/internal/ctrl/relay/list.go
@@ -35,8 +35,8 @@
 		earlier, newly := n.leavingMembers(n.mergeList(list), wasLive, leavingSince)
 		n.notifyLeaving(ctx, newly, true)
 		n.notifyLeaving(ctx, earlier, false)
-		every := max(listPeriod, time.Duration(len(list.Instances)*instanceSize)*listPerByte)
-		sleep(ctx, n.jitter(every))
+		interval := max(listPeriod, time.Duration(len(list.Instances)*instanceSize)*listPerByte)
+		sleep(ctx, n.jitter(interval))
 	}
 }
 
--- a/internal/ctrl/relay/poll.go
+++ b/internal/ctrl/relay/poll.go
@@ -32,11 +32,11 @@
 			// backoff.
 			failures++
 		}
-		every := pollPeriod
+		interval := pollPeriod
 		if n.Store.View().Revision(n.Service) == 0 {
-			every = min(pollPeriod, initialPollPeriod<<min(failures, 4))
+			interval = min(pollPeriod, initialPollPeriod<<min(failures, 4))
 		}
-		if !sleep(ctx, n.jitter(every)) {
+		if !sleep(ctx, n.jitter(interval)) {
 			return
 		}
 	}
--- a/internal/ctrl/relay/take.go
+++ b/internal/ctrl/relay/take.go
@@ -20,11 +20,11 @@
 
 // takePart adds a received piece to its text and offers the text to the store once it is complete.
 func (n *Node) takePart(p *wire.Part, link netip.AddrPort) partResult {
-	text, whole, ok := n.joinPart(p)
+	text, complete, ok := n.joinPart(p)
 	switch {
 	case !ok:
 		return partIgnored
-	case !whole:
+	case !complete:
 		return partProgress
 	}
 	before := digest.Know(n.Store.View(), p.GetName())
@@ -43,7 +43,7 @@
 }
 
 // joinPart appends a piece to its text.
-func (n *Node) joinPart(p *wire.Part) (text []byte, whole, ok bool) {
+func (n *Node) joinPart(p *wire.Part) (text []byte, complete, ok bool) {
 	if p.GetSize() > store.MaxText || p.GetOffset()+uint64(len(p.GetData())) > p.GetSize() {
 		countRefused("part")
 		return nil, false, false
--- a/internal/ctrl/relay/tell.go
+++ b/internal/ctrl/relay/tell.go
@@ -36,21 +36,21 @@
 	before := n.Store.View()
 	for ctx.Err() == nil {
 		changed := n.Store.Changed()
-		now := n.Store.View()
-		items := changedItems(before, now)
+		after := n.Store.View()
+		items := changedItems(before, after)
 		n.recordRecent(items)
 		for _, m := range n.pickTargets(len(items)) {
 			n.send(ctx, &running, slots, m, items)
 		}
 		for _, i := range items {
-			for _, agent := range n.agentsToNotify(i, before, now) {
+			for _, agent := range n.agentsToNotify(i, before, after) {
 				if limiter.Wait(ctx) != nil {
 					return
 				}
 				n.send(ctx, &running, slots, peers.Member{Address: agent}, []digest.Item{i})
 			}
 		}
-		before = now
+		before = after
 		select {
 		case <-changed:
 		case <-ctx.Done():
@@ -111,19 +111,19 @@
 }
 
 // changedItems returns the documents that differ between two snapshots.
-func changedItems(before, now *store.View) []digest.Item {
+func changedItems(before, after *store.View) []digest.Item {
 	var items []digest.Item
-	if before == now {
+	if before == after {
 		return nil
 	}
-	for name, e := range now.Entries {
+	for name, e := range after.Entries {
 		if before.Entries[name] != e {
-			items = append(items, digest.Know(now, name))
+			items = append(items, digest.Know(after, name))
 		}
 	}
-	for name, f := range now.Faults {
-		if before.Faults[name] != f && before.Entries[name] == now.Entries[name] {
-			items = append(items, digest.Know(now, name))
+	for name, f := range after.Faults {
+		if before.Faults[name] != f && before.Entries[name] == after.Entries[name] {
+			items = append(items, digest.Know(after, name))
 		}
 	}
 	return items
@@ -147,7 +147,7 @@
 
 // agentsToNotify returns the agents that this entry has to notify of a change: those of the new document
 // and those that only the previous document has. It returns nil if other entries are responsible.
-func (n *Node) agentsToNotify(i digest.Item, before, now *store.View) []netip.AddrPort {
+func (n *Node) agentsToNotify(i digest.Item, before, after *store.View) []netip.AddrPort {
 	n.mu.Lock()
 	chosen := duty.Contacts(i.Name, n.table.Live(peers.Entries), contactsPerService)
 	n.mu.Unlock()
@@ -159,7 +159,7 @@
 		return nil
 	}
 	var links []netip.AddrPort
-	for _, v := range []*store.View{before, now} {
+	for _, v := range []*store.View{before, after} {
 		if e := v.Entries[i.Name]; e != nil {
 			for _, s := range e.Service.Servers {
 				links = append(links, s.Agent)
