--- a/internal/ctrl/follow/spread.go
+++ b/internal/ctrl/follow/spread.go
@@ -109,7 +109,7 @@
 	if err != nil || len(text) > newsSize {
 		return nil
 	}
-	m := msgs.News{Change: text}
+	m := msgs.Update{Change: text}
 	m.Revision = c.To
 	return m.AppendTo(nil)
 }
