--- a/internal/ctrl/belief/belief_test.go
+++ b/internal/ctrl/belief/belief_test.go
@@ -36,71 +36,72 @@
 	return Item{Key: "evacuate zg-a", Revision: revision, Evacuated: "zg-a"}
 }
 
-func known(t *testing.T) *Log {
+func newTestLog(t *testing.T) *Log {
 	t.Helper()
 	l := New()
-	assert.Equal(t, l.Apply(now, Change{To: 5, Full: true, Items: []Item{config(7, 1), server(1, 2, Ready), server(2, 3, Ready)}}), News)
+	assert.Equal(t, l.Apply(now, Change{To: 5, Full: true, Items: []Item{config(7, 1), server(1, 2, Ready), server(2, 3, Ready)}}), Updated)
 	return l
 }
 
 func TestViewShowsRoutesAndServers(t *testing.T) {
-	v := known(t).View()
+	v := newTestLog(t).View()
 	assert.Equal(t, v.Version(), int64(7))
 	assert.Equal(t, len(v.Servers("tracing-core")), 2)
 	assert.Assert(t, v.Allows(netip.MustParseAddrPort("198.18.0.1:443"), "tracing-core"))
 	assert.Assert(t, !v.Allows(netip.MustParseAddrPort("198.18.0.1:443"), "doc-intake"))
-	assert.Equal(t, v.Lowest, 2)
+	assert.Equal(t, v.LowestPriority, 2)
 }
 
-// A change is missing between what a process knows and what it hears: it must not act on the later one alone.
+// Guards against applying a change although an earlier one is missing.
 func TestGapIsNotSkipped(t *testing.T) {
-	l := known(t)
-	assert.Equal(t, l.Apply(now, Change{From: 8, To: 9, Items: []Item{config(9, 9)}}), Behind)
+	l := newTestLog(t)
+	assert.Equal(t, l.Apply(now, Change{From: 8, To: 9, Items: []Item{config(9, 9)}}), Gap)
 	assert.Equal(t, l.View().Version(), int64(7))
-	assert.Equal(t, l.Apply(now, Change{From: 4, To: 5}), Old)
+	assert.Equal(t, l.Apply(now, Change{From: 4, To: 5}), Stale)
 }
 
-// A process woken from a pause tells what it knew before. Nobody goes back to it.
-func TestNothingGoesBack(t *testing.T) {
-	l := known(t)
+// Guards against going back to an older belief that a process sends after it was suspended.
+func TestOldChangesAreIgnored(t *testing.T) {
+	l := newTestLog(t)
 	l.Apply(now, Change{From: 5, To: 6, Items: []Item{config(8, 6)}})
 	l.Apply(now, Change{To: 5, Full: true, Items: []Item{config(7, 1)}})
 	assert.Equal(t, l.View().Version(), int64(8))
-	assert.Equal(t, l.Apply(now, Change{From: 6, To: 10, Items: []Item{config(7, 10)}}), News)
+	assert.Equal(t, l.Apply(now, Change{From: 6, To: 10, Items: []Item{config(7, 10)}}), Updated)
 	assert.Equal(t, l.View().Version(), int64(8), "a lower version written later")
 }
 
-// The configuration can't be read: a broken write, or a newer format. The last good one stays in force.
+// Guards against losing the valid configuration when a malformed one, or one in a newer format, is written.
 func TestUnreadableConfigurationChangesNothing(t *testing.T) {
-	l := known(t)
+	l := newTestLog(t)
 	broken := Item{Key: "config", Revision: 6}
 	assert.Assert(t, broken.Unreadable())
 	l.Apply(now, Change{From: 5, To: 6, Items: []Item{broken}})
 	assert.Equal(t, l.View().Version(), int64(7))
 }
 
-// Servers' entries lapse while the platform is away although the servers live, and come back within two seconds of
-// its return. Taken out at once, every server of a service would be gone for that time.
-func TestLapsedServerStaysForAWhile(t *testing.T) {
-	l := known(t)
+// Guards against removing all servers of a service at once. Their records expire while the platform is unavailable
+// although the servers run, and are written again within two seconds of its recovery.
+func TestExpiredServerStaysForAbsenceGrace(t *testing.T) {
+	l := newTestLog(t)
 	l.Apply(now, Change{From: 5, To: 6, Items: []Item{{Key: "s1", Revision: 6, Gone: true}}})
 	assert.Equal(t, len(l.View().Servers("tracing-core")), 2)
-	assert.Assert(t, !l.Tick(now.Add(absence)))
-	assert.Assert(t, l.Tick(now.Add(absence+time.Millisecond)))
+	assert.Assert(t, !l.Tick(now.Add(absenceGrace)))
+	assert.Assert(t, l.Tick(now.Add(absenceGrace+time.Millisecond)))
 	assert.Equal(t, len(l.View().Servers("tracing-core")), 1)
 }
 
-// A server that was draining and is gone has left: nothing of it stays.
-func TestDrainedServerGoesAtOnce(t *testing.T) {
-	l := known(t)
+// Guards against keeping a server whose record was removed while it was draining.
+func TestDrainedServerIsRemovedAtOnce(t *testing.T) {
+	l := newTestLog(t)
 	l.Apply(now, Change{From: 5, To: 7, Items: []Item{server(1, 6, Draining)}})
 	l.Apply(now, Change{From: 7, To: 8, Items: []Item{{Key: "s1", Revision: 8, Gone: true}}})
 	assert.Equal(t, len(l.View().Servers("tracing-core")), 1)
 }
 
-// A crashed server's address is used again before its entry has lapsed.
+// Guards against using the record of a crashed server whose address was assigned to another server before the
+// record expired.
 func TestNewestServerOfAnAddressCounts(t *testing.T) {
-	l := known(t)
+	l := newTestLog(t)
 	reused := server(9, 6, Ready)
 	reused.Server.Addr = netip.MustParseAddrPort("10.0.1.1:9090")
 	reused.Server.Service = "doc-intake"
@@ -111,18 +112,19 @@
 	assert.Equal(t, len(l.View().Servers("tracing-core")), 1)
 }
 
-// The platform has dropped its history, so a listing tells what is there and not what went.
+// Guards against keeping items that a full listing lacks, and against sending peers a partial change that can't
+// name these removals. The platform lists everything when it has discarded its history.
 func TestListingRemovesWhatItLacks(t *testing.T) {
-	l := known(t)
+	l := newTestLog(t)
 	l.Apply(now, Change{To: 9, Full: true, Items: []Item{config(7, 1), server(2, 3, Ready)}})
-	l.Tick(now.Add(absence + time.Millisecond))
+	l.Tick(now.Add(absenceGrace + time.Millisecond))
 	assert.Equal(t, len(l.View().Servers("tracing-core")), 1)
 	c := l.Since(5)
-	assert.Assert(t, c.Full, "a peer that is further behind would never learn what went")
+	assert.Assert(t, c.Full, "a peer that is further behind would not receive the removals")
 }
 
-// One process reads the platform; the others get changes of any others, lost, doubled, in any order. Whoever
-// then asks somebody who knows more knows the same.
+// Guards against beliefs that diverge: one process reads the platform, and the others receive changes from any
+// process, some lost, some duplicated, in any order. After a fetch from the reader, all beliefs are equal.
 func TestProcessesAgree(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		reader := New()
@@ -133,7 +135,7 @@
 			switch rapid.IntRange(0, 3).Draw(r, "step") {
 			case 0:
 				revision++
-				reader.Apply(now, Change{From: revision - 1, To: revision, Items: []Item{draw(r, revision)}})
+				reader.Apply(now, Change{From: revision - 1, To: revision, Items: []Item{drawItem(r, revision)}})
 			default:
 				from := append(others, reader)[rapid.IntRange(0, 2).Draw(r, "from")]
 				to := others[rapid.IntRange(0, 1).Draw(r, "to")]
@@ -145,12 +147,12 @@
 		for _, o := range others {
 			o.Apply(now, reader.Since(o.Revision()))
 			assert.Equal(r, o.Revision(), reader.Revision())
-			assert.DeepEqual(r, shown(o), shown(reader))
+			assert.DeepEqual(r, summary(o), summary(reader))
 		}
 	})
 }
 
-func draw(r *rapid.T, revision order.Revision) Item {
+func drawItem(r *rapid.T, revision order.Revision) Item {
 	n := rapid.IntRange(0, 4).Draw(r, "item")
 	switch {
 	case n == 0:
@@ -164,8 +166,8 @@
 	}
 }
 
-// shown is what a log shows once all waiting is over.
-func shown(l *Log) (text []string) {
+// summary lists the content of a log's view after all retention times are over.
+func summary(l *Log) (text []string) {
 	l.Tick(now.Add(time.Hour))
 	v := l.View()
 	text = append(text, fmt.Sprint("version ", v.Version()), fmt.Sprint("evacuated ", v.EvacuatedDomains()))
@@ -176,30 +178,30 @@
 	return text
 }
 
-// Guards against an old belief that evacuates a domain once more, or takes it back.
+// Guards against an outdated belief that evacuates a domain again, or revokes an evacuation.
 func TestEvacuationsFollowTheirRevisions(t *testing.T) {
-	l := known(t)
+	l := newTestLog(t)
 	assert.Assert(t, !l.View().Evacuated("zg-a"))
 	ordered := Change{From: 5, To: 6, Items: []Item{evacuation(6, false)}}
 	l.Apply(now, ordered)
 	assert.Assert(t, l.View().Evacuated("zg-a") && !l.View().Evacuated("zg-b"))
 
-	asleep := New()
-	asleep.Apply(now, l.Since(0))
+	outdated := New()
+	outdated.Apply(now, l.Since(0))
 	l.Apply(now, Change{From: 6, To: 7, Items: []Item{evacuation(7, true)}})
-	assert.Equal(t, l.Apply(now, asleep.Since(0)), Old)
-	assert.Assert(t, !l.View().Evacuated("zg-a"), "an old belief brought the order back")
+	assert.Equal(t, l.Apply(now, outdated.Since(0)), Stale)
+	assert.Assert(t, !l.View().Evacuated("zg-a"), "an outdated belief restored the evacuation")
 
 	again := Change{From: 7, To: 8, Items: []Item{evacuation(8, false)}}
-	assert.Equal(t, asleep.Apply(now, again), Behind)
+	assert.Equal(t, outdated.Apply(now, again), Gap)
 	l.Apply(now, again)
-	asleep.Apply(now, l.Since(asleep.Revision()))
-	assert.Assert(t, asleep.View().Evacuated("zg-a"))
+	outdated.Apply(now, l.Since(outdated.Revision()))
+	assert.Assert(t, outdated.View().Evacuated("zg-a"))
 }
 
-// Guards against an evacuation that stays although a listing of everything lacks it.
-func TestListingTakesAnEvacuationBack(t *testing.T) {
-	l := known(t)
+// Guards against an evacuation that stays in force although a full listing lacks it.
+func TestListingRevokesAnEvacuation(t *testing.T) {
+	l := newTestLog(t)
 	l.Apply(now, Change{From: 5, To: 6, Items: []Item{evacuation(6, false)}})
 	l.Apply(now, Change{To: 9, Full: true, Items: []Item{config(7, 1), server(2, 3, Ready)}})
 	assert.Assert(t, !l.View().Evacuated("zg-a"))
--- a/internal/ctrl/belief/copies.go
+++ b/internal/ctrl/belief/copies.go
@@ -5,36 +5,40 @@
 	"time"
 )
 
-// The platform's store may be brought back from a copy some seconds old, in the next era. A listing of that era replaces the belief, whatever the numbers
-// of revisions. What the operator and the servers wrote since the copy was made is missing from it until they write it again, so
-// it doesn't undo what has an order of its own:
+// The platform's store may be restored from a backup copy that is some seconds old, which starts the
+// next era. A listing of the new era replaces the belief, whatever the numbers of its revisions. It
+// lacks what the operator and the servers wrote after the copy was made, until they write it again.
+// A restore therefore doesn't undo changes that have an order of their own:
 //
-//   - A configuration is replaced by a higher version only.
-//   - A server's entry is replaced by a later one of its own writings, and a server that said that it leaves, and left, stays gone.
+//   - A configuration is only replaced by a higher version.
+//   - A server's record is only replaced by a later record of the same server, and a server that was
+//     removed while draining stays removed.
 //
-// What has no such order follows the copy: servers that are missing stay for a moment, as after any lapse, and an evacuation that is missing
-// may have been taken back while the store was away, so that callers would be refused for it.
+// All other items follow the restored store. Servers that it lacks stay for absenceGrace, as after
+// any expiry. An evacuation that it lacks is removed: it may have been revoked while the store was
+// down, and callers would be refused for an evacuation that is no longer in force.
 
-// leftKept is how long a server that has left is remembered: longer than any copy is old.
-const leftKept = time.Minute
+// departedTTL is how long a server that was removed while draining is remembered. No copy from which
+// the store is restored is that old.
+const departedTTL = time.Minute
 
-// compareWritings orders what the server of an entry wrote: by its start, then by its writings since.
-func compareWritings(a, b *Server) int {
+// compareWrites orders the records that one server wrote: by its start, then by its sequence number.
+func compareWrites(a, b *Server) int {
 	return cmp.Or(cmp.Compare(a.Born, b.Born), cmp.Compare(a.Seq, b.Seq))
 }
 
-// outlast makes an item of a later era hold what the era can't undo. It returns false if the item is of a server that has
-// left. l.mu is held.
-func (l *Log) outlast(before Item, i *Item) bool {
-	known, left := before, false
-	if d, ok := l.left[i.Key]; ok && before.Server == nil {
-		known, left = d.Item, d.deleted
+// mergeAcrossEras changes an item of a later era so that it keeps what a restore must not undo. It
+// returns false if the item is the record of a server that has left. l.mu is held.
+func (l *Log) mergeAcrossEras(before Item, i *Item) bool {
+	known, hasLeft := before, false
+	if d, ok := l.departed[i.Key]; ok && before.Server == nil {
+		known, hasLeft = d.Item, d.deletedByPlatform
 	}
 	if i.Server == nil || known.Server == nil || i.Revision.Era() == known.Revision.Era() {
 		return true
 	}
-	age := compareWritings(i.Server, known.Server)
-	if left {
+	age := compareWrites(i.Server, known.Server)
+	if hasLeft {
 		return age > 0
 	}
 	if age < 0 {
@@ -45,34 +49,34 @@
 	return true
 }
 
-// departure is what an item held that is gone.
-type departure struct {
+// removedItem is the last content of an item that was removed, with the revision of its removal.
+type removedItem struct {
 	Item
-	deleted bool      // by the platform; it may just be missing from a copy
-	until   time.Time // when it is forgotten
+	deletedByPlatform bool      // false: it may just be missing from a restored copy
+	expires           time.Time // end of its retention
 }
 
-// depart remembers what an item held that is gone as of another one. l.mu is held.
-func (l *Log) depart(now time.Time, was Item, gone Item) {
-	d := departure{Item: was, deleted: was.Revision.Era() == gone.Revision.Era()}
-	d.Revision = gone.Revision
+// recordRemoval keeps what an item held before its removal, if it was a server. l.mu is held.
+func (l *Log) recordRemoval(now time.Time, before Item, removal Item) {
+	d := removedItem{Item: before, deletedByPlatform: before.Revision.Era() == removal.Revision.Era()}
+	d.Revision = removal.Revision
 	switch {
-	case was.Server != nil && was.Server.State == Ready:
-		d.until = now.Add(absence)
-		l.absent[gone.Key] = d
-	case was.Server != nil && was.Server.State == Draining:
-		d.until = now.Add(leftKept)
-		l.left[gone.Key] = d
+	case before.Server != nil && before.Server.State == Ready:
+		d.expires = now.Add(absenceGrace)
+		l.absent[removal.Key] = d
+	case before.Server != nil && before.Server.State == Draining:
+		d.expires = now.Add(departedTTL)
+		l.departed[removal.Key] = d
 	}
 }
 
-// forget deletes the departures whose time is over, and says whether there were any.
-func forget(now time.Time, departures map[string]departure) (ended bool) {
-	for key, d := range departures {
-		if now.After(d.until) {
-			delete(departures, key)
-			ended = true
+// expire deletes the items whose retention time is over, and reports whether there were any.
+func expire(now time.Time, items map[string]removedItem) (expired bool) {
+	for key, d := range items {
+		if now.After(d.expires) {
+			delete(items, key)
+			expired = true
 		}
 	}
-	return ended
+	return expired
 }
--- a/internal/ctrl/belief/view.go
+++ b/internal/ctrl/belief/view.go
@@ -11,45 +11,45 @@
 	"mangowinch/internal/flow/order"
 )
 
-// View is an immutable snapshot of a belief, indexed for the path of a packet.
+// View is an immutable snapshot of a belief, indexed for lookups per packet.
 type View struct {
-	Revision order.Revision
-	Config   *Config // nil: none known yet
-	Homes    *homes.List
-	Lowest   int // the lowest priority of a route, which is the highest number
-	routes   map[netip.AddrPort]*Route
-	services map[string][]Server
-	agents   map[netip.Addr]Server
-	emptied  []string // failure domains that are evacuated, in order
+	Revision       order.Revision
+	Config         *Config // nil before the first one is received
+	Homes          *homes.List
+	LowestPriority int // lowest priority of all routes, which is the highest number
+	routes         map[netip.AddrPort]*Route
+	services       map[string][]Server
+	agents         map[netip.Addr]Server
+	evacuated      []string // evacuated failure domains, sorted
 }
 
-// content is what a view is made of.
-type content struct {
+// viewData is the input from which newView builds a View.
+type viewData struct {
 	Revision  order.Revision
 	Config    *Config
 	Servers   []Server
 	Evacuated []string
 }
 
-func newView(c content) *View {
+func newView(c viewData) *View {
 	slices.Sort(c.Evacuated)
 	v := &View{
-		Revision: c.Revision,
-		Config:   c.Config,
-		emptied:  c.Evacuated,
-		routes:   map[netip.AddrPort]*Route{},
-		services: map[string][]Server{},
-		agents:   map[netip.Addr]Server{},
+		Revision:  c.Revision,
+		Config:    c.Config,
+		evacuated: c.Evacuated,
+		routes:    map[netip.AddrPort]*Route{},
+		services:  map[string][]Server{},
+		agents:    map[netip.Addr]Server{},
 	}
 	if c.Config != nil {
 		for i := range c.Config.Routes {
 			r := &c.Config.Routes[i]
 			v.routes[r.Called] = r
-			v.Lowest = max(v.Lowest, r.Priority)
+			v.LowestPriority = max(v.LowestPriority, r.Priority)
 		}
 	}
-	// A server that starts at the address of one whose entry has not lapsed yet is
-	// the one that is there now.
+	// If several servers have the same address, the latest one counts: the others were replaced, and
+	// their records have not expired yet.
 	slices.SortFunc(c.Servers, func(a, b Server) int { return cmp.Or(cmp.Compare(b.Born, a.Born), cmp.Compare(b.Created, a.Created)) })
 	var addresses []netip.Addr
 	for _, s := range c.Servers {
@@ -64,28 +64,29 @@
 	return v
 }
 
-// Route returns the route of an address that callers call, or nil.
+// Route returns the route of a called address, or nil.
 func (v *View) Route(called netip.AddrPort) *Route { return v.routes[called] }
 
-// Servers returns a service's servers. The caller doesn't change it.
+// Servers returns a service's servers. The result must not be modified.
 func (v *View) Servers(service string) []Server { return v.services[service] }
 
-// Server returns the server beside the agent with an address.
+// Server returns the server of the agent with an address.
 func (v *View) Server(agent netip.Addr) (s Server, ok bool) {
 	s, ok = v.agents[agent]
 	return s, ok
 }
 
-// Evacuated says whether the servers of a failure domain get no new flows by the operator's order.
+// Evacuated reports whether the operator has evacuated a failure domain, so that its servers get no
+// new flows.
 func (v *View) Evacuated(domain string) bool {
-	_, found := slices.BinarySearch(v.emptied, domain)
+	_, found := slices.BinarySearch(v.evacuated, domain)
 	return found
 }
 
-// EvacuatedDomains returns the failure domains that are evacuated, in order. The caller doesn't change the list.
-func (v *View) EvacuatedDomains() []string { return v.emptied }
+// EvacuatedDomains returns the evacuated failure domains, sorted. The result must not be modified.
+func (v *View) EvacuatedDomains() []string { return v.evacuated }
 
-// AgentsIn is the number of agents beside servers of a failure domain; 0 for a domain that nobody knows.
+// AgentsIn returns the number of agents in a failure domain, 0 for an unknown domain.
 func (v *View) AgentsIn(domain string) (count int) {
 	for _, s := range v.agents {
 		if s.Domain == domain {
@@ -95,7 +96,7 @@
 	return count
 }
 
-// Version is the configuration's version, or 0.
+// Version returns the version of the configuration, 0 if there is none.
 func (v *View) Version() int64 {
 	if v.Config == nil {
 		return 0
@@ -103,13 +104,13 @@
 	return v.Config.Version
 }
 
-// Allows says whether the route of an address sends flows to a service.
+// Allows reports whether the route of a called address sends flows to a service.
 func (v *View) Allows(called netip.AddrPort, service string) bool {
 	r := v.routes[called]
 	return r != nil && slices.ContainsFunc(r.Shares, func(s Share) bool { return s.Service == service && s.Weight > 0 })
 }
 
-// WarmUp is what a service states of its cold servers; its rate is 0 if nothing is stated.
+// WarmUp returns the warm-up settings of a service; the zero value if it has none.
 func (v *View) WarmUp(service string) WarmUp {
 	if v.Config == nil {
 		return WarmUp{}
@@ -121,8 +122,9 @@
 	return v.Config.WarmUps[i]
 }
 
-// Hash names a service in messages.
-func Hash(service string) uint32 { return uint32(xxhash.Sum64String(service)) }
+// ServiceHash returns the hash that identifies a service in messages.
+func ServiceHash(service string) uint32 { return uint32(xxhash.Sum64String(service)) }
 
-// DomainHash names a failure domain in messages, for preferences only: two domains may have the same.
-func DomainHash(domain string) uint8 { return uint8(Hash(domain)) }
+// DomainHash returns the hash that stands for a failure domain in messages. Two domains may have the
+// same hash, so it is only used for preferences.
+func DomainHash(domain string) uint8 { return uint8(ServiceHash(domain)) }
--- a/internal/ctrl/budget/budget.go
+++ b/internal/ctrl/budget/budget.go
@@ -52,16 +52,16 @@
 	maxWait   = 500 * time.Millisecond // longer and the asker does better with another peer
 )
 
-// segment is what TCP and IP add to each write and read: a header of 52 bytes
+// segmentOverhead is what TCP and IP add to each write and read: a header of 52 bytes
 // and, on the other way, an acknowledgement shared by two segments.
-const segment = 52 + 26
+const segmentOverhead = 52 + 26
 
 var (
-	overBytes  = metrics.GetOrCreateCounter(`mangowinch_control_over_total{budget="bytes"}`)
-	overCPU    = metrics.GetOrCreateCounter(`mangowinch_control_over_total{budget="cpu"}`)
-	overMemory = metrics.GetOrCreateCounter(`mangowinch_control_over_total{budget="memory"}`)
-	heldTotal  = metrics.GetOrCreateCounter(`mangowinch_control_texts_total{result="held"}`)
-	busyTotal  = metrics.GetOrCreateCounter(`mangowinch_control_texts_total{result="busy"}`)
+	overBytes    = metrics.GetOrCreateCounter(`mangowinch_control_over_total{budget="bytes"}`)
+	overCPU      = metrics.GetOrCreateCounter(`mangowinch_control_over_total{budget="cpu"}`)
+	overMemory   = metrics.GetOrCreateCounter(`mangowinch_control_over_total{budget="memory"}`)
+	delayedTexts = metrics.GetOrCreateCounter(`mangowinch_control_texts_total{result="held"}`)
+	refusedTexts = metrics.GetOrCreateCounter(`mangowinch_control_texts_total{result="busy"}`)
 )
 
 // Usage is what control spent lately.
@@ -80,8 +80,8 @@
 	cpu   int64
 }
 
-// window is how many samples a mean spans, one a second.
-const window = 60
+// windowSamples is how many samples a mean spans, one a second.
+const windowSamples = 60
 
 // Meter measures one process. Its methods may be called from any goroutine.
 type Meter struct {
@@ -98,14 +98,14 @@
 	return &Meter{limiter: rate.NewLimiter(textRate, textBurst)}
 }
 
-// Spend waits until n bytes of text may be sent or received. It returns false
+// Acquire waits until n bytes of text may be sent or received. It returns false
 // at once when that would take more than half a second, or when ctx ends.
-func (m *Meter) Spend(ctx context.Context, n int) bool {
+func (m *Meter) Acquire(ctx context.Context, n int) bool {
 	r := m.limiter.ReserveN(time.Now(), min(n, textBurst))
 	d := r.Delay()
 	if d > maxWait {
 		r.Cancel()
-		busyTotal.Inc()
+		refusedTexts.Inc()
 		return false
 	}
 	return wait(ctx, d)
@@ -121,7 +121,7 @@
 	if d <= 0 {
 		return true
 	}
-	heldTotal.Inc()
+	delayedTexts.Inc()
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -132,19 +132,19 @@
 	}
 }
 
-// Room returns how many bytes of text may pass at once.
-func (m *Meter) Room() int { return int(m.limiter.Tokens()) }
+// Available returns how many bytes of text may pass at once.
+func (m *Meter) Available() int { return int(m.limiter.Tokens()) }
 
-// Work runs f and counts its processor time.
-func (m *Meter) Work(f func()) {
+// TimeCPU runs f and counts its processor time.
+func (m *Meter) TimeCPU(f func()) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	start := threadTime()
-	defer func() { m.cpu.Add(threadTime() - start) }()
+	start := threadCPUTime()
+	defer func() { m.cpu.Add(threadCPUTime() - start) }()
 	f()
 }
 
-func threadTime() int64 {
+func threadCPUTime() int64 {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t) != nil {
 		return 0
@@ -156,7 +156,7 @@
 func (m *Meter) Sample(now time.Time) {
 	m.mu.Lock()
 	m.samples = append(m.samples, sample{now, m.sent.Load() + m.received.Load(), m.cpu.Load()})
-	m.samples = m.samples[max(0, len(m.samples)-window):]
+	m.samples = m.samples[max(0, len(m.samples)-windowSamples):]
 	m.mu.Unlock()
 	u := m.Usage(now)
 	for _, n := range u.Over {
@@ -173,13 +173,13 @@
 
 // Usage returns what was spent up to the last samples.
 func (m *Meter) Usage(now time.Time) Usage {
-	u := Usage{Sent: m.sent.Load(), Received: m.received.Load(), Memory: memory()}
+	u := Usage{Sent: m.sent.Load(), Received: m.received.Load(), Memory: processMemory()}
 	m.mu.Lock()
 	if len(m.samples) > 0 {
 		first := m.samples[0]
 		// Never over less than the window, else a process would be over its budget for
 		// the texts that it gets at its start.
-		span := max(now.Sub(first.at), window*time.Second).Seconds()
+		span := max(now.Sub(first.at), windowSamples*time.Second).Seconds()
 		u.BytesPerSecond = float64(u.Sent+u.Received-first.bytes) / span
 		u.CPUShare = float64(m.cpu.Load()-first.cpu) / 1e9 / span
 	}
@@ -196,17 +196,17 @@
 	return u
 }
 
-func memory() uint64 {
+func processMemory() uint64 {
 	s := []runtimemetrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
 	runtimemetrics.Read(s)
 	return s[0].Value.Uint64() - s[1].Value.Uint64()
 }
 
-// Answered counts a call that this process answered. Its connection may be shared
+// CountAnswered counts a call that this process answered. Its connection may be shared
 // with calls that are not control's, so its bytes aren't counted by Conn.
-func (m *Meter) Answered(received, sent int) {
-	m.received.Add(uint64(received) + segment)
-	m.sent.Add(uint64(sent) + segment)
+func (m *Meter) CountAnswered(received, sent int) {
+	m.received.Add(uint64(received) + segmentOverhead)
+	m.sent.Add(uint64(sent) + segmentOverhead)
 }
 
 // Conn counts the bytes that pass a connection which this process opened.
@@ -220,7 +220,7 @@
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.meter.received.Add(uint64(n) + segment)
+		c.meter.received.Add(uint64(n) + segmentOverhead)
 	}
 	return n, err
 }
@@ -228,7 +228,7 @@
 func (c *conn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	if n > 0 {
-		c.meter.sent.Add(uint64(n) + segment)
+		c.meter.sent.Add(uint64(n) + segmentOverhead)
 	}
 	return n, err
 }
--- a/internal/ctrl/fetch/fetch.go
+++ b/internal/ctrl/fetch/fetch.go
@@ -41,8 +41,8 @@
 // Limits of one client.
 const (
 	callsPerSecond = 10               // some 21 watchers at once make 210 of the 2,000
-	callsBurst     = 20               // a small site's documents at once
-	maxBody        = 1<<20 + 4096     // one document, with room for what is no text
+	callBurst      = 20               // a small site's documents at once
+	maxDocument    = 1<<20 + 4096     // one document, with room for what is no text
 	maxList        = 8 << 20          // 8,000 instances at a kilobyte
 	callTimeout    = 5 * time.Second  // it answers in milliseconds; more means that it is in trouble
 	watchTimeout   = 35 * time.Second // it answers a watch after 25 s at the latest
@@ -87,11 +87,11 @@
 
 // Client calls one platform. Its methods may be called from any goroutine.
 type Client struct {
-	base    string
-	http    *http.Client
-	limiter *rate.Limiter
-	contact atomic.Int64 // unix nanoseconds of the last answer
-	calls   atomic.Uint64
+	base        string
+	http        *http.Client
+	limiter     *rate.Limiter
+	lastContact atomic.Int64 // unix nanoseconds of the last answer
+	calls       atomic.Uint64
 }
 
 // New returns a client of the platform at base, a URL such as http://127.0.0.1:8080.
@@ -104,13 +104,13 @@
 	return &Client{
 		base:    base,
 		http:    &http.Client{Transport: transport},
-		limiter: rate.NewLimiter(callsPerSecond, callsBurst),
+		limiter: rate.NewLimiter(callsPerSecond, callBurst),
 	}
 }
 
-// Contact returns when the platform last answered, and the zero time when it never did.
-func (c *Client) Contact() time.Time {
-	n := c.contact.Load()
+// LastContact returns when the platform last answered, and the zero time when it never did.
+func (c *Client) LastContact() time.Time {
+	n := c.lastContact.Load()
 	if n == 0 {
 		return time.Time{}
 	}
@@ -159,7 +159,7 @@
 func (c *Client) Document(ctx context.Context, name string) (document Document, err error) {
 	defer func() { err = errors.Wrapf(err, "document %q", name) }()
 	document.Name = name
-	header, err := c.get(ctx, "document", "/documents/"+url.PathEscape(name), callTimeout, maxBody, &document.Text)
+	header, err := c.get(ctx, "document", "/documents/"+url.PathEscape(name), callTimeout, maxDocument, &document.Text)
 	if err != nil {
 		return document, err
 	}
@@ -177,7 +177,7 @@
 	defer func() {
 		err = errors.Wrapf(err, "platform %s", call)
 		if err != nil {
-			count(call, reason(err))
+			countCall(call, failureReason(err))
 		}
 	}()
 	if err := c.limiter.Wait(ctx); err != nil {
@@ -190,14 +190,14 @@
 		return nil, err
 	}
 	c.calls.Add(1)
-	count(call, "sent")
+	countCall(call, "sent")
 	response, err := c.http.Do(request)
 	if err != nil {
 		return nil, err
 	}
 	defer response.Body.Close()
 	if response.StatusCode == http.StatusNotFound {
-		c.contact.Store(time.Now().UnixNano())
+		c.lastContact.Store(time.Now().UnixNano())
 		return nil, ErrNotFound
 	}
 	if response.StatusCode != http.StatusOK {
@@ -213,21 +213,21 @@
 	if text, ok := out.(*[]byte); ok {
 		*text = body
 	} else if err := json.Unmarshal(body, out); err != nil {
-		return nil, errors.Mark(err, errBroken)
+		return nil, errors.Mark(err, errMalformed)
 	}
-	c.contact.Store(time.Now().UnixNano())
+	c.lastContact.Store(time.Now().UnixNano())
 	return response.Header, nil
 }
 
 // Marks that give each failed call the reason of its counter.
 var (
-	errLimited = errors.New("own rate limit")
-	errStatus  = errors.New("refused")
-	errLarge   = errors.New("too large")
-	errBroken  = errors.New("not JSON")
+	errLimited   = errors.New("own rate limit")
+	errStatus    = errors.New("refused")
+	errLarge     = errors.New("too large")
+	errMalformed = errors.New("not JSON")
 )
 
-func reason(err error) string {
+func failureReason(err error) string {
 	switch {
 	case errors.Is(err, errLimited):
 		return "limited"
@@ -237,7 +237,7 @@
 		return "status"
 	case errors.Is(err, errLarge):
 		return "large"
-	case errors.Is(err, errBroken):
+	case errors.Is(err, errMalformed):
 		return "broken"
 	case errors.Is(err, context.DeadlineExceeded):
 		return "timeout"
@@ -248,6 +248,6 @@
 	}
 }
 
-func count(call, reason string) {
+func countCall(call, reason string) {
 	metrics.GetOrCreateCounter(fmt.Sprintf(`mangowinch_platform_calls_total{call=%q,result=%q}`, call, reason)).Inc()
 }
--- a/internal/ctrl/follow/copy_test.go
+++ b/internal/ctrl/follow/copy_test.go
@@ -21,14 +21,14 @@
 			p.change()
 			time.Sleep(2 * time.Second)
 		}
-		f.hasVersion(t, 7)
+		f.waitForVersion(t, 7)
 		p.set(func() { p.silent = true })
 		time.Sleep(2 * time.Second)
-		p.comeBack(4)
+		p.restore(4)
 		p.set(func() { p.silent = false })
 		time.Sleep(4 * time.Second)
 		for range 4 { // from below the revision known to above it
-			f.hasVersion(t, p.change())
+			f.waitForVersion(t, p.change())
 		}
 	})
 }
@@ -42,7 +42,7 @@
 			p.change()
 			time.Sleep(time.Second)
 		}
-		p.become(func(s state) state { return state{s.at - 3, s.version - 3} }) // and its era doesn't say so
+		p.setState(func(s state) state { return state{s.at - 3, s.version - 3} }) // and its era doesn't say so
 		time.Sleep(10 * time.Second)
 		for a, n := range f.nodes {
 			age, _ := n.Age(time.Now())
@@ -58,10 +58,10 @@
 		f := start(t, 1, func(int) Source { return newPlatform() })
 		n := f.nodes[addr(0)]
 		time.Sleep(time.Second)
-		n.Learn(time.Now(), addr(1), belief.Change{To: order.At(1, 1), Full: true, Items: []belief.Item{state{order.At(1, 1), 2}.item()}})
+		n.HandleChange(time.Now(), addr(1), belief.Change{To: order.At(1, 1), Full: true, Items: []belief.Item{state{order.At(1, 1), 2}.item()}})
 		before, _ := n.Age(time.Now())
 		time.Sleep(5 * time.Millisecond)
-		n.confirmed(time.Now(), belief.Change{From: 1, To: 1})
+		n.handleAnswer(time.Now(), belief.Change{From: 1, To: 1})
 		after, _ := n.Age(time.Now())
 		assert.Equal(t, after, before+5*time.Millisecond)
 		assert.Equal(t, n.Log.View().Version(), int64(2))
--- a/internal/ctrl/follow/encode.go
+++ b/internal/ctrl/follow/encode.go
@@ -15,16 +15,16 @@
 type encoding struct{}
 
 const (
-	// window is how far back compression looks: names and services repeat within a few routes, and a
+	// windowSize is how far back compression looks: names and services repeat within a few routes, and a
 	// small window keeps the memory of each process small.
-	window = 256 << 10
-	// mostDecoded bounds what a message may grow to, in bytes: 60 times the largest configuration seen.
-	mostDecoded = 16 << 20
+	windowSize = 256 << 10
+	// maxDecodedSize bounds what a message may grow to, in bytes: 60 times the largest configuration seen.
+	maxDecodedSize = 16 << 20
 )
 
 var (
-	packer   = must(zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithWindowSize(window), zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true)))
-	unpacker = must(zstd.NewReader(nil, zstd.WithDecoderMaxMemory(mostDecoded), zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true)))
+	encoder = must(zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithWindowSize(windowSize), zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true)))
+	decoder = must(zstd.NewReader(nil, zstd.WithDecoderMaxMemory(maxDecodedSize), zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true)))
 )
 
 // must is for options that are constants: an error is one of this file.
@@ -41,25 +41,25 @@
 	if err != nil {
 		return nil, err
 	}
-	return packer.EncodeAll(text, nil), nil
+	return encoder.EncodeAll(text, nil), nil
 }
 
-// givenBytes counts what peers have fetched from this process.
-var givenBytes = metrics.NewCounter(`mangowinch_given_bytes_total`)
+// servedBytes counts what peers have fetched from this process.
+var servedBytes = metrics.NewCounter(`mangowinch_given_bytes_total`)
 
-// counting is the encoding of answers to peers, whose bytes are counted.
-type counting struct{ encoding }
+// countingEncoding is the encoding of answers to peers, whose bytes are counted.
+type countingEncoding struct{ encoding }
 
 // Marshal encodes an answer.
-func (c counting) Marshal(m drpc.Message) ([]byte, error) {
+func (c countingEncoding) Marshal(m drpc.Message) ([]byte, error) {
 	b, err := c.encoding.Marshal(m)
-	givenBytes.Add(len(b))
+	servedBytes.Add(len(b))
 	return b, err
 }
 
 // Unmarshal decodes a message.
 func (encoding) Unmarshal(b []byte, m drpc.Message) error {
-	text, err := unpacker.DecodeAll(b, nil)
+	text, err := decoder.DecodeAll(b, nil)
 	if err != nil {
 		return err
 	}
--- a/internal/ctrl/follow/encode_test.go
+++ b/internal/ctrl/follow/encode_test.go
@@ -14,8 +14,8 @@
 	"mangowinch/internal/ctrl/belief"
 )
 
-// large is a configuration of many routes, as a change.
-func large(routes int) belief.Change {
+// largeConfig is a configuration of many routes, as a change.
+func largeConfig(routes int) belief.Change {
 	c := &belief.Config{Version: 7, Idle: time.Minute}
 	for i := range routes {
 		c.Routes = append(c.Routes, belief.Route{
@@ -34,7 +34,7 @@
 // again. The small instances' links were full for seconds, and most of what a day sent between failure domains was
 // configurations: peers sent them as plain JSON.
 func TestLargeConfigurationTravelsSmall(t *testing.T) {
-	c := large(1700)
+	c := largeConfig(1700)
 	text, err := json.Marshal(c)
 	assert.NilError(t, err)
 	b, err := encoding{}.Marshal(c)
@@ -49,22 +49,22 @@
 func TestMessageThatGrowsTooFarIsRefused(t *testing.T) {
 	w, err := zstd.NewWriter(nil)
 	assert.NilError(t, err)
-	b := w.EncodeAll([]byte(`{"Items":["`+strings.Repeat("a", mostDecoded+1)+`"]}`), nil)
-	_, err = DecodeNews(b)
+	b := w.EncodeAll([]byte(`{"Items":["`+strings.Repeat("a", maxDecodedSize+1)+`"]}`), nil)
+	_, err = DecodeUpdate(b)
 	assert.ErrorIs(t, err, zstd.ErrDecoderSizeExceeded)
 }
 
 func FuzzNewsIsReadOrRefused(f *testing.F) {
-	b, err := encoding{}.Marshal(large(3))
+	b, err := encoding{}.Marshal(largeConfig(3))
 	assert.NilError(f, err)
 	f.Add(b)
 	f.Add([]byte("{}"))
-	f.Fuzz(func(_ *testing.T, b []byte) { _, _ = DecodeNews(b) })
+	f.Fuzz(func(_ *testing.T, b []byte) { _, _ = DecodeUpdate(b) })
 }
 
 // On an idle core 1.5 ms, of which compression takes 0.5 ms; plain JSON took 1.0 ms and 13 times the bytes.
 func BenchmarkEncodeConfiguration(b *testing.B) {
-	c := large(1700)
+	c := largeConfig(1700)
 	for b.Loop() {
 		out, _ := encoding{}.Marshal(c)
 		b.ReportMetric(float64(len(out)), "B/message")
--- a/internal/ctrl/follow/evacuate.go
+++ b/internal/ctrl/follow/evacuate.go
@@ -11,8 +11,8 @@
 // evacuatedDomains is the number of failure domains whose servers get no new flows.
 var evacuatedDomains = metrics.NewGauge(`mangowinch_evacuated_domains`, nil)
 
-// noteEvacuations writes which failure domains were evacuated or taken back since a view.
-func (n *Node) noteEvacuations(before *belief.View) {
+// logEvacuations writes which failure domains were evacuated or taken back since a view.
+func (n *Node) logEvacuations(before *belief.View) {
 	v := n.Log.View()
 	old, now := before.EvacuatedDomains(), v.EvacuatedDomains()
 	evacuatedDomains.Set(float64(len(now)))
--- a/internal/ctrl/follow/fetch.go
+++ b/internal/ctrl/follow/fetch.go
@@ -21,21 +21,21 @@
 const (
 	// method is the one call between processes.
 	method = "/follow/Since"
-	// fetchTime bounds a fetch from a peer; a peer that needs longer is slow or gone, and another tells.
-	fetchTime = 600 * time.Millisecond
+	// fetchTimeout bounds a fetch from a peer; a peer that needs longer is slow or gone, and another tells.
+	fetchTimeout = 600 * time.Millisecond
 	// fetchPause spaces fetches, so that a row of changes is fetched together.
 	fetchPause = 20 * time.Millisecond
-	// nearPause is how long a process waits for news under way before it fetches a change: within a failure domain they
+	// nearDelay is how long a process waits for news under way before it fetches a change: within a failure domain they
 	// take a few milliseconds. farPause is how long it leaves that to its domain before it asks a peer of another one.
-	nearPause = 20 * time.Millisecond
-	farPause  = 100 * time.Millisecond
-	// mostGiven is how many peers a process gives changes to at a time. After a restart of all, the first to know
+	nearDelay = 20 * time.Millisecond
+	farDelay  = 100 * time.Millisecond
+	// maxServed is how many peers a process gives changes to at a time. After a restart of all, the first to know
 	// anything was asked by hundreds at once, and none of them got an answer in time.
-	mostGiven = 16
+	maxServed = 16
 )
 
-// since asks for what is newer than a revision.
-type since struct{ Revision order.Revision }
+// sinceRequest asks for what is newer than a revision.
+type sinceRequest struct{ Revision order.Revision }
 
 // Dial is the Fetch of a Config: it calls a peer that runs Serve at the given port.
 func Dial(port uint16) func(ctx context.Context, peer netip.Addr, revision order.Revision) (belief.Change, error) {
@@ -48,19 +48,19 @@
 		}
 		call := drpcconn.New(conn)
 		defer func() { err = errors.CombineErrors(err, call.Close()) }()
-		err = call.Invoke(ctx, method, encoding{}, &since{Revision: revision}, &c)
+		err = call.Invoke(ctx, method, encoding{}, &sinceRequest{Revision: revision}, &c)
 		return c, err
 	}
 }
 
 // Serve answers peers' fetches until ctx ends.
 func Serve(ctx context.Context, l net.Listener, log *belief.Log) error {
-	return drpcserver.New(handler{log, make(chan struct{}, mostGiven)}).Serve(ctx, l)
+	return drpcserver.New(handler{log, make(chan struct{}, maxServed)}).Serve(ctx, l)
 }
 
 type handler struct {
-	log   *belief.Log
-	given chan struct{} // holds one for each fetch under way
+	log      *belief.Log
+	inFlight chan struct{} // holds one for each fetch under way
 }
 
 // errBusy says that enough peers are being given changes. Others know them too by the time that this one is asked again.
@@ -71,61 +71,61 @@
 	if rpc != method {
 		return errors.Newf("unknown call %q", rpc)
 	}
-	var in since
+	var in sinceRequest
 	if err := s.MsgRecv(&in, encoding{}); err != nil {
 		return err
 	}
 	select {
-	case h.given <- struct{}{}:
-		defer func() { <-h.given }()
+	case h.inFlight <- struct{}{}:
+		defer func() { <-h.inFlight }()
 	default:
 		return errBusy
 	}
 	out := h.log.Since(in.Revision)
-	return s.MsgSend(&out, counting{})
+	return s.MsgSend(&out, countingEncoding{})
 }
 
-// ahead is a peer that knows more than this process.
-type ahead struct {
-	peer     netip.Addr
-	revision order.Revision // 0: nobody
-	asOf     time.Time      // its belief is known to be complete as of then; zero: not known
-	near     bool           // it is in this process's failure domain
-	of       int            // peers among which it was drawn
+// fetchPeer is a peer that knows more than this process.
+type fetchPeer struct {
+	addr       netip.Addr
+	revision   order.Revision // 0: nobody
+	asOf       time.Time      // its belief is known to be complete as of then; zero: not known
+	sameDomain bool           // it is in this process's failure domain
+	candidates int            // peers among which it was drawn
 }
 
-// Noticed says that a peer is complete up to a revision, as every message tells.
-func (n *Node) Noticed(from netip.Addr, revision order.Revision) {
-	n.noticed(ahead{peer: from, revision: revision})
+// ObserveRevision says that a peer is complete up to a revision, as every message tells.
+func (n *Node) ObserveRevision(from netip.Addr, revision order.Revision) {
+	n.observe(fetchPeer{addr: from, revision: revision})
 }
 
-// noticed takes a peer into account that may be ahead.
-func (n *Node) noticed(a ahead) {
+// observe takes a peer into account that may be ahead.
+func (n *Node) observe(a fetchPeer) {
 	known := n.Log.Revision()
 	if a.revision <= known {
 		return
 	}
 	n.mu.Lock()
-	if known == 0 && n.offered.IsZero() {
-		n.offered = time.Now()
+	if known == 0 && n.firstOffer.IsZero() {
+		n.firstOffer = time.Now()
 	}
-	a.near = n.near(a.peer)
-	n.ahead.consider(a)
+	a.sameDomain = n.sameDomain(a.addr)
+	n.fetchFrom.consider(a)
 	n.mu.Unlock()
-	wake(n.behind)
+	wake(n.startFetching)
 }
 
 // consider takes a peer that is ahead into account: near ones go before others, and of equals one is drawn. The first to be
 // heard are the same for all when all start at once, and would have to give everything to everybody.
-func (a *ahead) consider(other ahead) {
+func (a *fetchPeer) consider(other fetchPeer) {
 	switch {
-	case a.revision == 0 || other.near && !a.near:
+	case a.revision == 0 || other.sameDomain && !a.sameDomain:
 		*a = other
-		a.of = 1
-	case other.near == a.near:
-		a.of++
-		if rand.IntN(a.of) == 0 {
-			other.of = a.of
+		a.candidates = 1
+	case other.sameDomain == a.sameDomain:
+		a.candidates++
+		if rand.IntN(a.candidates) == 0 {
+			other.candidates = a.candidates
 			*a = other
 		}
 	}
@@ -137,9 +137,9 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.behind:
-			sleep(ctx, n.pause())
-			if from, ok := n.takeAhead(); ok {
+		case <-n.startFetching:
+			sleep(ctx, n.fetchDelay())
+			if from, ok := n.takeFetchPeer(); ok {
 				n.fetch(ctx, from)
 				sleep(ctx, fetchPause)
 			}
@@ -147,46 +147,46 @@
 	}
 }
 
-// pause is how long news are waited for. An entry that knows nothing waits for nobody; an agent carries packets without
+// fetchDelay is how long news are waited for. An entry that knows nothing waits for nobody; an agent carries packets without
 // knowing anything, and hears of more peers to choose from meanwhile.
-func (n *Node) pause() time.Duration {
+func (n *Node) fetchDelay() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	switch {
 	case n.Log.Revision() == 0 && n.Role == msgs.Entry:
 		return 0
-	case n.ahead.near || n.Log.Revision() == 0:
-		return nearPause
+	case n.fetchFrom.sameDomain || n.Log.Revision() == 0:
+		return nearDelay
 	default:
-		return farPause
+		return farDelay
 	}
 }
 
-// takeAhead returns whom to ask, if anybody still knows more.
-func (n *Node) takeAhead() (a ahead, ok bool) {
+// takeFetchPeer returns whom to ask, if anybody still knows more.
+func (n *Node) takeFetchPeer() (a fetchPeer, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	a, n.ahead = n.ahead, ahead{}
+	a, n.fetchFrom = n.fetchFrom, fetchPeer{}
 	return a, a.revision > n.Log.Revision()
 }
 
-func (n *Node) fetch(ctx context.Context, from ahead) {
-	ctx, cancel := context.WithTimeout(ctx, fetchTime)
+func (n *Node) fetch(ctx context.Context, from fetchPeer) {
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	revision := n.Log.Revision()
-	c, err := n.Fetch(ctx, from.peer, revision)
+	c, err := n.Fetch(ctx, from.addr, revision)
 	if err != nil {
 		metrics.GetOrCreateCounter(`mangowinch_fetches_total{result="failed"}`).Inc()
-		n.Events.State("fetch-failed").Stringer("peer", from.peer).Stringer("revision", revision).Err(err).Send()
+		n.Events.State("fetch-failed").Stringer("peer", from.addr).Stringer("revision", revision).Err(err).Send()
 		return
 	}
 	metrics.GetOrCreateCounter(`mangowinch_fetches_total{result="ok"}`).Inc()
-	n.Learn(time.Now(), from.peer, c)
-	n.fresh(from)
+	n.HandleChange(time.Now(), from.addr, c)
+	n.confirmFetched(from)
 }
 
-// fresh makes the belief as fresh as that of a peer from which it was fetched.
-func (n *Node) fresh(from ahead) {
+// confirmFetched makes the belief as fresh as that of a peer from which it was fetched.
+func (n *Node) confirmFetched(from fetchPeer) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if covers(n.Log.Revision(), from.revision) && from.asOf.After(n.asOf) {
--- a/internal/ctrl/follow/follow.go
+++ b/internal/ctrl/follow/follow.go
@@ -51,56 +51,56 @@
 	Source Source
 	Send   func(to netip.Addr, message []byte)
 	// Fetch asks a peer for what is newer than a revision.
-	Fetch  func(ctx context.Context, peer netip.Addr, since order.Revision) (belief.Change, error)
-	Events *event.Log
-	Bound  time.Duration // a change is in force everywhere within this time of its acceptance
+	Fetch            func(ctx context.Context, peer netip.Addr, since order.Revision) (belief.Change, error)
+	Events           *event.Log
+	PropagationBound time.Duration // a change is in force everywhere within this time of its acceptance
 	// Changed is called after the view has changed. It must not block.
 	Changed func()
 }
 
 const (
-	// Tick is how often Node.Run looks at its clocks.
-	Tick = 100 * time.Millisecond
+	// TickInterval is how often Node.Run looks at its clocks.
+	TickInterval = 100 * time.Millisecond
 	// wantedReaders is how many processes read at a time: a second one bridges the
 	// second or two that a lost answer costs the first.
 	wantedReaders = 2
-	// wantedTriers is how many processes call a platform that doesn't answer.
-	wantedTriers = 4
-	// gossipEvery is how often a process tells a random peer what it knows. It heals
+	// wantedProbers is how many processes call a platform that doesn't answer.
+	wantedProbers = 4
+	// gossipInterval is how often a process tells a random peer what it knows. It heals
 	// what lost datagrams left behind and spreads who is there.
-	gossipEvery = time.Second
-	// greetings is how often a process that has started tells all processes that it knows by then. After four hellos it
+	gossipInterval = time.Second
+	// maxGreetings is how often a process that has started tells all processes that it knows by then. After four hellos it
 	// has heard of all but a few of a hundred.
-	greetings = 4
-	// helloEvery is how often a process that knows nothing asks seeds and agents.
-	helloEvery = 200 * time.Millisecond
-	// agentPatience is how long a starting agent waits for others to tell it before it may read
+	maxGreetings = 4
+	// helloInterval is how often a process that knows nothing asks seeds and agents.
+	helloInterval = 200 * time.Millisecond
+	// agentStartDelay is how long a starting agent waits for others to tell it before it may read
 	// itself: an agent carries packets without any belief.
-	agentPatience = 700 * time.Millisecond
-	// peerLife is how long a peer that isn't heard of is kept in mind: gossip among 100
+	agentStartDelay = 700 * time.Millisecond
+	// peerTTL is how long a peer that isn't heard of is kept in mind: gossip among 100
 	// processes reaches each within seconds.
-	peerLife = 10 * time.Second
+	peerTTL = 10 * time.Second
 )
 
 // Node keeps one process's belief up to date.
 type Node struct {
 	Config
-	start  time.Time
-	kick   chan struct{} // wakes the reading goroutine
-	behind chan struct{} // wakes the fetching goroutine
+	start         time.Time
+	startReading  chan struct{} // wakes the reading goroutine
+	startFetching chan struct{} // wakes the fetching goroutine
 
 	// mu guards what follows.
-	mu       sync.Mutex
-	asOf     time.Time // the belief is known to be complete as of then
-	peers    map[netip.Addr]*peer
-	offered  time.Time // when a peer that knew something was first heard by this process, which knew nothing
-	ahead    ahead     // whom to ask for what this process lacks
-	reading  bool
-	leaving  bool
-	gossiped time.Time
-	gossips  int  // how often a random peer was told
-	lost     bool // the platform doesn't answer
-	greeted  int  // how often all known processes were told that this one is there
+	mu            sync.Mutex
+	asOf          time.Time // the belief is known to be complete as of then
+	peers         map[netip.Addr]*peer
+	firstOffer    time.Time // when a peer that knew something was first heard by this process, which knew nothing
+	fetchFrom     fetchPeer // whom to ask for what this process lacks
+	reading       bool
+	leaving       bool
+	lastGossip    time.Time
+	gossipCount   int  // how often a random peer was told
+	platformLost  bool // the platform doesn't answer
+	greetingsSent int  // how often all known processes were told that this one is there
 }
 
 // New returns a node that knows nothing.
@@ -108,22 +108,22 @@
 	if c.Changed == nil {
 		c.Changed = func() {}
 	}
-	return &Node{Config: c, start: time.Now(), kick: make(chan struct{}, 1), behind: make(chan struct{}, 1), peers: map[netip.Addr]*peer{}}
+	return &Node{Config: c, start: time.Now(), startReading: make(chan struct{}, 1), startFetching: make(chan struct{}, 1), peers: map[netip.Addr]*peer{}}
 }
 
-// wait is how long a reader's call waits for a change: a third of the bound, so that a lost
+// watchWait is how long a reader's call waits for a change: a third of the bound, so that a lost
 // answer is noticed, and the change read anew, within the bound.
-func (n *Node) wait() time.Duration { return n.Bound / 3 }
+func (n *Node) watchWait() time.Duration { return n.PropagationBound / 3 }
 
-// tooOld is the age of a belief from which a process reads the platform itself. It leaves half
+// staleAfter is the age of a belief from which a process reads the platform itself. It leaves half
 // of the bound for noticing, reading and spreading.
-func (n *Node) tooOld() time.Duration { return n.Bound / 2 }
+func (n *Node) staleAfter() time.Duration { return n.PropagationBound / 2 }
 
 // Run works until ctx ends.
 func (n *Node) Run(ctx context.Context) {
 	go n.readLoop(ctx)
 	go n.fetchLoop(ctx)
-	t := time.NewTicker(Tick)
+	t := time.NewTicker(TickInterval)
 	defer t.Stop()
 	n.tick(time.Now())
 	for {
@@ -141,7 +141,7 @@
 	n.mu.Lock()
 	n.leaving = true
 	n.mu.Unlock()
-	n.tell(time.Now(), nil, false)
+	n.announce(time.Now(), nil, false)
 }
 
 // SetSeeds replaces the addresses that a process without peers asks.
@@ -175,37 +175,37 @@
 	}
 	n.mu.Lock()
 	for a, p := range n.peers {
-		if now.Sub(p.heard) > peerLife {
+		if now.Sub(p.lastSeen) > peerTTL {
 			delete(n.peers, a)
 		}
 	}
-	begins := !n.reading && n.shouldRead(now)
-	if begins {
+	starts := !n.reading && n.shouldRead(now)
+	if starts {
 		n.reading = true
 		n.Events.State("reading-begins").Dur("age", now.Sub(n.asOf)).Stringer("revision", n.Log.Revision()).Send()
-		wake(n.kick)
+		wake(n.startReading)
 	}
-	every := gossipEvery
+	interval := gossipInterval
 	if n.asOf.IsZero() {
-		every = helloEvery
+		interval = helloInterval
 	}
 	var to []netip.Addr
 	reply := n.asOf.IsZero()
 	switch {
-	case n.greeted < greetings && !n.asOf.IsZero() && now.Sub(n.gossiped) >= helloEvery:
+	case n.greetingsSent < maxGreetings && !n.asOf.IsZero() && now.Sub(n.lastGossip) >= helloInterval:
 		// Its predecessor at this address said that it was leaving, and until others hear otherwise
 		// they give an agent no new flows; gossip takes seconds. The replies name further processes. Seeds are greeted since
 		// an entry that has listed everything at once may have heard of nobody.
-		n.greeted++
+		n.greetingsSent++
 		reply = true
-		n.gossiped = now
-		to = n.without(append(n.known(), n.Seeds...), widest)
-	case now.Sub(n.gossiped) >= every:
-		n.gossiped = now
+		n.lastGossip = now
+		to = n.sample(append(n.knownProcesses(), n.Seeds...), maxDirect)
+	case now.Sub(n.lastGossip) >= interval:
+		n.lastGossip = now
 		to = n.gossipTo()
 	}
-	if begins && n.trying(now) {
-		to = n.without(n.known(), widest) // before they begin too
+	if starts && n.probing(now) {
+		to = n.sample(n.knownProcesses(), maxDirect) // before they begin too
 	}
 	message := n.beacon(now, reply)
 	n.mu.Unlock()
@@ -214,30 +214,30 @@
 	}
 }
 
-// Learn takes a change in that came from a peer, and passes it on.
-func (n *Node) Learn(now time.Time, from netip.Addr, c belief.Change) {
+// HandleChange takes a change in that came from a peer, and passes it on.
+func (n *Node) HandleChange(now time.Time, from netip.Addr, c belief.Change) {
 	before := n.Log.View()
 	switch n.Log.Apply(now, c) {
-	case belief.Behind:
-		n.Noticed(from, c.To)
-	case belief.News:
-		n.noteEra(before.Revision)
-		n.note(now, "peer", c)
-		n.noteEvacuations(before)
-		n.tell(now, &c, false)
+	case belief.Gap:
+		n.ObserveRevision(from, c.To)
+	case belief.Updated:
+		n.logEraChange(before.Revision)
+		n.logChange(now, "peer", c)
+		n.logEvacuations(before)
+		n.announce(now, &c, false)
 		n.Changed()
-	case belief.Old:
+	case belief.Stale:
 	}
 }
 
-// unreadable counts items of another writer, and configurations that can't be read; the last good one stays.
-var unreadable = metrics.NewCounter(`mangowinch_unreadable_items_total`)
+// unreadableItems counts items of another writer, and configurations that can't be read; the last good one stays.
+var unreadableItems = metrics.NewCounter(`mangowinch_unreadable_items_total`)
 
-// note logs and counts news.
-func (n *Node) note(now time.Time, by string, c belief.Change) {
+// logChange logs and counts news.
+func (n *Node) logChange(now time.Time, by string, c belief.Change) {
 	for _, i := range c.Items {
 		if i.Unreadable() {
-			unreadable.Inc()
+			unreadableItems.Inc()
 			n.Events.State("unreadable").Str("key", i.Key).Stringer("revision", i.Revision).Int64("version", n.Log.View().Version()).Send()
 		}
 	}
--- a/internal/ctrl/follow/follow_test.go
+++ b/internal/ctrl/follow/follow_test.go
@@ -29,22 +29,22 @@
 
 // platform is a Source that can be down, silent, forget its history, or come back from a copy.
 type platform struct {
-	mu      sync.Mutex
-	state   state
-	calls   int
-	down    bool
-	silent  bool
-	forgot  bool
-	servers int // the platform lists servers beside the last so many nodes of a fleet
-	changed chan struct{}
+	mu        sync.Mutex
+	state     state
+	calls     int
+	down      bool
+	silent    bool
+	truncated bool
+	servers   int // the platform lists servers beside the last so many nodes of a fleet
+	changed   chan struct{}
 }
 
 func newPlatform() *platform {
 	return &platform{state: state{at: 1, version: 1}, changed: make(chan struct{})}
 }
 
-// become replaces the state, and wakes watches.
-func (p *platform) become(next func(state) state) (now state) {
+// setState replaces the state, and wakes watches.
+func (p *platform) setState(next func(state) state) (now state) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.state = next(p.state)
@@ -55,12 +55,12 @@
 
 // change writes a configuration, and returns its version.
 func (p *platform) change() (version int64) {
-	return p.become(func(s state) state { return state{s.at + 1, s.version + 1} }).version
+	return p.setState(func(s state) state { return state{s.at + 1, s.version + 1} }).version
 }
 
-// comeBack brings the platform back from a copy that was made at the change with a number.
-func (p *platform) comeBack(number uint64) {
-	p.become(func(s state) state { return state{order.At(s.at.Era()+1, number), s.version} })
+// restore brings the platform back from a copy that was made at the change with a number.
+func (p *platform) restore(number uint64) {
+	p.setState(func(s state) state { return state{order.At(s.at.Era()+1, number), s.version} })
 }
 
 func (p *platform) count() (calls int) {
@@ -113,9 +113,9 @@
 	if err != nil {
 		return belief.Change{}, err
 	}
-	forgot := false
-	p.set(func() { forgot, p.forgot = p.forgot, false })
-	if forgot || after.Era() != s.at.Era() || after > s.at {
+	truncated := false
+	p.set(func() { truncated, p.truncated = p.truncated, false })
+	if truncated || after.Era() != s.at.Era() || after > s.at {
 		return belief.Change{}, ErrHistory
 	}
 	if s.at == after {
@@ -135,15 +135,15 @@
 }
 
 func init() {
-	encodeNews(belief.Change{}) // the encoder's channels must not belong to the bubble of one test
+	encodeUpdate(belief.Change{}) // the encoder's channels must not belong to the bubble of one test
 }
 
 // fleet is some nodes that reach each other in memory.
 type fleet struct {
-	mu    sync.Mutex
-	nodes map[netip.Addr]*Node
-	cut   map[netip.Addr]bool
-	sent  func(from, to netip.Addr, message []byte) // is told of each message; nil: nobody is
+	mu     sync.Mutex
+	nodes  map[netip.Addr]*Node
+	cut    map[netip.Addr]bool
+	onSend func(from, to netip.Addr, message []byte) // is told of each message; nil: nobody is
 }
 
 func addr(i int) netip.Addr { return netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}) }
@@ -170,7 +170,7 @@
 		self := addr(i)
 		f.nodes[self] = New(Config{
 			Self: self, Role: roleOf(i), Domain: domainOf(self), Seeds: []netip.Addr{addr(0)}, Log: belief.New(), Source: source(i),
-			Events: events, Bound: bound,
+			Events: events, PropagationBound: bound,
 			Send: func(to netip.Addr, b []byte) { f.send(self, to, append([]byte(nil), b...)) },
 			Fetch: func(_ context.Context, peer netip.Addr, since order.Revision) (belief.Change, error) {
 				return f.fetch(self, peer, since)
@@ -203,7 +203,7 @@
 
 func (f *fleet) send(from, to netip.Addr, b []byte) {
 	f.mu.Lock()
-	sent := f.sent
+	sent := f.onSend
 	f.mu.Unlock()
 	if sent != nil {
 		sent(from, to, b)
@@ -220,11 +220,11 @@
 		}
 		if h.Kind == msgs.KindBeacon {
 			m, _ := msgs.ReadBeacon(h, rest)
-			n.Heard(time.Now(), from, m)
+			n.HandleBeacon(time.Now(), from, m)
 			return
 		}
-		c, _ := DecodeNews(rest)
-		n.Learn(time.Now(), from, c)
+		c, _ := DecodeUpdate(rest)
+		n.HandleChange(time.Now(), from, c)
 	}()
 }
 
@@ -244,8 +244,8 @@
 	return count
 }
 
-// knows waits until all nodes that are not cut off have a revision.
-func (f *fleet) knows(t *testing.T, revision order.Revision, within time.Duration) {
+// waitForRevision waits until all nodes that are not cut off have a revision.
+func (f *fleet) waitForRevision(t *testing.T, revision order.Revision, within time.Duration) {
 	t.Helper()
 	began := time.Now()
 	for a, n := range f.nodes {
@@ -261,7 +261,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform()
 		f := start(t, 12, func(int) Source { return p })
-		f.knows(t, 1, time.Second)
+		f.waitForRevision(t, 1, time.Second)
 		time.Sleep(20 * time.Second)
 		assert.Assert(t, f.readers() >= wantedReaders && f.readers() <= wantedReaders+2, f.readers())
 		before := p.count()
@@ -277,7 +277,7 @@
 		f := start(t, 12, func(int) Source { return p })
 		time.Sleep(10 * time.Second)
 		p.change()
-		f.knows(t, 2, 200*time.Millisecond)
+		f.waitForRevision(t, 2, 200*time.Millisecond)
 	})
 }
 
@@ -294,7 +294,7 @@
 		})
 		time.Sleep(5 * time.Second)
 		p.change()
-		f.knows(t, 2, bound/2)
+		f.waitForRevision(t, 2, bound/2)
 	})
 }
 
@@ -311,7 +311,7 @@
 		}
 		f.mu.Unlock()
 		p.change()
-		f.knows(t, 2, bound)
+		f.waitForRevision(t, 2, bound)
 	})
 }
 
@@ -356,7 +356,7 @@
 		}
 		p.set(func() { p.silent = false })
 		p.change()
-		f.knows(t, 2, bound)
+		f.waitForRevision(t, 2, bound)
 	})
 }
 
@@ -366,14 +366,14 @@
 		p := newPlatform()
 		f := start(t, 2, func(int) Source { return p })
 		time.Sleep(5 * time.Second)
-		p.set(func() { p.forgot = true })
+		p.set(func() { p.truncated = true })
 		p.change()
-		f.knows(t, 2, bound)
+		f.waitForRevision(t, 2, bound)
 	})
 }
 
-// hasVersion waits until all nodes have a version of the configuration, within the bound.
-func (f *fleet) hasVersion(t *testing.T, version int64) {
+// waitForVersion waits until all nodes have a version of the configuration, within the bound.
+func (f *fleet) waitForVersion(t *testing.T, version int64) {
 	t.Helper()
 	began := time.Now()
 	for a, n := range f.nodes {
--- a/internal/ctrl/follow/peers.go
+++ b/internal/ctrl/follow/peers.go
@@ -12,12 +12,12 @@
 
 // peer is what is known of another process.
 type peer struct {
-	role    msgs.Role
-	domain  uint8 // belief.DomainHash; 0 until it has been heard
-	heard   time.Time
-	reading time.Time // last heard as a reader
-	trying  time.Time // last heard calling the platform without an answer
-	leaving bool
+	role        msgs.Role
+	domain      uint8 // belief.DomainHash; 0 until it has been heard
+	lastSeen    time.Time
+	lastReading time.Time // last heard as a reader
+	lastProbing time.Time // last heard calling the platform without an answer
+	leaving     bool
 }
 
 // Leaving says whether a peer has said that it is being stopped.
@@ -41,17 +41,17 @@
 func (n *Node) gossipTo() (to []netip.Addr) {
 	if n.asOf.IsZero() {
 		to = append(to, n.Seeds...)
-		return n.without(append(to, n.known()...), widest)
+		return n.sample(append(to, n.knownProcesses()...), maxDirect)
 	}
-	n.gossips++
-	if n.Role == msgs.Entry && n.gossips%2 == 0 {
-		return n.without(n.knownEntries(), 1)
+	n.gossipCount++
+	if n.Role == msgs.Entry && n.gossipCount%2 == 0 {
+		return n.sample(n.knownEntries(), 1)
 	}
-	return n.without(n.known(), 1)
+	return n.sample(n.knownProcesses(), 1)
 }
 
-// known returns all processes known: peers heard of and agents of servers. n.mu is held.
-func (n *Node) known() []netip.Addr {
+// knownProcesses returns all processes known: peers heard of and agents of servers. n.mu is held.
+func (n *Node) knownProcesses() []netip.Addr {
 	return append(n.knownEntries(), n.Log.View().Homes.Agents()...)
 }
 
@@ -65,8 +65,8 @@
 	return list
 }
 
-// without returns at most limit of the addresses at random, none of them its own.
-func (n *Node) without(all []netip.Addr, limit int) (to []netip.Addr) {
+// sample returns at most limit of the addresses at random, none of them its own.
+func (n *Node) sample(all []netip.Addr, limit int) (to []netip.Addr) {
 	rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	for _, a := range all {
 		if a != n.Self && len(to) < limit {
@@ -81,12 +81,12 @@
 
 // beacon encodes what the process knows. n.mu is held.
 func (n *Node) beacon(now time.Time, reply bool) []byte {
-	m := msgs.Beacon{Role: n.Role, Domain: belief.DomainHash(n.Domain), Reader: n.reading && !n.lost && !n.asOf.IsZero(), Trying: n.trying(now), Leaving: n.leaving, Reply: reply, Age: msgs.MaxAge}
+	m := msgs.Beacon{Role: n.Role, Domain: belief.DomainHash(n.Domain), Reader: n.reading && !n.platformLost && !n.asOf.IsZero(), Trying: n.probing(now), Leaving: n.leaving, Reply: reply, Age: msgs.MaxAge}
 	m.Revision = n.Log.Revision()
 	if !n.asOf.IsZero() {
 		m.Age = uint32(min(now.Sub(n.asOf).Milliseconds(), int64(msgs.MaxAge-1)))
 	}
-	m.Readers = n.readersKnown(now)
+	m.Readers = n.knownReaders(now)
 	for a, p := range n.peers {
 		if p.role == msgs.Entry && !p.leaving && len(m.Peers) < beaconPeers {
 			m.Peers = append(m.Peers, a)
@@ -95,65 +95,65 @@
 	return m.AppendTo(nil)
 }
 
-// hearEntry notes that a process is an entry, as a beacon says. n.mu is held.
-func (n *Node) hearEntry(now time.Time, a netip.Addr) {
-	p := n.meet(a)
+// addEntry notes that a process is an entry, as a beacon says. n.mu is held.
+func (n *Node) addEntry(now time.Time, a netip.Addr) {
+	p := n.peerAt(a)
 	if p.role != 0 {
 		return // heard of it by its own word
 	}
-	p.role, p.heard = msgs.Entry, now
+	p.role, p.lastSeen = msgs.Entry, now
 }
 
-// readersKnown returns other processes that read, as beacons name them: as many as are wanted. n.mu is held.
-func (n *Node) readersKnown(now time.Time) (list []msgs.Reader) {
+// knownReaders returns other processes that read, as beacons name them: as many as are wanted. n.mu is held.
+func (n *Node) knownReaders(now time.Time) (list []msgs.Reader) {
 	for a, p := range n.peers {
-		if len(list) < wantedReaders && !p.leaving && now.Sub(p.reading) < 2*n.wait() {
-			list = append(list, msgs.Reader{Process: a, Age: uint16(now.Sub(p.reading).Milliseconds())})
+		if len(list) < wantedReaders && !p.leaving && now.Sub(p.lastReading) < 2*n.watchWait() {
+			list = append(list, msgs.Reader{Process: a, Age: uint16(now.Sub(p.lastReading).Milliseconds())})
 		}
 	}
 	return list
 }
 
-// hearReaders notes which processes a peer knows to read. In a large fleet few hear a reader itself, and whoever hears of too few
+// mergeReaders notes which processes a peer knows to read. In a large fleet few hear a reader itself, and whoever hears of too few
 // reads. Ages add up on the way, so that a reader that is gone is forgotten everywhere. n.mu is held.
-func (n *Node) hearReaders(now time.Time, readers []msgs.Reader) {
+func (n *Node) mergeReaders(now time.Time, readers []msgs.Reader) {
 	for _, r := range readers {
 		if r.Process == n.Self {
 			continue
 		}
-		at := now.Add(-time.Duration(r.Age)*time.Millisecond - transit)
-		p := n.meet(r.Process)
-		if at.After(p.reading) {
-			p.reading = at
+		at := now.Add(-time.Duration(r.Age)*time.Millisecond - maxTransit)
+		p := n.peerAt(r.Process)
+		if at.After(p.lastReading) {
+			p.lastReading = at
 		}
-		if at.After(p.heard) {
-			p.heard = at
+		if at.After(p.lastSeen) {
+			p.lastSeen = at
 		}
 	}
 }
 
-// Heard takes a beacon in.
-func (n *Node) Heard(now time.Time, from netip.Addr, m msgs.Beacon) {
+// HandleBeacon takes a beacon in.
+func (n *Node) HandleBeacon(now time.Time, from netip.Addr, m msgs.Beacon) {
 	n.mu.Lock()
-	p := n.meet(from)
-	p.role, p.domain, p.heard, p.leaving = m.Role, m.Domain, now, m.Leaving
+	p := n.peerAt(from)
+	p.role, p.domain, p.lastSeen, p.leaving = m.Role, m.Domain, now, m.Leaving
 	if m.Reader {
-		p.reading = now
+		p.lastReading = now
 	}
 	if m.Trying {
-		p.trying = now
+		p.lastProbing = now
 	}
-	n.hearReaders(now, m.Readers)
+	n.mergeReaders(now, m.Readers)
 	for _, a := range m.Peers {
 		if a != n.Self {
-			n.hearEntry(now, a)
+			n.addEntry(now, a)
 		}
 	}
 	before := n.asOf
-	n.credit(now, m)
+	n.confirmFromBeacon(now, m)
 	var to []netip.Addr
-	if n.passesOn(now, before) {
-		to = n.audience(false)
+	if n.shouldRelay(now, before) {
+		to = n.recipients(false)
 	}
 	reply := m.Reply || m.Revision < n.Log.Revision()
 	message := n.beacon(now, false)
@@ -162,7 +162,7 @@
 		n.Send(from, message)
 	}
 	n.sendAll(to, message)
-	n.noticed(ahead{peer: from, revision: m.Revision, asOf: confirmedAt(now, m)})
+	n.observe(fetchPeer{addr: from, revision: m.Revision, asOf: confirmedAt(now, m)})
 }
 
 // confirmedAt is as of when a beacon's sender knows its belief to be complete; zero: it doesn't know.
@@ -170,10 +170,10 @@
 	if m.Age == msgs.MaxAge {
 		return time.Time{}
 	}
-	return now.Add(-time.Duration(m.Age)*time.Millisecond - transit)
+	return now.Add(-time.Duration(m.Age)*time.Millisecond - maxTransit)
 }
 
-func (n *Node) meet(a netip.Addr) *peer {
+func (n *Node) peerAt(a netip.Addr) *peer {
 	p := n.peers[a]
 	if p == nil {
 		p = &peer{}
@@ -182,12 +182,12 @@
 	return p
 }
 
-// transit is what a beacon's way is taken to last at most when its age is used: the
+// maxTransit is what a beacon's way is taken to last at most when its age is used: the
 // longest way within a region is 1 ms, between regions 20 ms.
-const transit = 25 * time.Millisecond
+const maxTransit = 25 * time.Millisecond
 
-// credit makes the belief as fresh as a peer's that doesn't know more. n.mu is held.
-func (n *Node) credit(now time.Time, m msgs.Beacon) {
+// confirmFromBeacon makes the belief as fresh as a peer's that doesn't know more. n.mu is held.
+func (n *Node) confirmFromBeacon(now time.Time, m msgs.Beacon) {
 	asOf := confirmedAt(now, m)
 	if covers(n.Log.Revision(), m.Revision) && asOf.After(n.asOf) {
 		n.asOf = asOf
--- a/internal/ctrl/follow/spread.go
+++ b/internal/ctrl/follow/spread.go
@@ -21,27 +21,27 @@
 // others, and whoever believes its belief too old by then calls the platform, dozens at a time.
 
 const (
-	// widest is up to how many peers a reader tells directly.
-	widest = 64
-	// perDomain is how many processes of each failure domain a reader of a larger fleet tells.
-	perDomain = 4
-	// rumours is how many peers of its domain hear of news from who learned it from another: it reaches 94 of a hundred.
-	rumours = 3
+	// maxDirect is up to how many peers a reader tells directly.
+	maxDirect = 64
+	// peersPerDomain is how many processes of each failure domain a reader of a larger fleet tells.
+	peersPerDomain = 4
+	// gossipFanout is how many peers of its domain hear of news from who learned it from another: it reaches 94 of a hundred.
+	gossipFanout = 3
 )
 
-// tell sends what the process knows. News that fit into a datagram go to all peers or some of each failure domain from a reader, to
+// announce sends what the process knows. News that fit into a datagram go to all peers or some of each failure domain from a reader, to
 // a few of the own domain from others; of others only the revision is told, and peers fetch them.
-func (n *Node) tell(now time.Time, news *belief.Change, reader bool) {
+func (n *Node) announce(now time.Time, change *belief.Change, reader bool) {
 	n.mu.Lock()
-	to := n.audience(reader || n.leaving)
+	to := n.recipients(reader || n.leaving)
 	beaconTo := to
 	if reader || n.leaving {
-		beaconTo = n.without(n.known(), widest)
+		beaconTo = n.sample(n.knownProcesses(), maxDirect)
 	}
 	message := n.beacon(now, false)
 	n.mu.Unlock()
-	if news != nil && !news.Full {
-		n.sendAll(to, encodeNews(*news))
+	if change != nil && !change.Full {
+		n.sendAll(to, encodeUpdate(*change))
 	}
 	n.sendAll(beaconTo, message)
 }
@@ -56,17 +56,17 @@
 	}
 }
 
-// passesOn says whether a beacon has made the belief so much fresher that a few near peers are to hear of it at once. Before
+// shouldRelay says whether a beacon has made the belief so much fresher that a few near peers are to hear of it at once. Before
 // is as of when the belief was complete until then. n.mu is held.
-func (n *Node) passesOn(now, before time.Time) bool {
-	return n.asOf.Sub(before) >= n.Bound/6 && n.fleetAtLeast(now) >= widest
+func (n *Node) shouldRelay(now, before time.Time) bool {
+	return n.asOf.Sub(before) >= n.PropagationBound/6 && n.fleetEstimate(now) >= maxDirect
 }
 
-// audience picks whom to tell now. n.mu is held.
-func (n *Node) audience(wide bool) []netip.Addr {
-	known := n.known()
-	if wide && len(known) <= widest {
-		return n.without(known, widest)
+// recipients picks whom to tell now. n.mu is held.
+func (n *Node) recipients(wide bool) []netip.Addr {
+	known := n.knownProcesses()
+	if wide && len(known) <= maxDirect {
+		return n.sample(known, maxDirect)
 	}
 	domains := map[uint8][]netip.Addr{}
 	for _, a := range known {
@@ -76,13 +76,13 @@
 	if wide {
 		var to []netip.Addr
 		for _, list := range domains {
-			to = append(to, n.without(list, perDomain)...)
+			to = append(to, n.sample(list, peersPerDomain)...)
 		}
 		return to
 	}
-	to := n.without(domains[belief.DomainHash(n.Domain)], rumours)
+	to := n.sample(domains[belief.DomainHash(n.Domain)], gossipFanout)
 	if len(to) == 0 {
-		return n.without(known, rumours) // alone in its domain, or nobody's domain is known yet
+		return n.sample(known, gossipFanout) // alone in its domain, or nobody's domain is known yet
 	}
 	return to
 }
@@ -98,15 +98,15 @@
 	return 0
 }
 
-// near says whether a process is in the failure domain of this one. n.mu is held.
-func (n *Node) near(a netip.Addr) bool { return n.domainOf(a) == belief.DomainHash(n.Domain) }
+// sameDomain says whether a process is in the failure domain of this one. n.mu is held.
+func (n *Node) sameDomain(a netip.Addr) bool { return n.domainOf(a) == belief.DomainHash(n.Domain) }
 
-// newsSize bounds the encoded change in one datagram, which passes any link unfragmented.
-const newsSize = 1300
+// maxUpdateSize bounds the encoded change in one datagram, which passes any link unfragmented.
+const maxUpdateSize = 1300
 
-func encodeNews(c belief.Change) []byte {
+func encodeUpdate(c belief.Change) []byte {
 	text, err := encoding{}.Marshal(&c)
-	if err != nil || len(text) > newsSize {
+	if err != nil || len(text) > maxUpdateSize {
 		return nil
 	}
 	m := msgs.News{Change: text}
@@ -114,8 +114,8 @@
 	return m.AppendTo(nil)
 }
 
-// DecodeNews reads the change of a message of kind news.
-func DecodeNews(text []byte) (c belief.Change, err error) {
+// DecodeUpdate reads the change of a message of kind news.
+func DecodeUpdate(text []byte) (c belief.Change, err error) {
 	err = encoding{}.Unmarshal(text, &c)
 	return c, err
 }
--- a/internal/ctrl/follow/spread_test.go
+++ b/internal/ctrl/follow/spread_test.go
@@ -42,7 +42,7 @@
 		var mu sync.Mutex
 		crossed := map[netip.Addr]int{}
 		f.mu.Lock()
-		f.sent = func(from, to netip.Addr, message []byte) {
+		f.onSend = func(from, to netip.Addr, message []byte) {
 			mu.Lock()
 			defer mu.Unlock()
 			if msgs.KindOf(message) == msgs.KindNews && domainOf(from) != domainOf(to) {
@@ -51,12 +51,12 @@
 		}
 		f.mu.Unlock()
 		p.change()
-		f.knows(t, 2, bound/2)
+		f.waitForRevision(t, 2, bound/2)
 		mu.Lock()
 		defer mu.Unlock()
 		total := 0
 		for a, count := range crossed {
-			assert.Assert(t, count <= 5*perDomain, "%s told %d others over borders", a, count)
+			assert.Assert(t, count <= 5*peersPerDomain, "%s told %d others over borders", a, count)
 			total += count
 		}
 		assert.Assert(t, total < manyNodes, "%d news crossed borders", total)
@@ -66,19 +66,19 @@
 // A thousand processes start at once and hear of the same three seeds first. Asked by all, these gave everything to everybody over one
 // border after the other. A peer of the own failure domain goes before others, and of equals any may be asked.
 func TestFetchesGoToNearPeersAndAreSpread(t *testing.T) {
-	var a ahead
-	a.consider(ahead{peer: addr(1), revision: 5, near: false})
-	a.consider(ahead{peer: addr(2), revision: 9, near: true})
-	a.consider(ahead{peer: addr(3), revision: 9, near: false})
-	assert.Assert(t, a.peer == addr(2) && a.near)
+	var a fetchPeer
+	a.consider(fetchPeer{addr: addr(1), revision: 5, sameDomain: false})
+	a.consider(fetchPeer{addr: addr(2), revision: 9, sameDomain: true})
+	a.consider(fetchPeer{addr: addr(3), revision: 9, sameDomain: false})
+	assert.Assert(t, a.addr == addr(2) && a.sameDomain)
 
 	asked := map[netip.Addr]int{}
 	for range 1000 {
-		var a ahead
+		var a fetchPeer
 		for i := range 4 {
-			a.consider(ahead{peer: addr(i), revision: 5, near: true})
+			a.consider(fetchPeer{addr: addr(i), revision: 5, sameDomain: true})
 		}
-		asked[a.peer]++
+		asked[a.addr]++
 	}
 	for i := range 4 {
 		assert.Assert(t, asked[addr(i)] > 150, "%d of 1000", asked[addr(i)])
--- a/internal/ctrl/follow/turn.go
+++ b/internal/ctrl/follow/turn.go
@@ -16,8 +16,8 @@
 // comes back. So a few try for all, say so in their beacons, and the others wait for their news. Those who try may be the very ones
 // that the platform turns away, or have just been killed, so that others go on volunteering, one or two a second.
 
-// volunteerOnce is the mean number of ticks in which one process of all volunteers.
-const volunteerOnce = 10
+// volunteerTicks is the mean number of ticks in which one process of all volunteers.
+const volunteerTicks = 10
 
 // A process that has just started knows nothing, and a whole fleet may start at once. An entry lists everything at once, since it serves
 // nobody until it knows something, and leaves the changes that follow to seeds: if each watched them, hundreds would do so while
@@ -25,29 +25,29 @@
 // nobody ever more volunteer.
 
 const (
-	// firstVolunteers is the mean number of agents of which one volunteers in the first tick without news; it halves with each tick.
-	firstVolunteers = 64
-	// offerPatience is how long an agent that knows nothing tries to fetch from those that know something. They may all be busy.
-	offerPatience = 1500 * time.Millisecond
-	// unheardOf is how many processes a fleet is taken to have at least by one that has just started.
-	unheardOf = 64
+	// initialVolunteerOdds is the mean number of agents of which one volunteers in the first tick without news; it halves with each tick.
+	initialVolunteerOdds = 64
+	// offerTimeout is how long an agent that knows nothing tries to fetch from those that know something. They may all be busy.
+	offerTimeout = 1500 * time.Millisecond
+	// minFleetEstimate is how many processes a fleet is taken to have at least by one that has just started.
+	minFleetEstimate = 64
 )
 
-// shouldBegin says whether a process that knows nothing is to read the platform. n.mu is held.
-func (n *Node) shouldBegin(now time.Time) bool {
+// shouldStart says whether a process that knows nothing is to read the platform. n.mu is held.
+func (n *Node) shouldStart(now time.Time) bool {
 	if n.Role == msgs.Entry {
 		return true
 	}
-	waited := now.Sub(n.start) - agentPatience
-	if !n.offered.IsZero() {
-		waited = now.Sub(n.offered) - offerPatience
+	waited := now.Sub(n.start) - agentStartDelay
+	if !n.firstOffer.IsZero() {
+		waited = now.Sub(n.firstOffer) - offerTimeout
 	}
-	return waited >= 0 && rand.IntN(max(1, firstVolunteers>>(waited/Tick))) == 0
+	return waited >= 0 && rand.IntN(max(1, initialVolunteerOdds>>(waited/TickInterval))) == 0
 }
 
-// leaveToSeeds ends reading after the first listing, unless the process is a seed. It says so to nobody: for that moment hundreds
+// stopUnlessSeed ends reading after the first listing, unless the process is a seed. It says so to nobody: for that moment hundreds
 // would seem to read, and the seeds would stop.
-func (n *Node) leaveToSeeds() {
+func (n *Node) stopUnlessSeed() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.Role == msgs.Agent || len(n.Seeds) == 0 || slices.Contains(n.Seeds, n.Self) {
@@ -63,68 +63,68 @@
 		return false
 	}
 	if n.asOf.IsZero() {
-		return n.shouldBegin(now)
+		return n.shouldStart(now)
 	}
-	if now.Sub(n.asOf) > n.tooOld() && n.triers(now) < wantedTriers {
-		return rand.IntN(n.fleetAtLeast(now)) < wantedTriers // a few of all in each tick, before they hear of each other
+	if now.Sub(n.asOf) > n.staleAfter() && n.probers(now) < wantedProbers {
+		return rand.IntN(n.fleetEstimate(now)) < wantedProbers // a few of all in each tick, before they hear of each other
 	}
-	return n.readers(now) < wantedReaders && rand.IntN(volunteerOnce*n.fleetAtLeast(now)) == 0
+	return n.readers(now) < wantedReaders && rand.IntN(volunteerTicks*n.fleetEstimate(now)) == 0
 }
 
-// fleetAtLeast is the size of the fleet, or unheardOf while the process may have heard of hardly anybody yet. n.mu is held.
-func (n *Node) fleetAtLeast(now time.Time) int {
-	if now.Sub(n.start) < n.Bound {
-		return max(unheardOf, n.fleet())
+// fleetEstimate is the size of the fleet, or unheardOf while the process may have heard of hardly anybody yet. n.mu is held.
+func (n *Node) fleetEstimate(now time.Time) int {
+	if now.Sub(n.start) < n.PropagationBound {
+		return max(minFleetEstimate, n.fleetSize())
 	}
-	return n.fleet()
+	return n.fleetSize()
 }
 
-// fleet is how many processes there are, as far as this one knows: servers' agents, and entries heard of lately. In a large fleet each process hears of
+// fleetSize is how many processes there are, as far as this one knows: servers' agents, and entries heard of lately. In a large fleet each process hears of
 // few others, and by the number of these alone far too many would volunteer. n.mu is held.
-func (n *Node) fleet() int {
+func (n *Node) fleetSize() int {
 	return 1 + len(n.Log.View().Homes.Agents()) + len(n.knownEntries())
 }
 
-// trying says whether the process calls a platform that doesn't answer, or that seems to answer nobody. n.mu is held.
-func (n *Node) trying(now time.Time) bool {
-	return n.reading && !n.asOf.IsZero() && (n.lost || now.Sub(n.asOf) > n.tooOld())
+// probing says whether the process calls a platform that doesn't answer, or that seems to answer nobody. n.mu is held.
+func (n *Node) probing(now time.Time) bool {
+	return n.reading && !n.asOf.IsZero() && (n.platformLost || now.Sub(n.asOf) > n.staleAfter())
 }
 
 // readers counts the other processes that read. n.mu is held.
 func (n *Node) readers(now time.Time) (count int) {
-	return n.count(now, func(_ netip.Addr, p *peer) time.Time { return p.reading })
+	return n.countRecent(now, func(_ netip.Addr, p *peer) time.Time { return p.lastReading })
 }
 
-// triers counts the other processes that call the platform without an answer. n.mu is held.
-func (n *Node) triers(now time.Time) (count int) {
-	return n.count(now, func(_ netip.Addr, p *peer) time.Time { return p.trying })
+// probers counts the other processes that call the platform without an answer. n.mu is held.
+func (n *Node) probers(now time.Time) (count int) {
+	return n.countRecent(now, func(_ netip.Addr, p *peer) time.Time { return p.lastProbing })
 }
 
-// count counts the other processes for which something was heard lately. n.mu is held.
-func (n *Node) count(now time.Time, heard func(netip.Addr, *peer) time.Time) (count int) {
+// countRecent counts the other processes for which something was heard lately. n.mu is held.
+func (n *Node) countRecent(now time.Time, lastSeen func(netip.Addr, *peer) time.Time) (count int) {
 	for a, p := range n.peers {
-		if !p.leaving && now.Sub(heard(a, p)) < 2*n.wait() {
+		if !p.leaving && now.Sub(lastSeen(a, p)) < 2*n.watchWait() {
 			count++
 		}
 	}
 	return count
 }
 
-// surplus says whether enough others read. The ones with the higher addresses stay, so that not
+// surplusReader says whether enough others read. The ones with the higher addresses stay, so that not
 // all stop at once. n.mu is held.
-func (n *Node) surplus(now time.Time) bool {
-	above := n.count(now, func(a netip.Addr, p *peer) time.Time { return n.above(a, p.reading) })
-	return above >= wantedReaders || n.leaving
+func (n *Node) surplusReader(now time.Time) bool {
+	higher := n.countRecent(now, func(a netip.Addr, p *peer) time.Time { return n.ifHigher(a, p.lastReading) })
+	return higher >= wantedReaders || n.leaving
 }
 
-// surplusTrier says whether enough others call a platform that doesn't answer. n.mu is held.
-func (n *Node) surplusTrier(now time.Time) bool {
-	above := n.count(now, func(a netip.Addr, p *peer) time.Time { return n.above(a, p.trying) })
-	return n.lost && above >= wantedTriers
+// surplusProber says whether enough others call a platform that doesn't answer. n.mu is held.
+func (n *Node) surplusProber(now time.Time) bool {
+	higher := n.countRecent(now, func(a netip.Addr, p *peer) time.Time { return n.ifHigher(a, p.lastProbing) })
+	return n.platformLost && higher >= wantedProbers
 }
 
-// above returns a time for processes with a higher address than this one's, and the zero time for others.
-func (n *Node) above(a netip.Addr, at time.Time) time.Time {
+// ifHigher returns a time for processes with a higher address than this one's, and the zero time for others.
+func (n *Node) ifHigher(a netip.Addr, at time.Time) time.Time {
 	if n.Self.Less(a) {
 		return at
 	}
--- a/internal/ctrl/follow/turn_test.go
+++ b/internal/ctrl/follow/turn_test.go
@@ -22,12 +22,12 @@
 			p.change()
 			time.Sleep(20 * time.Millisecond)
 		}
-		f.knows(t, 201, bound/4)
+		f.waitForRevision(t, 201, bound/4)
 		calls := p.count() - before
 		assert.Assert(t, calls < 60, "%d calls for 200 changes", calls)
 		time.Sleep(5 * time.Second)
 		p.change()
-		f.knows(t, 202, 100*time.Millisecond)
+		f.waitForRevision(t, 202, 100*time.Millisecond)
 	})
 }
 
@@ -40,7 +40,7 @@
 			f := start(t, count, func(int) Source { return p })
 			time.Sleep(300 * time.Millisecond)
 			assert.Assert(t, f.readers() <= 5, "%d of %d entries", f.readers(), entries)
-			f.knows(t, 1, time.Second)
+			f.waitForRevision(t, 1, time.Second)
 			assert.Assert(t, p.count() < 2*entries, "%d calls of %d processes, %d of them entries", p.count(), count, entries)
 		})
 	}
@@ -55,17 +55,17 @@
 	assert.NilError(t, err)
 	for name, asOf := range map[string]time.Duration{"readers unheard": 0, "belief too old": bound} {
 		now := time.Now()
-		n := New(Config{Self: addr(0), Role: msgs.Entry, Log: belief.New(), Bound: bound})
+		n := New(Config{Self: addr(0), Role: msgs.Entry, Log: belief.New(), PropagationBound: bound})
 		n.Log.Apply(now, c)
 		n.start, n.asOf = now.Add(-time.Minute), now.Add(-asOf)
-		n.hearEntry(now, addr(1))
+		n.addEntry(now, addr(1))
 		begins := 0
 		for range 1000 {
 			if n.shouldRead(now) {
 				begins++
 			}
 		}
-		assert.Assert(t, begins <= 1000*2*wantedTriers/servers, "%s: %d of 1000 ticks", name, begins)
+		assert.Assert(t, begins <= 1000*2*wantedProbers/servers, "%s: %d of 1000 ticks", name, begins)
 	}
 }
 
@@ -110,7 +110,7 @@
 				assert.Assert(t, calls < 200, "%d calls in 10 s", calls)
 				p.set(func() { p.down, p.silent = false, false })
 				p.change()
-				f.knows(t, 2, bound)
+				f.waitForRevision(t, 2, bound)
 			})
 		})
 	}
@@ -132,14 +132,14 @@
 		time.Sleep(4 * time.Second)
 		p.set(func() { p.down = false })
 		p.change()
-		f.knows(t, 2, bound)
+		f.waitForRevision(t, 2, bound)
 		f.mu.Lock()
 		for a, n := range f.nodes {
 			f.cut[a] = n.Reading()
 		}
 		f.mu.Unlock()
 		p.change()
-		f.knows(t, 3, bound)
+		f.waitForRevision(t, 3, bound)
 	})
 }
 
@@ -151,15 +151,15 @@
 		f := start(t, 200, func(int) Source { return p })
 		time.Sleep(20 * time.Second)
 		for range 4 {
-			f.hasVersion(t, p.change())
+			f.waitForVersion(t, p.change())
 		}
 		p.set(func() { p.silent = true })
 		time.Sleep(2 * time.Second)
-		p.comeBack(2)
+		p.restore(2)
 		p.set(func() { p.silent = false })
 		before := p.count()
-		f.hasVersion(t, p.change())
+		f.waitForVersion(t, p.change())
 		calls := p.count() - before
-		assert.Assert(t, calls <= 8*wantedTriers, "%d calls", calls)
+		assert.Assert(t, calls <= 8*wantedProbers, "%d calls", calls)
 	})
 }
--- a/internal/ctrl/relay/beat.go
+++ b/internal/ctrl/relay/beat.go
@@ -117,7 +117,7 @@
 
 // Beat answers the heartbeat of another agent of the service.
 func (n *Node) Beat(_ context.Context, in *wire.Pulse) (out *wire.Pulse, err error) {
-	defer func() { n.Meter.Answered(proto.Size(in), proto.Size(out)) }()
+	defer func() { n.Meter.CountAnswered(proto.Size(in), proto.Size(out)) }()
 	if n.Service == "" || in.GetService() != n.Service {
 		// An address that was given to another service: the other side's document is old.
 		refused("service")
@@ -156,7 +156,7 @@
 // pulse is this agent's heartbeat.
 func (n *Node) pulse() *wire.Pulse {
 	view := n.Store.View()
-	own := digest.Know(view, n.Service)
+	own := digest.ItemOf(view, n.Service)
 	p := &wire.Pulse{Service: n.Service, Revision: uint64(own.Revision), Newest: uint64(own.Newest)}
 	if e := view.Entries[n.Service]; e != nil {
 		for _, s := range e.Service.Servers {
--- a/internal/ctrl/relay/exchange.go
+++ b/internal/ctrl/relay/exchange.go
@@ -34,13 +34,13 @@
 // Exchange answers another process: it takes in what that one knows and tells
 // what that one lacks.
 func (n *Node) Exchange(ctx context.Context, in *wire.Summary) (out *wire.Summary, err error) {
-	defer func() { n.Meter.Answered(proto.Size(in), proto.Size(out)) }()
+	defer func() { n.Meter.CountAnswered(proto.Size(in), proto.Size(out)) }()
 	if !n.answers.Allow() {
 		refused("rate")
 		return nil, ErrBusy
 	}
-	n.Meter.Work(func() { out = n.answer(in) })
-	if size := len(out.Items)*24 + len(out.Members)*48; size > 8192 && !n.Meter.Spend(ctx, size) {
+	n.Meter.TimeCPU(func() { out = n.answer(in) })
+	if size := len(out.Items)*24 + len(out.Members)*48; size > 8192 && !n.Meter.Acquire(ctx, size) {
 		refused("budget")
 		return nil, ErrBusy
 	}
@@ -62,15 +62,15 @@
 	defer n.mu.Unlock()
 	mine, view := n.current()
 	for name, i := range theirs {
-		if own := digest.Know(view, name); own.Newer(i) {
+		if own := digest.ItemOf(view, name); own.Newer(i) {
 			out.Items = append(out.Items, itemTo(own))
 		}
 	}
-	if own := digest.Know(view, n.Service); n.Service != "" && in.GetRoot() != 0 && len(theirs) == 0 {
+	if own := digest.ItemOf(view, n.Service); n.Service != "" && in.GetRoot() != 0 && len(theirs) == 0 {
 		out.Items = append(out.Items, itemTo(own)) // an entry that restarted learns it from here
 	}
 	for _, part := range in.GetCompared() {
-		for _, i := range mine.Items[part%digest.Parts] {
+		for _, i := range mine.Items[part%digest.BucketCount] {
 			if _, said := theirs[i.Name]; !said {
 				out.Items = append(out.Items, itemTo(i))
 			}
@@ -225,7 +225,7 @@
 	n.mu.Lock()
 	out = n.summaryLocked()
 	mine, _ = n.current()
-	for _, part := range mine.Differ(in.GetBuckets()) {
+	for _, part := range mine.DifferingBuckets(in.GetBuckets()) {
 		out.Compared = append(out.Compared, uint32(part))
 		for _, i := range mine.Items[part] {
 			out.Items = append(out.Items, itemTo(i))
@@ -251,7 +251,7 @@
 		return nil, false
 	}
 	exchanged("done")
-	n.Meter.Work(func() {
+	n.Meter.TimeCPU(func() {
 		n.learn(in)
 		theirs := map[string]digest.Item{}
 		for _, i := range in.GetItems()[:min(len(in.GetItems()), maxItems)] {
@@ -266,7 +266,7 @@
 func (n *Node) lack(theirs map[string]digest.Item, link netip.AddrPort) {
 	view := n.Store.View()
 	for name, i := range theirs {
-		if n.holds(name) && i.Newer(digest.Know(view, name)) {
+		if n.holds(name) && i.Newer(digest.ItemOf(view, name)) {
 			n.want(i, link)
 		}
 	}
--- a/internal/node/edge/bench_test.go
+++ b/internal/node/edge/bench_test.go
@@ -23,7 +23,7 @@
 }
 func (fixed) Restore([]byte)                                {}
 func (fixed) Reset(b []byte, _ segs.Segment) []byte         { return b }
-func (fixed) Noticed(netip.Addr, order.Revision)            {}
+func (fixed) ObserveRevision(netip.Addr, order.Revision)    {}
 func (fixed) Leaving(netip.Addr) bool                       { return false }
 func (fixed) Age(time.Time) (age time.Duration, known bool) { return 0, true }
 
--- a/internal/node/edge/edge.go
+++ b/internal/node/edge/edge.go
@@ -43,7 +43,7 @@
 
 // Control is the part of package follow that an entry uses.
 type Control interface {
-	Noticed(from netip.Addr, revision order.Revision)
+	ObserveRevision(from netip.Addr, revision order.Revision)
 	Leaving(agent netip.Addr) bool
 	Age(now time.Time) (age time.Duration, ok bool)
 }
@@ -284,7 +284,7 @@
 	m.Origin, m.Domain = e.Self, belief.DomainHash(e.Domain)
 	m.Revision = v.Revision
 	if server, ok := v.Server(agent); ok {
-		m.Service = belief.Hash(server.Service)
+		m.Service = belief.ServiceHash(server.Service)
 	}
 	e.buf = m.AppendTo(e.buf[:0])
 	e.Wire.ToPeer(agent, e.buf)
--- a/internal/node/local/caller.go
+++ b/internal/node/local/caller.go
@@ -125,7 +125,7 @@
 		if a.Off.Waiting {
 			expected = 0
 		}
-		w := a.waiting.Next(now, expected, a.slots(), a.Log.View().Lowest)
+		w := a.waiting.Next(now, expected, a.slots(), a.Log.View().LowestPriority)
 		if w == nil {
 			return
 		}
--- a/internal/node/local/local.go
+++ b/internal/node/local/local.go
@@ -126,7 +126,7 @@
 func New(c Config) *Agent {
 	return &Agent{
 		Config:   c,
-		hash:     belief.Hash(c.Service),
+		hash:     belief.ServiceHash(c.Service),
 		flows:    owner.NewAgent(flowLimit, c.Off),
 		home:     owner.NewHome(homeLimit),
 		waiting:  hold.New(c.Callers.Patience()),
@@ -150,7 +150,7 @@
 func (a *Agent) SetService(service string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.Service, a.hash = service, belief.Hash(service)
+	a.Service, a.hash = service, belief.ServiceHash(service)
 }
 
 // Waiting is how many flows wait for the server.
--- a/internal/node/opaque/messages.go
+++ b/internal/node/opaque/messages.go
@@ -51,17 +51,17 @@
 		if err != nil {
 			return err
 		}
-		p.follow.Heard(now, from, m)
+		p.follow.HandleBeacon(now, from, m)
 		return nil
 	case msgs.KindNews:
-		c, err := follow.DecodeNews(rest)
+		c, err := follow.DecodeUpdate(rest)
 		if err != nil {
 			return err
 		}
-		p.follow.Learn(now, from, c)
+		p.follow.HandleChange(now, from, c)
 		return nil
 	}
-	p.follow.Noticed(from, h.Revision)
+	p.follow.ObserveRevision(from, h.Revision)
 	switch h.Kind {
 	case msgs.KindAsk:
 		return msgs.Take(h, rest, msgs.ReadAsk, func(m msgs.Ask) { p.vouch.Asked(from, m) })
--- a/internal/node/opaque/messages_test.go
+++ b/internal/node/opaque/messages_test.go
@@ -37,8 +37,8 @@
 		Fetch: func(context.Context, netip.Addr, order.Revision) (belief.Change, error) {
 			return belief.Change{}, context.Canceled
 		},
-		Events: events,
-		Bound:  3 * time.Second,
+		Events:           events,
+		PropagationBound: 3 * time.Second,
 	})}
 }
 
