--- a/internal/ctrl/follow/copy_test.go
+++ b/internal/ctrl/follow/copy_test.go
@@ -11,7 +11,8 @@
 	"mangowinch/internal/flow/order"
 )
 
-// Guards against changes that are passed over because the platform came back from a copy and gave their revisions a second time.
+// Guards against changes that are ignored because the platform's store was restored from a copy and assigned their
+// revision numbers a second time.
 func TestChangesAfterThePlatformCameBackFromACopyAreKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform()
@@ -22,19 +23,19 @@
 			time.Sleep(2 * time.Second)
 		}
 		f.waitForVersion(t, 7)
-		p.set(func() { p.silent = true })
+		p.set(func() { p.unresponsive = true })
 		time.Sleep(2 * time.Second)
 		p.restore(4)
-		p.set(func() { p.silent = false })
+		p.set(func() { p.unresponsive = false })
 		time.Sleep(4 * time.Second)
-		for range 4 { // from below the revision known to above it
+		for range 4 { // from below the last known revision number to above it
 			f.waitForVersion(t, p.change())
 		}
 	})
 }
 
-// Guards against a belief that counts as fresh because of answers that were put aside.
-func TestAnswerOlderThanTheBeliefVouchesForNothing(t *testing.T) {
+// Guards against a belief that counts as fresh because of responses that were discarded as outdated.
+func TestOutdatedAnswerConfirmsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform()
 		f := start(t, 4, func(int) Source { return p })
@@ -42,7 +43,7 @@
 			p.change()
 			time.Sleep(time.Second)
 		}
-		p.setState(func(s state) state { return state{s.at - 3, s.version - 3} }) // and its era doesn't say so
+		p.setState(func(s state) state { return state{s.at - 3, s.version - 3} }) // in the same era
 		time.Sleep(10 * time.Second)
 		for a, n := range f.nodes {
 			age, _ := n.Age(time.Now())
@@ -52,8 +53,9 @@
 	})
 }
 
-// Guards against an answer of the era before that was under way while a peer told of the next one.
-func TestAnswerOfAnEarlierEraVouchesForNothing(t *testing.T) {
+// Guards against a belief that counts as confirmed by a response of the previous era, which was in transit while a peer
+// sent a change of the next era.
+func TestAnswerOfAnEarlierEraConfirmsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := start(t, 1, func(int) Source { return newPlatform() })
 		n := f.nodes[addr(0)]
--- a/internal/ctrl/follow/encode.go
+++ b/internal/ctrl/follow/encode.go
@@ -8,17 +8,17 @@
 	"storj.io/drpc"
 )
 
-// encoding is compressed JSON, which needs no generated code.
+// encoding encodes messages as compressed JSON, which needs no generated code.
 //
-// As plain JSON, a change of a large configuration, or a restart of all processes, puts more on the smallest links than
-// they carry; compressed it is a tenth.
+// As plain JSON, a change of a large configuration or a restart of all processes exceeds the bandwidth of the
+// smallest links; compressed messages are a tenth of the size.
 type encoding struct{}
 
 const (
-	// windowSize is how far back compression looks: names and services repeat within a few routes, and a
-	// small window keeps the memory of each process small.
+	// windowSize is the compression window in bytes. Names and services repeat within a few routes, and a
+	// small window saves memory in each process.
 	windowSize = 256 << 10
-	// maxDecodedSize bounds what a message may grow to, in bytes: 60 times the largest configuration seen.
+	// maxDecodedSize bounds the size of a decompressed message, in bytes: 60 times the largest configuration.
 	maxDecodedSize = 16 << 20
 )
 
@@ -27,7 +27,7 @@
 	decoder = must(zstd.NewReader(nil, zstd.WithDecoderMaxMemory(maxDecodedSize), zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true)))
 )
 
-// must is for options that are constants: an error is one of this file.
+// must panics if an error occurs. It is used for constant options, for which an error is a bug in this file.
 func must[T any](v T, err error) T {
 	if err != nil {
 		panic(err)
@@ -44,13 +44,13 @@
 	return encoder.EncodeAll(text, nil), nil
 }
 
-// servedBytes counts what peers have fetched from this process.
+// servedBytes counts the bytes of all responses to fetches of peers.
 var servedBytes = metrics.NewCounter(`mangowinch_given_bytes_total`)
 
-// countingEncoding is the encoding of answers to peers, whose bytes are counted.
+// countingEncoding is the encoding of responses to peers; it counts their bytes.
 type countingEncoding struct{ encoding }
 
-// Marshal encodes an answer.
+// Marshal encodes a response.
 func (c countingEncoding) Marshal(m drpc.Message) ([]byte, error) {
 	b, err := c.encoding.Marshal(m)
 	servedBytes.Add(len(b))
--- a/internal/ctrl/follow/encode_test.go
+++ b/internal/ctrl/follow/encode_test.go
@@ -14,7 +14,7 @@
 	"mangowinch/internal/ctrl/belief"
 )
 
-// largeConfig is a configuration of many routes, as a change.
+// largeConfig returns a change with a configuration of many routes.
 func largeConfig(routes int) belief.Change {
 	c := &belief.Config{Version: 7, Idle: time.Minute}
 	for i := range routes {
@@ -30,10 +30,10 @@
 	return belief.Change{To: 9, Full: true, Items: []belief.Item{{Key: "config", Revision: 9, Config: c}}}
 }
 
-// An operator adds 1,600 routes; a hundred processes fetch the new configuration, and after a power loss all of them
-// again. The small instances' links were full for seconds, and most of what a day sent between failure domains was
-// configurations: peers sent them as plain JSON.
-func TestLargeConfigurationTravelsSmall(t *testing.T) {
+// Guards against large configurations as plain JSON. When a hundred processes fetch a configuration with 1,600 new
+// routes, or all of them fetch it after a power loss, the links of small instances are full for seconds, and such
+// fetches are most of the traffic between failure domains.
+func TestLargeConfigurationIsCompressed(t *testing.T) {
 	c := largeConfig(1700)
 	text, err := json.Marshal(c)
 	assert.NilError(t, err)
@@ -45,8 +45,8 @@
 	assert.DeepEqual(t, back.Items[0].Config.Routes[1699].Name, c.Items[0].Config.Routes[1699].Name)
 }
 
-// A datagram of a kilobyte must not take the memory of an instance.
-func TestMessageThatGrowsTooFarIsRefused(t *testing.T) {
+// Guards against a datagram of a kilobyte that decompresses to more than the memory of an instance.
+func TestMessageThatDecompressesTooLargeIsRefused(t *testing.T) {
 	w, err := zstd.NewWriter(nil)
 	assert.NilError(t, err)
 	b := w.EncodeAll([]byte(`{"Items":["`+strings.Repeat("a", maxDecodedSize+1)+`"]}`), nil)
@@ -54,7 +54,7 @@
 	assert.ErrorIs(t, err, zstd.ErrDecoderSizeExceeded)
 }
 
-func FuzzNewsIsReadOrRefused(f *testing.F) {
+func FuzzDecodeUpdate(f *testing.F) {
 	b, err := encoding{}.Marshal(largeConfig(3))
 	assert.NilError(f, err)
 	f.Add(b)
@@ -62,7 +62,8 @@
 	f.Fuzz(func(_ *testing.T, b []byte) { _, _ = DecodeUpdate(b) })
 }
 
-// On an idle core 1.5 ms, of which compression takes 0.5 ms; plain JSON took 1.0 ms and 13 times the bytes.
+// On an idle core an encoding takes 1.5 ms, of which compression takes 0.5 ms. Plain JSON takes 1.0 ms and 13 times the
+// bytes.
 func BenchmarkEncodeConfiguration(b *testing.B) {
 	c := largeConfig(1700)
 	for b.Loop() {
--- a/internal/ctrl/follow/evacuate.go
+++ b/internal/ctrl/follow/evacuate.go
@@ -11,7 +11,7 @@
 // evacuatedDomains is the number of failure domains whose servers get no new flows.
 var evacuatedDomains = metrics.NewGauge(`mangowinch_evacuated_domains`, nil)
 
-// logEvacuations writes which failure domains were evacuated or taken back since a view.
+// logEvacuations logs the failure domains whose evacuation began or was revoked since a view.
 func (n *Node) logEvacuations(before *belief.View) {
 	v := n.Log.View()
 	old, now := before.EvacuatedDomains(), v.EvacuatedDomains()
--- a/internal/ctrl/follow/fetch.go
+++ b/internal/ctrl/follow/fetch.go
@@ -19,25 +19,27 @@
 )
 
 const (
-	// method is the one call between processes.
+	// method is the only RPC method between processes.
 	method = "/follow/Since"
-	// fetchTimeout bounds a fetch from a peer; a peer that needs longer is slow or gone, and another tells.
+	// fetchTimeout bounds a fetch from a peer. A peer that takes longer is slow or down, and the next beacon of
+	// another peer starts a new fetch.
 	fetchTimeout = 600 * time.Millisecond
-	// fetchPause spaces fetches, so that a row of changes is fetched together.
+	// fetchPause is the pause after each fetch, so that several changes in quick succession are fetched together.
 	fetchPause = 20 * time.Millisecond
-	// nearDelay is how long a process waits for news under way before it fetches a change: within a failure domain they
-	// take a few milliseconds. farPause is how long it leaves that to its domain before it asks a peer of another one.
+	// nearDelay is how long a process waits for an update in transit before it fetches the change from a peer of its
+	// own failure domain, within which an update takes a few milliseconds. farDelay is how long it waits for a peer of
+	// its own domain before it fetches from another domain.
 	nearDelay = 20 * time.Millisecond
 	farDelay  = 100 * time.Millisecond
-	// maxServed is how many peers a process gives changes to at a time. After a restart of all, the first to know
-	// anything was asked by hundreds at once, and none of them got an answer in time.
+	// maxServed bounds the fetches that a process serves at a time. After a restart of the whole fleet, hundreds of
+	// peers fetch from the first process that has a belief, and without the bound none of them gets its response in time.
 	maxServed = 16
 )
 
-// sinceRequest asks for what is newer than a revision.
+// sinceRequest requests the changes after a revision.
 type sinceRequest struct{ Revision order.Revision }
 
-// Dial is the Fetch of a Config: it calls a peer that runs Serve at the given port.
+// Dial returns a function for Config.Fetch, which calls peers that run Serve at the given port.
 func Dial(port uint16) func(ctx context.Context, peer netip.Addr, revision order.Revision) (belief.Change, error) {
 	return func(ctx context.Context, peer netip.Addr, revision order.Revision) (c belief.Change, err error) {
 		defer func() { err = errors.Wrapf(err, "fetch changes from %s", peer) }()
@@ -53,23 +55,23 @@
 	}
 }
 
-// Serve answers peers' fetches until ctx ends.
+// Serve serves fetches of peers until ctx ends.
 func Serve(ctx context.Context, l net.Listener, log *belief.Log) error {
 	return drpcserver.New(handler{log, make(chan struct{}, maxServed)}).Serve(ctx, l)
 }
 
 type handler struct {
 	log      *belief.Log
-	inFlight chan struct{} // holds one for each fetch under way
+	inFlight chan struct{} // one element for each fetch in progress
 }
 
-// errBusy says that enough peers are being given changes. Others know them too by the time that this one is asked again.
-var errBusy = errors.New("enough fetches under way")
+// errBusy is returned when maxServed fetches are in progress. By the time of a retry, other peers have the changes too.
+var errBusy = errors.New("too many concurrent fetches")
 
-// HandleRPC answers one call.
+// HandleRPC serves one call.
 func (h handler) HandleRPC(s drpc.Stream, rpc string) error {
 	if rpc != method {
-		return errors.Newf("unknown call %q", rpc)
+		return errors.Newf("unknown RPC method %q", rpc)
 	}
 	var in sinceRequest
 	if err := s.MsgRecv(&in, encoding{}); err != nil {
@@ -85,21 +87,21 @@
 	return s.MsgSend(&out, countingEncoding{})
 }
 
-// fetchPeer is a peer that knows more than this process.
+// fetchPeer is a peer whose belief has a higher revision than this process's.
 type fetchPeer struct {
 	addr       netip.Addr
-	revision   order.Revision // 0: nobody
-	asOf       time.Time      // its belief is known to be complete as of then; zero: not known
-	sameDomain bool           // it is in this process's failure domain
-	candidates int            // peers among which it was drawn
+	revision   order.Revision // 0: no peer
+	asOf       time.Time      // when the peer's belief was last confirmed as complete; zero if unknown
+	sameDomain bool           // the peer is in this process's failure domain
+	candidates int            // number of equally good peers among which it was drawn
 }
 
-// ObserveRevision says that a peer is complete up to a revision, as every message tells.
+// ObserveRevision records that a peer's belief is complete up to a revision, which every message states.
 func (n *Node) ObserveRevision(from netip.Addr, revision order.Revision) {
 	n.observe(fetchPeer{addr: from, revision: revision})
 }
 
-// observe takes a peer into account that may be ahead.
+// observe considers a peer as a source for the next fetch if its revision is higher than this process's.
 func (n *Node) observe(a fetchPeer) {
 	known := n.Log.Revision()
 	if a.revision <= known {
@@ -115,8 +117,9 @@
 	wake(n.startFetching)
 }
 
-// consider takes a peer that is ahead into account: near ones go before others, and of equals one is drawn. The first to be
-// heard are the same for all when all start at once, and would have to give everything to everybody.
+// consider replaces the chosen peer by another one if that is preferred: a peer of the same failure domain is preferred
+// to others, and among equal ones the choice is random. When the whole fleet starts, all processes receive beacons from
+// the same few peers first, which would otherwise have to serve everyone.
 func (a *fetchPeer) consider(other fetchPeer) {
 	switch {
 	case a.revision == 0 || other.sameDomain && !a.sameDomain:
@@ -131,7 +134,7 @@
 	}
 }
 
-// fetchLoop asks peers that know more, one at a time.
+// fetchLoop fetches changes from peers with higher revisions, one peer at a time.
 func (n *Node) fetchLoop(ctx context.Context) {
 	for {
 		select {
@@ -147,8 +150,8 @@
 	}
 }
 
-// fetchDelay is how long news are waited for. An entry that knows nothing waits for nobody; an agent carries packets without
-// knowing anything, and hears of more peers to choose from meanwhile.
+// fetchDelay returns how long to wait for an update in transit before fetching. An entry without a belief fetches at
+// once. An agent forwards packets without a belief; while it waits, it receives beacons from more peers to choose from.
 func (n *Node) fetchDelay() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -162,7 +165,7 @@
 	}
 }
 
-// takeFetchPeer returns whom to ask, if anybody still knows more.
+// takeFetchPeer returns the peer to fetch from, if its revision is still higher than this process's, and resets it.
 func (n *Node) takeFetchPeer() (a fetchPeer, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -170,6 +173,7 @@
 	return a, a.revision > n.Log.Revision()
 }
 
+// fetch fetches the missing changes from a peer and applies them.
 func (n *Node) fetch(ctx context.Context, from fetchPeer) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
@@ -185,7 +189,7 @@
 	n.confirmFetched(from)
 }
 
-// confirmFetched makes the belief as fresh as that of a peer from which it was fetched.
+// confirmFetched takes over the confirmation time of a peer from which the belief was fetched.
 func (n *Node) confirmFetched(from fetchPeer) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/ctrl/follow/follow.go
+++ b/internal/ctrl/follow/follow.go
@@ -1,22 +1,23 @@
-// Package follow keeps a process's belief up to date: a few processes read the
-// platform, all others hear from them.
+// Package follow keeps a process's belief up to date: a few processes, the readers, read the
+// platform, and all others receive its changes from their peers.
 //
-// It exists because every call to the platform has a price, and because a process may
-// lose the platform while its peers don't. Each process knows how old its belief is:
-// the time at which somebody last saw the platform confirm it. Processes tell
-// each other their revision and its age in beacons, and the one that is behind fetches what it lacks from
-// the one that is ahead. Whoever finds its belief older than the time in which a change must be
-// in force allows reads the platform itself, whoever hears enough other readers stops.
-// So nobody is elected, and any part of a partition that reaches the platform gets a reader by itself.
+// It exists because every call to the platform has a cost, and because a process may lose its
+// connection to the platform while its peers keep theirs. Each process tracks the age of its belief:
+// the time since any process saw the platform confirm it. Processes send each other their revision
+// and its age in beacons, and a process with a lower revision fetches the missing changes from one
+// with a higher revision. A process reads the platform itself once its belief is so old that changes
+// might not take effect in time, and stops once it knows of enough other readers. So there is no
+// leader election, and each side of a network partition that reaches the platform gets its own
+// reader.
 //
-// The package knows no names and no format of the platform (Source translates), and it
-// decides nothing about flows.
+// The package depends on no names or formats of the platform, which a Source translates, and it
+// makes no decisions about flows.
 //
 // # Usage
 //
-//	node := follow.New(follow.Config{Self: self, Role: msgs.Entry, Log: log, Source: source, Send: send, Events: events, Bound: bound})
+//	node := follow.New(follow.Config{Self: self, Role: msgs.Entry, Log: log, Source: source, Send: send, Events: events, PropagationBound: bound})
 //	go node.Run(ctx)
-//	node.Heard(from, beacon) // from the socket's goroutine
+//	node.HandleBeacon(now, from, beacon) // from the goroutine that reads the socket
 package follow
 
 import (
@@ -35,13 +36,13 @@
 
 // Source reads the platform.
 type Source interface {
-	// List returns everything, as a full change.
+	// List returns all items, as a full change.
 	List(ctx context.Context) (belief.Change, error)
-	// Watch waits for changes after a revision; it returns ErrHistory if the platform has forgotten some of them.
+	// Watch waits for changes after a revision. It returns ErrHistory if the platform no longer has all of them.
 	Watch(ctx context.Context, after order.Revision, wait time.Duration) (belief.Change, error)
 }
 
-// Config is what a Node is made of.
+// Config configures a Node.
 type Config struct {
 	Self   netip.Addr
 	Role   msgs.Role
@@ -50,35 +51,35 @@
 	Log    *belief.Log
 	Source Source
 	Send   func(to netip.Addr, message []byte)
-	// Fetch asks a peer for what is newer than a revision.
+	// Fetch requests the changes after a revision from a peer.
 	Fetch            func(ctx context.Context, peer netip.Addr, since order.Revision) (belief.Change, error)
 	Events           *event.Log
-	PropagationBound time.Duration // a change is in force everywhere within this time of its acceptance
+	PropagationBound time.Duration // maximum time from the acceptance of a change until it is in force everywhere
 	// Changed is called after the view has changed. It must not block.
 	Changed func()
 }
 
 const (
-	// TickInterval is how often Node.Run looks at its clocks.
+	// TickInterval is the interval of the periodic work in Node.Run.
 	TickInterval = 100 * time.Millisecond
-	// wantedReaders is how many processes read at a time: a second one bridges the
-	// second or two that a lost answer costs the first.
+	// wantedReaders is how many processes read the platform at a time. The second reader covers the
+	// second or two that the first one loses when a response is lost.
 	wantedReaders = 2
-	// wantedProbers is how many processes call a platform that doesn't answer.
+	// wantedProbers is how many processes keep calling a platform that doesn't respond.
 	wantedProbers = 4
-	// gossipInterval is how often a process tells a random peer what it knows. It heals
-	// what lost datagrams left behind and spreads who is there.
+	// gossipInterval is how often a process sends its beacon to a random peer. Gossip repairs the effects
+	// of lost datagrams and spreads the addresses of entries.
 	gossipInterval = time.Second
-	// maxGreetings is how often a process that has started tells all processes that it knows by then. After four hellos it
-	// has heard of all but a few of a hundred.
+	// maxGreetings is how many times a started process sends its beacon to all processes that it knows.
+	// After four rounds of helloInterval it knows all but a few of a hundred processes.
 	maxGreetings = 4
-	// helloInterval is how often a process that knows nothing asks seeds and agents.
+	// helloInterval is how often a process without a belief sends its beacon to seeds and agents.
 	helloInterval = 200 * time.Millisecond
-	// agentStartDelay is how long a starting agent waits for others to tell it before it may read
-	// itself: an agent carries packets without any belief.
+	// agentStartDelay is how long a starting agent waits for updates from peers before it may read the
+	// platform itself. It can wait because an agent forwards packets without a belief.
 	agentStartDelay = 700 * time.Millisecond
-	// peerTTL is how long a peer that isn't heard of is kept in mind: gossip among 100
-	// processes reaches each within seconds.
+	// peerTTL is how long a peer is kept after the last sign of it. Gossip among 100 processes reaches
+	// each of them within seconds.
 	peerTTL = 10 * time.Second
 )
 
@@ -86,24 +87,24 @@
 type Node struct {
 	Config
 	start         time.Time
-	startReading  chan struct{} // wakes the reading goroutine
-	startFetching chan struct{} // wakes the fetching goroutine
+	startReading  chan struct{} // wakes readLoop
+	startFetching chan struct{} // wakes fetchLoop
 
-	// mu guards what follows.
+	// mu guards the fields below.
 	mu            sync.Mutex
-	asOf          time.Time // the belief is known to be complete as of then
+	asOf          time.Time // when the belief was last confirmed as complete; zero if never
 	peers         map[netip.Addr]*peer
-	firstOffer    time.Time // when a peer that knew something was first heard by this process, which knew nothing
-	fetchFrom     fetchPeer // whom to ask for what this process lacks
+	firstOffer    time.Time // when this process, without a belief, first received a message of a peer that has one
+	fetchFrom     fetchPeer // the source of the next fetch
 	reading       bool
 	leaving       bool
 	lastGossip    time.Time
-	gossipCount   int  // how often a random peer was told
-	platformLost  bool // the platform doesn't answer
-	greetingsSent int  // how often all known processes were told that this one is there
+	gossipCount   int  // number of beacons to random peers
+	platformLost  bool // the platform doesn't respond to this process
+	greetingsSent int  // number of beacons to all known processes after the start
 }
 
-// New returns a node that knows nothing.
+// New returns a node without a belief.
 func New(c Config) *Node {
 	if c.Changed == nil {
 		c.Changed = func() {}
@@ -111,15 +112,15 @@
 	return &Node{Config: c, start: time.Now(), startReading: make(chan struct{}, 1), startFetching: make(chan struct{}, 1), peers: map[netip.Addr]*peer{}}
 }
 
-// watchWait is how long a reader's call waits for a change: a third of the bound, so that a lost
-// answer is noticed, and the change read anew, within the bound.
+// watchWait returns how long a reader's watch waits for a change: a third of the propagation bound, so
+// that a lost response is detected, and the change is read again, within the bound.
 func (n *Node) watchWait() time.Duration { return n.PropagationBound / 3 }
 
-// staleAfter is the age of a belief from which a process reads the platform itself. It leaves half
-// of the bound for noticing, reading and spreading.
+// staleAfter returns the age of a belief from which a process reads the platform itself. It leaves half
+// of the propagation bound for detecting, reading and distributing a change.
 func (n *Node) staleAfter() time.Duration { return n.PropagationBound / 2 }
 
-// Run works until ctx ends.
+// Run keeps the belief up to date until ctx ends.
 func (n *Node) Run(ctx context.Context) {
 	go n.readLoop(ctx)
 	go n.fetchLoop(ctx)
@@ -136,7 +137,7 @@
 	}
 }
 
-// Leave makes beacons say that the process is being stopped, and tells all peers.
+// Leave marks the process as leaving in its beacons, and sends one to its peers.
 func (n *Node) Leave() {
 	n.mu.Lock()
 	n.leaving = true
@@ -144,14 +145,14 @@
 	n.announce(time.Now(), nil, false)
 }
 
-// SetSeeds replaces the addresses that a process without peers asks.
+// SetSeeds replaces the addresses that a process without peers contacts.
 func (n *Node) SetSeeds(seeds []netip.Addr) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.Seeds = seeds
 }
 
-// Age returns how long ago the belief is known to have been complete.
+// Age returns the time since the belief was last confirmed as complete, and false if it never was.
 func (n *Node) Age(now time.Time) (age time.Duration, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -161,14 +162,14 @@
 	return now.Sub(n.asOf), true
 }
 
-// Reading says whether the process reads the platform itself.
+// Reading reports whether the process reads the platform itself.
 func (n *Node) Reading() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.reading
 }
 
-// tick does what time asks for.
+// tick does the periodic work: it expires peers, starts reading if necessary, and sends beacons.
 func (n *Node) tick(now time.Time) {
 	if n.Log.Tick(now) {
 		n.Changed()
@@ -193,9 +194,10 @@
 	reply := n.asOf.IsZero()
 	switch {
 	case n.greetingsSent < maxGreetings && !n.asOf.IsZero() && now.Sub(n.lastGossip) >= helloInterval:
-		// Its predecessor at this address said that it was leaving, and until others hear otherwise
-		// they give an agent no new flows; gossip takes seconds. The replies name further processes. Seeds are greeted since
-		// an entry that has listed everything at once may have heard of nobody.
+		// The previous process at this address announced that it was leaving, and peers send an agent no new
+		// flows until they receive a beacon that says otherwise, which takes seconds by gossip alone. The replies
+		// name more processes. Seeds are included because an entry that has just listed the platform may not
+		// know any other process.
 		n.greetingsSent++
 		reply = true
 		n.lastGossip = now
@@ -205,7 +207,7 @@
 		to = n.gossipTo()
 	}
 	if starts && n.probing(now) {
-		to = n.sample(n.knownProcesses(), maxDirect) // before they begin too
+		to = n.sample(n.knownProcesses(), maxDirect) // so that they don't start calling the platform too
 	}
 	message := n.beacon(now, reply)
 	n.mu.Unlock()
@@ -214,7 +216,7 @@
 	}
 }
 
-// HandleChange takes a change in that came from a peer, and passes it on.
+// HandleChange applies a change that was received from a peer, and sends it on.
 func (n *Node) HandleChange(now time.Time, from netip.Addr, c belief.Change) {
 	before := n.Log.View()
 	switch n.Log.Apply(now, c) {
@@ -230,10 +232,11 @@
 	}
 }
 
-// unreadableItems counts items of another writer, and configurations that can't be read; the last good one stays.
+// unreadableItems counts items that can't be parsed, such as those of a writer with another format. When it is the
+// configuration, the last valid one stays in force.
 var unreadableItems = metrics.NewCounter(`mangowinch_unreadable_items_total`)
 
-// logChange logs and counts news.
+// logChange logs and counts an applied change. by names its source: "peer" or "platform".
 func (n *Node) logChange(now time.Time, by string, c belief.Change) {
 	for _, i := range c.Items {
 		if i.Unreadable() {
@@ -248,6 +251,7 @@
 		Dur("age", now.Sub(n.start)).Send()
 }
 
+// wake signals a goroutine that waits on c, unless a signal is already pending.
 func wake(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/internal/ctrl/follow/follow_test.go
+++ b/internal/ctrl/follow/follow_test.go
@@ -21,29 +21,29 @@
 
 const bound = 3 * time.Second
 
-// state is what a platform holds at one time.
+// state is the content of a platform at one time.
 type state struct {
 	at      order.Revision
-	version int64 // of the configuration; it never goes back
+	version int64 // of the configuration; it never decreases
 }
 
-// platform is a Source that can be down, silent, forget its history, or come back from a copy.
+// platform is a Source that can be down, unresponsive, discard its history, or be restored from a copy.
 type platform struct {
-	mu        sync.Mutex
-	state     state
-	calls     int
-	down      bool
-	silent    bool
-	truncated bool
-	servers   int // the platform lists servers beside the last so many nodes of a fleet
-	changed   chan struct{}
+	mu           sync.Mutex
+	state        state
+	calls        int
+	down         bool
+	unresponsive bool
+	truncated    bool
+	servers      int // the platform lists a server for each of the first so many agents of a fleet
+	changed      chan struct{}
 }
 
 func newPlatform() *platform {
 	return &platform{state: state{at: 1, version: 1}, changed: make(chan struct{})}
 }
 
-// setState replaces the state, and wakes watches.
+// setState replaces the state by the result of next, wakes the watches, and returns the new state.
 func (p *platform) setState(next func(state) state) (now state) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -53,12 +53,12 @@
 	return p.state
 }
 
-// change writes a configuration, and returns its version.
+// change writes a new configuration, and returns its version.
 func (p *platform) change() (version int64) {
 	return p.setState(func(s state) state { return state{s.at + 1, s.version + 1} }).version
 }
 
-// restore brings the platform back from a copy that was made at the change with a number.
+// restore restores the platform's store from a copy that was made at the revision with a number, in the next era.
 func (p *platform) restore(number uint64) {
 	p.setState(func(s state) state { return state{order.At(s.at.Era()+1, number), s.version} })
 }
@@ -78,7 +78,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.calls++
-	if p.silent {
+	if p.unresponsive {
 		p.mu.Unlock()
 		<-ctx.Done()
 		p.mu.Lock()
@@ -94,7 +94,7 @@
 	return belief.Item{Key: "config", Revision: s.at, Config: &belief.Config{Version: s.version}}
 }
 
-// List is part of Source.
+// List implements Source.
 func (p *platform) List(ctx context.Context) (belief.Change, error) {
 	s, _, err := p.call(ctx)
 	items := []belief.Item{s.item()}
@@ -107,7 +107,7 @@
 	return belief.Change{To: s.at, Full: true, Items: items}, err
 }
 
-// Watch is part of Source.
+// Watch implements Source.
 func (p *platform) Watch(ctx context.Context, after order.Revision, wait time.Duration) (belief.Change, error) {
 	s, changed, err := p.call(ctx)
 	if err != nil {
@@ -135,15 +135,15 @@
 }
 
 func init() {
-	encodeUpdate(belief.Change{}) // the encoder's channels must not belong to the bubble of one test
+	encodeUpdate(belief.Change{}) // creates the encoder's channels outside of any test's synctest bubble
 }
 
-// fleet is some nodes that reach each other in memory.
+// fleet is a set of nodes that exchange messages in memory.
 type fleet struct {
-	mu     sync.Mutex
-	nodes  map[netip.Addr]*Node
-	cut    map[netip.Addr]bool
-	onSend func(from, to netip.Addr, message []byte) // is told of each message; nil: nobody is
+	mu       sync.Mutex
+	nodes    map[netip.Addr]*Node
+	isolated map[netip.Addr]bool                       // nodes without network
+	onSend   func(from, to netip.Addr, message []byte) // called for each message, unless nil
 }
 
 func addr(i int) netip.Addr { return netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}) }
@@ -161,10 +161,10 @@
 // domainOf spreads processes over five failure domains.
 func domainOf(a netip.Addr) string { return fmt.Sprintf("zg-%d", a.As4()[3]%5) }
 
-// start makes a fleet whose node i reads source(i).
+// start starts a fleet whose node i reads source(i).
 func start(t *testing.T, count int, source func(i int) Source) *fleet {
 	t.Helper()
-	f := &fleet{nodes: map[netip.Addr]*Node{}, cut: map[netip.Addr]bool{}}
+	f := &fleet{nodes: map[netip.Addr]*Node{}, isolated: map[netip.Addr]bool{}}
 	events := event.New(io.Discard, "test", "follow")
 	for i := range count {
 		self := addr(i)
@@ -183,7 +183,7 @@
 	}
 	t.Cleanup(func() {
 		cancel()
-		time.Sleep(bound) // messages under way arrive
+		time.Sleep(bound) // until messages in transit have arrived
 		events.Close()
 	})
 	return f
@@ -192,7 +192,7 @@
 func (f *fleet) reaches(from, to netip.Addr) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.cut[from] && !f.cut[to]
+	return !f.isolated[from] && !f.isolated[to]
 }
 
 func (f *fleet) node(a netip.Addr) *Node {
@@ -244,7 +244,7 @@
 	return count
 }
 
-// waitForRevision waits until all nodes that are not cut off have a revision.
+// waitForRevision waits until all nodes that are not cut off have at least a revision.
 func (f *fleet) waitForRevision(t *testing.T, revision order.Revision, within time.Duration) {
 	t.Helper()
 	began := time.Now()
@@ -256,7 +256,8 @@
 	}
 }
 
-// With every process watching, 72 processes made 5,400 calls on a quiet day. Two read, whatever the size.
+// Guards against every process watching the platform, which makes 5,400 calls a day for 72 processes without changes.
+// Two processes must read, whatever the size of the fleet.
 func TestFewProcessesReadThePlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform()
@@ -281,8 +282,9 @@
 	})
 }
 
-// A process is cut off from the platform, or turned away by it, while its peers are served. It must not stay behind.
-func TestProcessWithoutThePlatformHearsFromPeers(t *testing.T) {
+// Guards against an outdated belief of a process that can't reach the platform, or is refused by it, while its peers are
+// served.
+func TestProcessWithoutThePlatformReceivesUpdatesFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, dead := newPlatform(), newPlatform()
 		dead.down = true
@@ -298,16 +300,16 @@
 	})
 }
 
-// All readers are cut off at the moment of a change: the answers to their watches are lost for good, and so are they. Some
-// other process notices that its belief grows old, and reads, within the bound.
-func TestOthersReadWhenReadersAreLost(t *testing.T) {
+// Guards against a change that is lost because all readers are cut off at that moment, and never recover. Another process
+// must detect that its belief is too old, and read the platform within the propagation bound.
+func TestOthersReadWhenReadersFail(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform()
 		f := start(t, 8, func(int) Source { return p })
 		time.Sleep(10 * time.Second)
 		f.mu.Lock()
 		for a, n := range f.nodes {
-			f.cut[a] = n.Reading()
+			f.isolated[a] = n.Reading()
 		}
 		f.mu.Unlock()
 		p.change()
@@ -315,8 +317,8 @@
 	})
 }
 
-// A process is stopped as planned and starts again at its address. Its peers had heard that it was leaving; an agent got no
-// new flows until gossip reached each of them, which took seconds.
+// Guards against a restarted process that its peers still consider leaving, because the previous process at its address
+// announced a graceful shutdown. Until gossip reaches each peer, which takes seconds, an agent gets no new flows.
 func TestRestartedProcessIsNoLongerLeaving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform()
@@ -327,12 +329,12 @@
 		time.Sleep(100 * time.Millisecond)
 		assert.Assert(t, f.nodes[addr(5)].Leaving(addr(3)))
 
-		again := New(left.Config)
-		again.Log = belief.New()
+		restarted := New(left.Config)
+		restarted.Log = belief.New()
 		f.mu.Lock()
-		f.nodes[addr(3)] = again
+		f.nodes[addr(3)] = restarted
 		f.mu.Unlock()
-		go again.Run(t.Context())
+		go restarted.Run(t.Context())
 		time.Sleep(time.Second)
 		for a, n := range f.nodes {
 			assert.Assert(t, a == addr(3) || !n.Leaving(addr(3)), a)
@@ -340,28 +342,28 @@
 	})
 }
 
-// The platform answers nobody for a while, and connections hang. What is known stays, its age is told, and
-// once it is back everybody is up to date within the bound.
-func TestPlatformSilentForAWhile(t *testing.T) {
+// Guards against losing the belief, or reporting a wrong age, while the platform doesn't respond to any process and
+// connections hang. After it recovers, all processes must be up to date within the propagation bound.
+func TestPlatformUnresponsiveForAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform()
 		f := start(t, 4, func(int) Source { return p })
 		time.Sleep(5 * time.Second)
-		p.set(func() { p.silent = true })
+		p.set(func() { p.unresponsive = true })
 		time.Sleep(20 * time.Second)
 		for _, n := range f.nodes {
 			age, ok := n.Age(time.Now())
 			assert.Assert(t, ok && age > 15*time.Second, age)
 			assert.Equal(t, n.Log.Revision(), order.Revision(1))
 		}
-		p.set(func() { p.silent = false })
+		p.set(func() { p.unresponsive = false })
 		p.change()
 		f.waitForRevision(t, 2, bound)
 	})
 }
 
-// The platform has forgotten the changes that a reader missed: it lists everything anew.
-func TestForgottenHistoryIsListedAnew(t *testing.T) {
+// Guards against changes that a reader misses because the platform has discarded them: the reader must list again.
+func TestDiscardedHistoryIsListedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform()
 		f := start(t, 2, func(int) Source { return p })
@@ -372,7 +374,7 @@
 	})
 }
 
-// waitForVersion waits until all nodes have a version of the configuration, within the bound.
+// waitForVersion waits until all nodes have at least a version of the configuration, for the propagation bound at most.
 func (f *fleet) waitForVersion(t *testing.T, version int64) {
 	t.Helper()
 	began := time.Now()
--- a/internal/ctrl/follow/peers.go
+++ b/internal/ctrl/follow/peers.go
@@ -10,17 +10,17 @@
 	"mangowinch/internal/flow/order"
 )
 
-// peer is what is known of another process.
+// peer is the state of another process, as its beacons and those of others describe it.
 type peer struct {
 	role        msgs.Role
-	domain      uint8 // belief.DomainHash; 0 until it has been heard
-	lastSeen    time.Time
-	lastReading time.Time // last heard as a reader
-	lastProbing time.Time // last heard calling the platform without an answer
+	domain      uint8     // belief.DomainHash; 0 until a beacon of the peer is received
+	lastSeen    time.Time // last known sign of the peer
+	lastReading time.Time // when it was last known to be a reader
+	lastProbing time.Time // when it last reported calling the platform without a response
 	leaving     bool
 }
 
-// Leaving says whether a peer has said that it is being stopped.
+// Leaving reports whether a peer has announced that it is being stopped.
 func (n *Node) Leaving(a netip.Addr) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -28,16 +28,16 @@
 	return p != nil && p.leaving
 }
 
-// Entries returns the entries heard of lately.
+// Entries returns the entries seen within peerTTL.
 func (n *Node) Entries() []netip.Addr {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.knownEntries()
 }
 
-// gossipTo picks whom to tell now: a random peer, or all seeds and agents for who
-// knows nothing yet. Every process knows all agents and only some entries, so that entries would hear from peers far less often than agents do; so they
-// tell each other every other time. n.mu is held.
+// gossipTo picks the recipients of the next gossip beacon: a random peer, or all seeds and known processes if this
+// process has no belief yet. Every process knows all agents but only some entries, so entries would receive far fewer
+// beacons than agents. Therefore an entry sends every second beacon to another entry. n.mu is held.
 func (n *Node) gossipTo() (to []netip.Addr) {
 	if n.asOf.IsZero() {
 		to = append(to, n.Seeds...)
@@ -50,12 +50,12 @@
 	return n.sample(n.knownProcesses(), 1)
 }
 
-// knownProcesses returns all processes known: peers heard of and agents of servers. n.mu is held.
+// knownProcesses returns all known processes: the entries seen lately, and the agents of all servers. n.mu is held.
 func (n *Node) knownProcesses() []netip.Addr {
 	return append(n.knownEntries(), n.Log.View().Homes.Agents()...)
 }
 
-// knownEntries returns the entries heard of lately. n.mu is held.
+// knownEntries returns the entries seen within peerTTL. n.mu is held.
 func (n *Node) knownEntries() (list []netip.Addr) {
 	for a, p := range n.peers {
 		if p.role == msgs.Entry {
@@ -65,7 +65,7 @@
 	return list
 }
 
-// sample returns at most limit of the addresses at random, none of them its own.
+// sample returns at most limit random addresses of all, without this process's own.
 func (n *Node) sample(all []netip.Addr, limit int) (to []netip.Addr) {
 	rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	for _, a := range all {
@@ -76,10 +76,10 @@
 	return to
 }
 
-// beaconPeers is how many entries a beacon names, so that agents and entries learn of each other.
+// beaconPeers is how many entries a beacon names, so that agents and entries discover each other.
 const beaconPeers = 4
 
-// beacon encodes what the process knows. n.mu is held.
+// beacon encodes a beacon of this process. n.mu is held.
 func (n *Node) beacon(now time.Time, reply bool) []byte {
 	m := msgs.Beacon{Role: n.Role, Domain: belief.DomainHash(n.Domain), Reader: n.reading && !n.platformLost && !n.asOf.IsZero(), Trying: n.probing(now), Leaving: n.leaving, Reply: reply, Age: msgs.MaxAge}
 	m.Revision = n.Log.Revision()
@@ -95,16 +95,16 @@
 	return m.AppendTo(nil)
 }
 
-// addEntry notes that a process is an entry, as a beacon says. n.mu is held.
+// addEntry adds an entry that a peer's beacon names. n.mu is held.
 func (n *Node) addEntry(now time.Time, a netip.Addr) {
 	p := n.peerAt(a)
 	if p.role != 0 {
-		return // heard of it by its own word
+		return // its role is known already
 	}
 	p.role, p.lastSeen = msgs.Entry, now
 }
 
-// knownReaders returns other processes that read, as beacons name them: as many as are wanted. n.mu is held.
+// knownReaders returns at most wantedReaders other processes that read the platform, for a beacon. n.mu is held.
 func (n *Node) knownReaders(now time.Time) (list []msgs.Reader) {
 	for a, p := range n.peers {
 		if len(list) < wantedReaders && !p.leaving && now.Sub(p.lastReading) < 2*n.watchWait() {
@@ -114,8 +114,9 @@
 	return list
 }
 
-// mergeReaders notes which processes a peer knows to read. In a large fleet few hear a reader itself, and whoever hears of too few
-// reads. Ages add up on the way, so that a reader that is gone is forgotten everywhere. n.mu is held.
+// mergeReaders adds the readers that a peer's beacon names. In a large fleet only a few processes receive beacons from
+// a reader itself, and a process that knows of too few readers starts to read. The ages add up from peer to peer, so
+// that a reader that is down is forgotten everywhere. n.mu is held.
 func (n *Node) mergeReaders(now time.Time, readers []msgs.Reader) {
 	for _, r := range readers {
 		if r.Process == n.Self {
@@ -132,7 +133,7 @@
 	}
 }
 
-// HandleBeacon takes a beacon in.
+// HandleBeacon updates the state of the peer that sent a beacon, and replies, relays or fetches as needed.
 func (n *Node) HandleBeacon(now time.Time, from netip.Addr, m msgs.Beacon) {
 	n.mu.Lock()
 	p := n.peerAt(from)
@@ -165,7 +166,7 @@
 	n.observe(fetchPeer{addr: from, revision: m.Revision, asOf: confirmedAt(now, m)})
 }
 
-// confirmedAt is as of when a beacon's sender knows its belief to be complete; zero: it doesn't know.
+// confirmedAt returns when the belief of a beacon's sender was last confirmed as complete, or zero if never.
 func confirmedAt(now time.Time, m msgs.Beacon) time.Time {
 	if m.Age == msgs.MaxAge {
 		return time.Time{}
@@ -173,6 +174,7 @@
 	return now.Add(-time.Duration(m.Age)*time.Millisecond - maxTransit)
 }
 
+// peerAt returns the peer with an address, and adds it if necessary. n.mu is held.
 func (n *Node) peerAt(a netip.Addr) *peer {
 	p := n.peers[a]
 	if p == nil {
@@ -182,11 +184,11 @@
 	return p
 }
 
-// maxTransit is what a beacon's way is taken to last at most when its age is used: the
-// longest way within a region is 1 ms, between regions 20 ms.
+// maxTransit is the assumed maximum transit time of a beacon, by which the ages in it are increased. The
+// maximum latency is 1 ms within a region and 20 ms between regions.
 const maxTransit = 25 * time.Millisecond
 
-// confirmFromBeacon makes the belief as fresh as a peer's that doesn't know more. n.mu is held.
+// confirmFromBeacon takes over the confirmation time of a peer whose belief isn't newer. n.mu is held.
 func (n *Node) confirmFromBeacon(now time.Time, m msgs.Beacon) {
 	asOf := confirmedAt(now, m)
 	if covers(n.Log.Revision(), m.Revision) && asOf.After(n.asOf) {
@@ -194,8 +196,8 @@
 	}
 }
 
-// covers says whether a belief that is complete up to one revision is as new as one that is complete up to another. Of
-// different eras neither is: what is known of one says nothing on the other.
+// covers reports whether a belief that is complete up to revision known is at least as new as one that is complete up
+// to other. Beliefs of different eras don't cover each other: a confirmation in one era says nothing about the other.
 func covers(known, other order.Revision) bool {
 	return known.Era() == other.Era() && known >= other
 }
--- a/internal/ctrl/follow/read.go
+++ b/internal/ctrl/follow/read.go
@@ -12,26 +12,26 @@
 	"mangowinch/internal/flow/order"
 )
 
-// ErrHistory says that the platform has forgotten changes after a revision, or has come back from a copy, so that
-// everything has to be listed anew.
-var ErrHistory = errors.New("the platform has forgotten these changes")
+// ErrHistory is returned by Source.Watch when the platform has discarded changes after the given revision, or its store
+// has been restored from a copy, so that all items must be listed again.
+var ErrHistory = errors.New("the platform no longer has the changes after this revision")
 
 const (
-	// listTimeout bounds a listing. The platform answers in 4 ms, and some 60 times slower when it is slow.
+	// listTimeout bounds a list call. The platform responds in 4 ms, and some 60 times slower when it is slow.
 	listTimeout = time.Second
-	// watchGrace is how much later than asked a watch may return before its connection is
-	// taken for silent: a slow platform needs some 250 ms.
+	// watchGrace is how long after the end of its wait a watch may return before its connection counts as
+	// unresponsive. A slow platform needs some 250 ms.
 	watchGrace = 400 * time.Millisecond
-	// minBatchPause gathers changes that come in a row into one answer. It doubles up to mostPause as long as they do: when a whole
-	// fleet starts, hundreds come within seconds.
+	// minBatchPause is the pause after a response with changes, so that the next response contains several of them. It
+	// doubles up to maxBatchPause while changes keep coming: when a whole fleet starts, there are hundreds within seconds.
 	minBatchPause = 60 * time.Millisecond
 	maxBatchPause = 480 * time.Millisecond
-	// minBackoff and backoffMost bound the pause after a failed call.
+	// minBackoff and maxBackoff bound the pause after a failed call.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = time.Second
 )
 
-// readLoop reads the platform whenever it is this process's turn.
+// readLoop reads the platform while this process is a reader.
 func (n *Node) readLoop(ctx context.Context) {
 	failures := 0
 	list := false
@@ -68,7 +68,7 @@
 			}
 			n.handleAnswer(now, c)
 			if now.Sub(began) > minBatchPause {
-				pause = minBatchPause // the row is over
+				pause = minBatchPause // the call had to wait, so changes no longer come in quick succession
 			}
 			if len(c.Items) > 0 {
 				sleep(ctx, pause)
@@ -79,7 +79,7 @@
 	}
 }
 
-// readOnce makes one call.
+// readOnce makes one list or watch call.
 func (n *Node) readOnce(ctx context.Context, list bool) (c belief.Change, err error) {
 	limit := n.watchWait() + watchGrace
 	if list {
@@ -102,7 +102,7 @@
 	return c, err
 }
 
-// handleAnswer takes in what the platform answered.
+// handleAnswer applies a response of the platform, and sends it to peers.
 func (n *Node) handleAnswer(now time.Time, c belief.Change) {
 	n.markAnswered(c)
 	before := n.Log.View()
@@ -123,20 +123,20 @@
 	n.announce(now, nil, true)
 }
 
-// outdated says whether an answer is older than the belief, so that it vouches for nothing: it was under way while the platform
-// came back from a copy, or it lists less than is known.
+// outdated reports whether a response is older than the belief, so that it doesn't confirm the belief: it was in
+// transit while the platform's store was restored from a copy, or it is a listing of a lower revision.
 func outdated(known order.Revision, c belief.Change) bool {
 	return c.To.Era() < known.Era() || c.Full && c.To < known
 }
 
-// markConfirmed says that the platform has confirmed the belief just now.
+// markConfirmed records that the platform has just confirmed the belief.
 func (n *Node) markConfirmed(now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.asOf = now
 }
 
-// markAnswered notes that the platform answers.
+// markAnswered records that the platform responds.
 func (n *Node) markAnswered(c belief.Change) {
 	n.mu.Lock()
 	recovered := n.platformLost
@@ -147,7 +147,7 @@
 	}
 }
 
-// logEraChange logs that the platform has come back from a copy since a revision was known.
+// logEraChange logs that the platform's store was restored from a copy, if the era differs from that of revision before.
 func (n *Node) logEraChange(before order.Revision) {
 	now := n.Log.Revision()
 	if before != 0 && before.Era() != now.Era() {
@@ -155,10 +155,10 @@
 	}
 }
 
-// staleListings counts listings of everything that told nothing new: the platform's answer was older than the belief.
+// staleListings counts full listings that were discarded because they were older than the belief.
 var staleListings = metrics.NewCounter(`mangowinch_old_listings_total`)
 
-// logStaleAnswer logs and counts an answer that was put aside.
+// logStaleAnswer logs and counts a discarded response.
 func (n *Node) logStaleAnswer(c belief.Change) {
 	if c.Full {
 		staleListings.Inc()
@@ -166,7 +166,7 @@
 	n.Events.State("answer-old").Stringer("told", c.To).Bool("full", c.Full).Stringer("revision", n.Log.Revision()).Int("items", len(c.Items)).Send()
 }
 
-// handleFailure notes a call that failed.
+// handleFailure records a failed call, and logs the first one.
 func (n *Node) handleFailure(now time.Time, err error, failures int) {
 	n.mu.Lock()
 	first := !n.platformLost
@@ -174,15 +174,15 @@
 	age := now.Sub(n.asOf)
 	n.mu.Unlock()
 	if _, known := n.Age(now); known {
-		n.announce(now, nil, true) // so that others leave it to this process
+		n.announce(now, nil, true) // so that fewer other processes start calling the platform
 	}
 	if first {
 		n.Events.State("platform-lost").Err(err).Dur("age", age).Int("failures", failures).Send()
 	}
 }
 
-// maybeStopReading ends reading when others do it: enough of them, any while the platform
-// doesn't answer this process, or enough that it doesn't answer either.
+// maybeStopReading stops reading if there are enough other readers, if the platform responds to any other reader
+// but not to this process, or if enough others already call a platform that doesn't respond.
 func (n *Node) maybeStopReading(now time.Time, failures int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -197,8 +197,8 @@
 	n.Events.State("reading-ends").Int("readers", others).Int("failures", failures).Send()
 }
 
-// backoff is the pause after a failed call. A process that knows nothing serves nobody, and each
-// tenth of a second counts once the platform is back; one that knows something hears from others.
+// backoff returns the pause after a failed call. It stays at minBackoff while the process has no belief, since the
+// process can't serve until it reads the platform. A process with a belief also receives updates from peers.
 func (n *Node) backoff(failures int) time.Duration {
 	d := min(maxBackoff, minBackoff<<min(failures-1, 8))
 	if _, known := n.Age(time.Now()); !known {
@@ -207,6 +207,7 @@
 	return d/2 + time.Duration(rand.Int64N(int64(d)))
 }
 
+// sleep waits for d, or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/ctrl/follow/spread.go
+++ b/internal/ctrl/follow/spread.go
@@ -8,29 +8,32 @@
 	"mangowinch/internal/flow/msgs"
 )
 
-// How news spread.
+// Distribution of changes.
 //
-// A reader of a small fleet tells everybody. In a large one it tells a few processes of each failure domain, and whoever
-// hears news from another tells a few of its own domain. So each process sends and gets a handful of messages for a
-// change, whatever the size, and a border between domains is crossed a few times for each domain. Told to any peers, each process would send
-// its rumours over borders, and at a thousand instances they were most of what goes there. What this misses, gossip
-// to any peer heals within seconds.
+// A reader of a small fleet sends an update to all processes. In a large fleet it sends it to a few processes of each
+// failure domain, and each process that receives an update forwards it to a few peers of its own domain. So each process
+// sends and receives a handful of messages per change, whatever the size of the fleet, and few messages cross between
+// domains. If updates were forwarded to arbitrary peers, they would be most of the traffic between domains at a thousand
+// instances. Processes that the updates miss catch up by gossip with random peers within seconds.
 //
-// Beacons are small and say who reads the platform. A reader's go to many peers anywhere: who hears of too few readers reads itself.
-// In a large fleet they also have to be passed on: a reader reaches 64 peers, gossip takes seconds to reach the
-// others, and whoever believes its belief too old by then calls the platform, dozens at a time.
+// Beacons are small and name the readers of the platform. A reader sends its beacons to many peers in any domain, because
+// a process that knows of too few readers starts to read. In a large fleet beacons must also be relayed: a reader reaches
+// 64 peers directly, gossip takes seconds to reach the others, and dozens of processes at a time would consider their
+// beliefs too old by then and call the platform.
 
 const (
-	// maxDirect is up to how many peers a reader tells directly.
+	// maxDirect is the maximum number of peers to which a reader sends its messages directly.
 	maxDirect = 64
-	// peersPerDomain is how many processes of each failure domain a reader of a larger fleet tells.
+	// peersPerDomain is the number of processes per failure domain to which a reader sends an update in a larger fleet.
 	peersPerDomain = 4
-	// gossipFanout is how many peers of its domain hear of news from who learned it from another: it reaches 94 of a hundred.
+	// gossipFanout is the number of peers in its domain to which a process forwards an update. At 3 the update reaches 94
+	// of a hundred processes.
 	gossipFanout = 3
 )
 
-// announce sends what the process knows. News that fit into a datagram go to all peers or some of each failure domain from a reader, to
-// a few of the own domain from others; of others only the revision is told, and peers fetch them.
+// announce sends a beacon and, if change isn't nil, an update. An update that fits into a datagram goes to all peers or to
+// some of each failure domain if reader is set, otherwise to a few of the process's own domain. A larger one is not sent:
+// the beacon states the new revision, and peers fetch the change.
 func (n *Node) announce(now time.Time, change *belief.Change, reader bool) {
 	n.mu.Lock()
 	to := n.recipients(reader || n.leaving)
@@ -46,7 +49,7 @@
 	n.sendAll(beaconTo, message)
 }
 
-// sendAll sends a message, if there is one, to some processes.
+// sendAll sends a message to several processes. A nil message is ignored.
 func (n *Node) sendAll(to []netip.Addr, message []byte) {
 	if message == nil {
 		return
@@ -56,13 +59,14 @@
 	}
 }
 
-// shouldRelay says whether a beacon has made the belief so much fresher that a few near peers are to hear of it at once. Before
-// is as of when the belief was complete until then. n.mu is held.
+// shouldRelay reports whether a beacon advanced the confirmation time of the belief so far, from before, that it must be
+// relayed to a few peers of this failure domain at once. n.mu is held.
 func (n *Node) shouldRelay(now, before time.Time) bool {
 	return n.asOf.Sub(before) >= n.PropagationBound/6 && n.fleetEstimate(now) >= maxDirect
 }
 
-// recipients picks whom to tell now. n.mu is held.
+// recipients picks the processes to which to send an update: all or some of each failure domain if wide is set, otherwise
+// a few of this process's domain. n.mu is held.
 func (n *Node) recipients(wide bool) []netip.Addr {
 	known := n.knownProcesses()
 	if wide && len(known) <= maxDirect {
@@ -82,12 +86,12 @@
 	}
 	to := n.sample(domains[belief.DomainHash(n.Domain)], gossipFanout)
 	if len(to) == 0 {
-		return n.sample(known, gossipFanout) // alone in its domain, or nobody's domain is known yet
+		return n.sample(known, gossipFanout) // no other process of this domain is known
 	}
 	return to
 }
 
-// domainOf returns the failure domain of a process, 0 if it isn't known. n.mu is held.
+// domainOf returns the hash of a process's failure domain, 0 if it isn't known. n.mu is held.
 func (n *Node) domainOf(a netip.Addr) uint8 {
 	if s, ok := n.Log.View().Server(a); ok {
 		return belief.DomainHash(s.Domain)
@@ -98,12 +102,13 @@
 	return 0
 }
 
-// sameDomain says whether a process is in the failure domain of this one. n.mu is held.
+// sameDomain reports whether a process is in this process's failure domain. n.mu is held.
 func (n *Node) sameDomain(a netip.Addr) bool { return n.domainOf(a) == belief.DomainHash(n.Domain) }
 
-// maxUpdateSize bounds the encoded change in one datagram, which passes any link unfragmented.
+// maxUpdateSize bounds the encoded change in a datagram, so that no link fragments it.
 const maxUpdateSize = 1300
 
+// encodeUpdate encodes a change as an update message, or returns nil if it is too large for a datagram.
 func encodeUpdate(c belief.Change) []byte {
 	text, err := encoding{}.Marshal(&c)
 	if err != nil || len(text) > maxUpdateSize {
@@ -114,7 +119,7 @@
 	return m.AppendTo(nil)
 }
 
-// DecodeUpdate reads the change of a message of kind news.
+// DecodeUpdate decodes the change in an update message.
 func DecodeUpdate(text []byte) (c belief.Change, err error) {
 	err = encoding{}.Unmarshal(text, &c)
 	return c, err
--- a/internal/ctrl/follow/spread_test.go
+++ b/internal/ctrl/follow/spread_test.go
@@ -12,11 +12,12 @@
 	"mangowinch/internal/flow/msgs"
 )
 
-// manyNodes is more processes than a reader tells directly.
+// manyNodes is more processes than a reader sends its messages to directly.
 const manyNodes = 150
 
-// A reader of a large fleet reaches 64 peers, and gossip takes seconds to reach the others. Their beliefs looked too old to them by
-// then, and dozens at a time called the platform, of which each call has its price.
+// Guards against dozens of processes that call the platform at a time, each call with its cost. A reader of a large
+// fleet reaches 64 peers directly. If beacons aren't relayed, gossip takes seconds to reach the other processes, whose
+// beliefs count as too old by then.
 func TestFewProcessesOfALargeFleetReadThePlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform()
@@ -30,10 +31,11 @@
 	})
 }
 
-// Each process that heard news told two others anywhere, so that four of five rumours crossed a border between failure domains, and at a
-// thousand instances they were most of the bytes there. Only readers cross borders, a few times each, in all
-// less often than there are processes, and all know of the change within half of the bound.
-func TestNewsCrossBordersAFewTimes(t *testing.T) {
+// Guards against updates that processes forward to peers of any failure domain. With five domains, four of five updates
+// then cross between domains, and at a thousand instances they are most of the traffic there. Only readers may send
+// updates to other domains, a few each, fewer in all than there are processes, and all processes must have the change
+// within half of the propagation bound.
+func TestFewUpdatesCrossDomains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform()
 		p.servers = manyNodes - entries
@@ -56,16 +58,17 @@
 		defer mu.Unlock()
 		total := 0
 		for a, count := range crossed {
-			assert.Assert(t, count <= 5*peersPerDomain, "%s told %d others over borders", a, count)
+			assert.Assert(t, count <= 5*peersPerDomain, "%s sent %d updates to other domains", a, count)
 			total += count
 		}
-		assert.Assert(t, total < manyNodes, "%d news crossed borders", total)
+		assert.Assert(t, total < manyNodes, "%d updates crossed domains", total)
 	})
 }
 
-// A thousand processes start at once and hear of the same three seeds first. Asked by all, these gave everything to everybody over one
-// border after the other. A peer of the own failure domain goes before others, and of equals any may be asked.
-func TestFetchesGoToNearPeersAndAreSpread(t *testing.T) {
+// Guards against fetches that all go to the same three seeds, whose beacons all processes receive first when a thousand
+// start at once, and that cross failure domains. A peer of the same domain must be preferred, and the choice among equal
+// peers must be random.
+func TestFetchesPreferTheSameDomainAndAreSpread(t *testing.T) {
 	var a fetchPeer
 	a.consider(fetchPeer{addr: addr(1), revision: 5, sameDomain: false})
 	a.consider(fetchPeer{addr: addr(2), revision: 9, sameDomain: true})
--- a/internal/ctrl/follow/turn_test.go
+++ b/internal/ctrl/follow/turn_test.go
@@ -11,7 +11,7 @@
 	"mangowinch/internal/flow/msgs"
 )
 
-// Guards against a call for each of hundreds of changes that come in a row, as when a whole fleet starts.
+// Guards against a call for each of hundreds of changes in quick succession, as when a whole fleet starts.
 func TestChangesInARowAreReadTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform()
@@ -31,7 +31,7 @@
 	})
 }
 
-// Guards against a fleet that starts and all of whose entries watch the changes that follow, as servers come up one by one.
+// Guards against a starting fleet in which all entries watch the changes that follow while servers start one by one.
 func TestFewEntriesWatchAfterAStartOfAll(t *testing.T) {
 	for _, count := range []int{64, 240} {
 		synctest.Test(t, func(t *testing.T) {
@@ -46,8 +46,9 @@
 	}
 }
 
-// Guards against a large fleet in which each process takes those few that it hears of for all, so that dozens volunteer to read.
-func TestVolunteersAreFewWhereFewAreHeard(t *testing.T) {
+// Guards against a large fleet in which each process takes the few peers that it receives messages from for the whole
+// fleet, so that dozens volunteer to read.
+func TestVolunteersAreFewWhenFewPeersAreSeen(t *testing.T) {
 	const servers = 200
 	p := newPlatform()
 	p.servers = servers
@@ -69,17 +70,18 @@
 	}
 }
 
-// Guards against entries that list everything before any seed is up, hear of nobody, and all read again when their beliefs are too old.
-func TestEntriesThatListedAtOnceHearOfOthers(t *testing.T) {
+// Guards against entries that list the platform before any seed is up, discover no peers, and all read again when their
+// beliefs become too old.
+func TestEntriesThatListedAtOnceDiscoverPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform()
 		f := start(t, entries, func(int) Source { return p })
 		f.mu.Lock()
-		f.cut[addr(0)] = true
+		f.isolated[addr(0)] = true
 		f.mu.Unlock()
 		time.Sleep(150 * time.Millisecond)
 		f.mu.Lock()
-		f.cut[addr(0)] = false
+		f.isolated[addr(0)] = false
 		f.mu.Unlock()
 		time.Sleep(time.Second)
 		for i := range entries {
@@ -91,11 +93,11 @@
 	})
 }
 
-// Guards against a fleet all of whose processes call a platform that is away, once their beliefs are too old.
-func TestFewProcessesCallAPlatformThatIsAway(t *testing.T) {
+// Guards against a fleet in which all processes call an unavailable platform once their beliefs are too old.
+func TestFewProcessesCallAnUnavailablePlatform(t *testing.T) {
 	for name, fault := range map[string]func(p *platform){
 		"down":   func(p *platform) { p.down = true },
-		"silent": func(p *platform) { p.silent = true },
+		"silent": func(p *platform) { p.unresponsive = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -108,7 +110,7 @@
 				time.Sleep(10 * time.Second)
 				calls := p.count() - before
 				assert.Assert(t, calls < 200, "%d calls in 10 s", calls)
-				p.set(func() { p.down, p.silent = false, false })
+				p.set(func() { p.down, p.unresponsive = false, false })
 				p.change()
 				f.waitForRevision(t, 2, bound)
 			})
@@ -116,8 +118,8 @@
 	}
 }
 
-// Guards against a fleet that leaves it to processes which the platform turns away, or which have gone.
-func TestOthersReadWhenThoseWhoTryAreTurnedAway(t *testing.T) {
+// Guards against a fleet that relies on processes that the platform refuses to serve, or that were stopped.
+func TestOthersReadWhenProbersAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, dead := newPlatform(), newPlatform()
 		f := start(t, 24, func(i int) Source {
@@ -135,7 +137,7 @@
 		f.waitForRevision(t, 2, bound)
 		f.mu.Lock()
 		for a, n := range f.nodes {
-			f.cut[a] = n.Reading()
+			f.isolated[a] = n.Reading()
 		}
 		f.mu.Unlock()
 		p.change()
@@ -143,8 +145,8 @@
 	})
 }
 
-// Guards against a whole fleet that lists everything at the platform because it came back from a copy.
-func TestFewProcessesListAfterThePlatformCameBackFromACopy(t *testing.T) {
+// Guards against a whole fleet that lists the platform after its store was restored from a copy.
+func TestFewProcessesListAfterARestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform()
 		p.servers = 180
@@ -153,10 +155,10 @@
 		for range 4 {
 			f.waitForVersion(t, p.change())
 		}
-		p.set(func() { p.silent = true })
+		p.set(func() { p.unresponsive = true })
 		time.Sleep(2 * time.Second)
 		p.restore(2)
-		p.set(func() { p.silent = false })
+		p.set(func() { p.unresponsive = false })
 		before := p.count()
 		f.waitForVersion(t, p.change())
 		calls := p.count() - before
