--- a/internal/ctrl/duty/duty.go
+++ b/internal/ctrl/duty/duty.go
@@ -1,15 +1,16 @@
-// Package duty decides which processes call the platform for all the others.
+// Package duty selects the processes that call the platform on behalf of the fleet.
 //
-// It exists because the platform answers two thousand calls a second to the
-// whole fleet, a waiting watch counts as one, and its rate grows more slowly
-// than the fleet. So a few entries of each failure domain watch, chosen by hash
-// from what each process believes about the members: nobody has to agree, and
-// where beliefs differ there are a few watchers more or less. When nobody has
-// heard the platform for long, anybody may probe it, with a chance that keeps
-// the probes of the whole fleet at a few a second whatever its size.
+// It exists because the platform accepts two thousand calls a second from the
+// whole fleet, a pending watch counts as one, and this limit grows more slowly
+// than the fleet. So only a few entries of each failure domain watch it. Each
+// process selects them by rendezvous hashing from its own list of members: this
+// needs no agreement, and where the lists differ there are a few more or fewer
+// watchers. When no process has received a response of the platform for long,
+// any process may probe it, with a probability that keeps the probes of the whole
+// fleet at a few a second, whatever its size.
 //
-// It is no election: nothing depends on there being exactly one of anybody, and
-// it makes no calls (packages fetch and relay). It is pure.
+// The package is not a leader election: nothing depends on the number of selected
+// processes. It makes no calls, which packages fetch and relay do, and has no state.
 //
 // # Usage
 //
@@ -30,19 +31,19 @@
 	"mangowinch/internal/ctrl/peers"
 )
 
-// What was chosen, and why.
+// Limits on the calls of the fleet.
 const (
-	WatchersPerDomain = 3                // watchers: one may be dead and one frozen
-	StaleAge          = 40 * time.Second // a watch is answered after 25 s at the latest; the rest is for passing it on
-	ProbeInterval     = 10 * time.Second // between two decisions to probe
-	probesPerTick     = 20               // of the whole fleet in one tick, so two calls a second
+	WatchersPerDomain = 3                // one may be dead and one frozen
+	StaleAge          = 40 * time.Second // a watch returns after 25 s at the latest; the rest is for distributing the result
+	ProbeInterval     = 10 * time.Second // between two calls of ShouldProbe
+	probesPerTick     = 20               // by the whole fleet in one ProbeInterval: two calls a second
 
 	MaxEntryDelay = 2 * time.Second  // 800 entries that start at once make 400 first calls a second
-	MaxAgentDelay = 10 * time.Second // 6,800 agents that find no peer make 680
+	MaxAgentDelay = 10 * time.Second // 6,800 agents that start at once and find no peer make 680 calls a second
 )
 
-// IsWatcher says whether self is one of the few in its failure domain that watch
-// the platform. Members are those believed live, self among them or not.
+// IsWatcher reports whether self is one of the few entries in its failure domain that
+// watch the platform. members are the live members, with or without self.
 func IsWatcher(self peers.Member, members []peers.Member) bool {
 	if self.Role != peers.Entry || self.State == peers.Leaving {
 		return false
@@ -56,15 +57,15 @@
 	return heavier < WatchersPerDomain
 }
 
-// ShouldProbe says whether a process that does not watch asks the platform in this
-// tick, given how long ago anybody known has heard from it.
+// ShouldProbe reports whether a process that does not watch should probe the platform in
+// this ProbeInterval. age is the time since any known process received a response of it.
 func ShouldProbe(age time.Duration, members int, r *rand.Rand) bool {
 	return age > StaleAge && r.Float64()*float64(max(members, 1)) < probesPerTick
 }
 
-// StartDelay returns how long a process that knows nothing waits before its first
-// call, so that a fleet that starts at once does not call at once. Peers are
-// asked meanwhile.
+// StartDelay returns how long a process without any documents waits before its first
+// call, so that the calls of a fleet that starts at once are spread. Meanwhile the
+// process queries its peers.
 func StartDelay(role peers.Role, r *rand.Rand) time.Duration {
 	span := MaxEntryDelay
 	if role == peers.Agent {
@@ -73,8 +74,8 @@
 	return time.Duration(r.Int64N(int64(span)))
 }
 
-// Contacts returns the n entries that tell the agents of a service about its
-// document, in order.
+// Contacts returns the n entries that notify the agents of a service of changes of its
+// document, in order of preference.
 func Contacts(service string, entries []peers.Member, n int) []peers.Member {
 	sorted := slices.Clone(entries)
 	slices.SortFunc(sorted, func(a, b peers.Member) int {
@@ -90,8 +91,8 @@
 	return sorted[:min(n, len(sorted))]
 }
 
-// weight orders names differently for each salt (rendezvous hashing), so that
-// one member more or less moves nothing else.
+// weight is the weight of a name for rendezvous hashing. Each salt gives another order
+// of names, and adding or removing a member does not change the order of the others.
 func weight(name, salt string) uint64 {
 	return xxhash.Sum64String(name + "\x00" + salt)
 }
--- a/internal/ctrl/duty/duty_test.go
+++ b/internal/ctrl/duty/duty_test.go
@@ -23,9 +23,9 @@
 	return members
 }
 
-// Watches waits count as calls at the platform, whose rate grows more slowly than the
-// fleet. Whatever the fleet's size and whoever is believed dead, there are three
-// for each failure domain, or all where there are fewer: never none.
+// Guards against too many watchers, which count as calls at the platform, whose limit grows
+// more slowly than the fleet, and against domains without any. Whatever the members, each
+// failure domain must have three, or all of its entries where there are fewer.
 func TestFewWatchEachDomain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		domains := rapid.IntRange(1, 7).Draw(t, "domains")
@@ -43,8 +43,9 @@
 	})
 }
 
-// An hour's outage ends the patience of all entries at once. If each probed, the
-// platform would be brought down as it comes back: the fleet makes two a second.
+// Guards against probes that overload the platform when it recovers. After an hour's outage
+// the information of all processes is too old at the same time; the whole fleet must make
+// two probes a second.
 func TestProbesOfTheFleetAreFew(t *testing.T) {
 	for _, members := range []int{1, 20, 800, 8000} {
 		r := rand.New(rand.NewPCG(7, uint64(members)))
@@ -60,8 +61,8 @@
 	assert.Assert(t, !duty.ShouldProbe(duty.StaleAge-time.Second, 1, rand.New(rand.NewPCG(1, 1))))
 }
 
-// When an entry goes, the entries that tell the agents of a service change by that one only.
-func TestContactsMoveLittle(t *testing.T) {
+// Guards against a removed entry that changes the contacts of a service by more than itself.
+func TestRemovedEntryChangesContactsOnce(t *testing.T) {
 	all := fleet(50, 7)
 	for s := range 100 {
 		service := fmt.Sprint("service-", s)
