--- a/internal/ctrl/fetch/fetch.go
+++ b/internal/ctrl/fetch/fetch.go
@@ -1,15 +1,15 @@
-// Package fetch reads the platform: service documents, the watch for changes
-// of them, and the list of instances.
+// Package fetch is a client of the platform's read API: service documents, the watch
+// for their changes, and the list of instances.
 //
-// It exists because every reader of the platform has to be polite in the same
-// way: the platform answers about two thousand calls a second for the whole
-// fleet, a waiting watch counts as one, and it may be down for an hour. So each
-// client limits its own rate, each answer is bounded in size, and whoever
-// repeats a call waits first, by Backoff.
+// It exists because all readers of the platform must limit their load in the same
+// way: the platform serves about two thousand calls a second for the whole fleet, a
+// pending watch counts as one, and the platform may be down for an hour. So each
+// client limits its call rate, each response is bounded in size, and callers wait for
+// Backoff before they retry.
 //
-// It does not decide who calls the platform (package duty), nor which version
-// of a document counts (package store), nor does it ask other processes
-// (package relay). It never writes.
+// It does not select the processes that call the platform (package duty), nor the
+// version of a document that is in force (package store), and does not query other
+// processes (package relay). It never writes.
 //
 // # Usage
 //
@@ -40,15 +40,15 @@
 
 // Limits of one client.
 const (
-	callsPerSecond = 10               // some 21 watchers at once make 210 of the 2,000
-	callBurst      = 20               // a small site's documents at once
-	maxDocument    = 1<<20 + 4096     // one document, with room for what is no text
-	maxList        = 8 << 20          // 8,000 instances at a kilobyte
-	callTimeout    = 5 * time.Second  // it answers in milliseconds; more means that it is in trouble
-	watchTimeout   = 35 * time.Second // it answers a watch after 25 s at the latest
+	callsPerSecond = 10               // 21 watchers together make 210 of the 2,000 calls a second
+	callBurst      = 20               // all documents of a small site at once
+	maxDocument    = 1<<20 + 4096     // a document of 1 MiB, with room for other data
+	maxList        = 8 << 20          // 8,000 instances of a kilobyte each
+	callTimeout    = 5 * time.Second  // the platform responds in milliseconds unless it is failing
+	watchTimeout   = 35 * time.Second // the platform responds to a watch after 25 s at the latest
 )
 
-// ErrNotFound says that the platform has no such document.
+// ErrNotFound is returned if the platform does not have the requested document.
 var ErrNotFound = errors.New("not found")
 
 // Item names a version of a document.
@@ -57,7 +57,7 @@
 	Revision order.Revision `json:"revision"`
 }
 
-// List is what the platform has at one index.
+// List lists the platform's documents at one index.
 type List struct {
 	Index     order.Revision `json:"index"`
 	Documents []Item         `json:"documents"`
@@ -70,12 +70,12 @@
 	Text     []byte
 }
 
-// Instance is one process of the system as the platform lists it, late.
+// Instance is one process of the system in the platform's list, which lags behind.
 type Instance struct {
 	Name    string         `json:"name"`
 	Role    string         `json:"role"` // entry or agent
 	Domain  string         `json:"domain"`
-	Address netip.AddrPort `json:"address"` // its link
+	Address netip.AddrPort `json:"address"` // for links from other processes
 	State   string         `json:"state"`   // live or leaving
 }
 
@@ -90,7 +90,7 @@
 	base        string
 	http        *http.Client
 	limiter     *rate.Limiter
-	lastContact atomic.Int64 // unix nanoseconds of the last answer
+	lastContact atomic.Int64 // Unix nanoseconds of the last valid response
 	calls       atomic.Uint64
 }
 
@@ -108,7 +108,7 @@
 	}
 }
 
-// LastContact returns when the platform last answered, and the zero time when it never did.
+// LastContact returns the time of the platform's last valid response, or the zero time if there was none.
 func (c *Client) LastContact() time.Time {
 	n := c.lastContact.Load()
 	if n == 0 {
@@ -117,7 +117,7 @@
 	return time.Unix(0, n)
 }
 
-// Calls returns how many calls were sent, whatever became of them.
+// Calls returns the number of calls that were sent, including failed ones.
 func (c *Client) Calls() uint64 { return c.calls.Load() }
 
 // Documents lists the names and revisions of all documents.
@@ -125,13 +125,13 @@
 	return c.list(ctx, "documents", "/documents", callTimeout)
 }
 
-// Watch waits until the platform's index is over since or its era is another one, for 25 s at most, and
-// lists the names and revisions of all documents.
+// Watch waits until the platform's index is higher than since or its era differs, for 25 s at most, and
+// then lists the names and revisions of all documents.
 func (c *Client) Watch(ctx context.Context, since order.Revision) (list List, err error) {
 	return c.list(ctx, "watch", fmt.Sprintf("/watch?since=%d&era=%d", since.Number(), since.Era()), watchTimeout)
 }
 
-// list makes a call that lists documents. Numbers in its answer are of the era that a header names.
+// list makes a call that lists documents. A header of the response states the era of its numbers.
 func (c *Client) list(ctx context.Context, call, path string, timeout time.Duration) (list List, err error) {
 	header, err := c.get(ctx, call, path, timeout, maxList, &list)
 	if err != nil {
@@ -145,17 +145,17 @@
 	return list, err
 }
 
-// eraHeader names the era of an answer. It rises by one each time that the platform comes back from a copy; a platform
-// that never does sends none.
+// eraHeader is the header that states the era of a response. The era increases by one each time the platform's store
+// is restored from a copy. A platform without eras doesn't send the header.
 const eraHeader = "Era"
 
-// Instances lists the processes of the system as the platform knows them.
+// Instances lists the processes of the system that the platform knows.
 func (c *Client) Instances(ctx context.Context) (list Instances, err error) {
 	_, err = c.get(ctx, "instances", "/instances", callTimeout, maxList, &list)
 	return list, err
 }
 
-// Document reads the newest version of one document that the platform has.
+// Document reads the platform's latest version of a document.
 func (c *Client) Document(ctx context.Context, name string) (document Document, err error) {
 	defer func() { err = errors.Wrapf(err, "document %q", name) }()
 	document.Name = name
@@ -172,7 +172,7 @@
 	return document, err
 }
 
-// get carries out one call. The body goes into out: as it is into a *[]byte, else as JSON.
+// get makes one call. It stores the body in out: unchanged if out is a *[]byte, otherwise parsed as JSON.
 func (c *Client) get(ctx context.Context, call, path string, timeout time.Duration, limit int64, out any) (header http.Header, err error) {
 	defer func() {
 		err = errors.Wrapf(err, "platform %s", call)
@@ -219,7 +219,7 @@
 	return response.Header, nil
 }
 
-// Marks that give each failed call the reason of its counter.
+// Marks on the errors of failed calls, from which failureReason derives the label of their counter.
 var (
 	errLimited   = errors.New("own rate limit")
 	errStatus    = errors.New("refused")
@@ -227,6 +227,7 @@
 	errMalformed = errors.New("not JSON")
 )
 
+// failureReason returns the result label with which a failed call is counted.
 func failureReason(err error) string {
 	switch {
 	case errors.Is(err, errLimited):
@@ -248,6 +249,7 @@
 	}
 }
 
+// countCall counts a call that was sent, or that failed for a reason.
 func countCall(call, reason string) {
 	metrics.GetOrCreateCounter(fmt.Sprintf(`mangowinch_platform_calls_total{call=%q,result=%q}`, call, reason)).Inc()
 }
--- a/internal/ctrl/fetch/fetch_test.go
+++ b/internal/ctrl/fetch/fetch_test.go
@@ -21,9 +21,9 @@
 	assert.ErrorIs(t, err, fetch.ErrNotFound)
 }
 
-// Something that isn't the platform answers at its address: a page for people, or a
-// stream without end. It may not fill the memory, and doesn't count as contact.
-func TestWrongAnswers(t *testing.T) {
+// Guards against responses of another server at the platform's address, such as an HTML page or a
+// very large body, that exhaust the memory or count as contact with the platform.
+func TestInvalidResponses(t *testing.T) {
 	var body string
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, body)
@@ -41,9 +41,9 @@
 	assert.Equal(t, c.Calls(), uint64(3))
 }
 
-// A thousand processes lose the platform at one moment. If they came back in
-// step they would bring it down again: after any number of failures their
-// calls must be spread over the whole span, which never grows beyond its limit.
+// Guards against retries of a thousand processes at the same time, which overload the platform
+// again after all of them lost it at once. After any number of failures their calls must be
+// spread over the whole span, which never exceeds its limit.
 func TestBackoffSpreads(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		failures := rapid.IntRange(0, 100).Draw(t, "failures")
