--- a/internal/ctrl/budget/budget_test.go
+++ b/internal/ctrl/budget/budget_test.go
@@ -12,9 +12,9 @@
 	"mangowinch/internal/ctrl/budget"
 )
 
-// A team's document of a megabyte is asked for by many peers at once. Exchanges
-// and traffic would wait behind it: what control sends stays within its budget
-// in every minute, and who would wait long is told to ask somebody else.
+// Guards against a document of a megabyte that many peers request at once, and behind which
+// exchanges and customer traffic are delayed. The texts of any minute must stay within the budget,
+// and requests that would wait long must be refused, so that the peer requests it elsewhere.
 func TestTextsStayWithinTheBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := budget.New()
@@ -33,7 +33,7 @@
 	})
 }
 
-func TestUsageCountsBytesAndWork(t *testing.T) {
+func TestUsageCountsBytesAndCPUTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := budget.New()
 		a, b := net.Pipe()
