--- a/internal/ctrl/digest/digest.go
+++ b/internal/ctrl/digest/digest.go
@@ -1,18 +1,19 @@
-// Package digest finds out which documents two processes know differently, at
-// the cost of a few bytes when they know the same.
+// Package digest determines which document revisions differ between two processes, at the
+// cost of a few bytes if none do.
 //
-// It exists because every process compares with another one about once a
-// second, and nearly always nothing differs. So a whole set of documents is
-// one number (Root). When that differs, the numbers of its parts (Buckets) show
-// where, and only the items of those parts are sent.
+// It exists because every process compares its documents with another process about once a
+// second, and they nearly always agree. So a whole set of documents has a single hash, the
+// Root. If the roots differ, the hashes of 64 buckets show where, and only the items of the
+// differing buckets are sent.
 //
-// It holds no texts and decides nothing about who talks to whom (package relay).
+// It holds no texts, and does not select the processes that compare their documents (package
+// relay does).
 //
 // # Usage
 //
 //	mine := digest.Of(view)
 //	if mine.Root != theirRoot {
-//		for _, n := range mine.Differ(theirBuckets) {
+//		for _, n := range mine.DifferingBuckets(theirBuckets) {
 //			send(mine.Items[n])
 //		}
 //	}
@@ -29,18 +30,18 @@
 	"mangowinch/internal/flow/order"
 )
 
-// BucketCount is how many buckets a set is split into. With 1,300 documents a part has
-// some 20 items, as much on the wire as the buckets themselves.
+// BucketCount is the number of buckets of a set. With 1,300 documents a bucket has some 20
+// items, which take as much space in a message as the hashes of all buckets.
 const BucketCount = 64
 
-// Item is what is known of one document.
+// Item states which revisions of one document a process has.
 type Item struct {
 	Name     string
 	Revision order.Revision // in force, 0 for none
-	Newest   order.Revision // newest known; over Revision when that one could not be read
+	Newest   order.Revision // latest known; higher than Revision if it could not be parsed
 }
 
-// Digest stands for one snapshot of a store. Nobody changes it.
+// Digest is the digest of one snapshot of a store. It is immutable.
 type Digest struct {
 	Root    uint64
 	Buckets [BucketCount]uint64
@@ -70,7 +71,7 @@
 	return d
 }
 
-// ItemOf returns the item of one document.
+// ItemOf returns the item of one document in a snapshot.
 func ItemOf(v *store.View, name string) Item {
 	i := Item{Name: name, Newest: v.Revision(name)}
 	if e := v.Entries[name]; e != nil {
@@ -79,11 +80,11 @@
 	return i
 }
 
-// BucketOf returns the bucket that a document belongs to.
+// BucketOf returns the index of the bucket to which a document belongs.
 func BucketOf(name string) int { return int(xxhash.Sum64String(name) % BucketCount) }
 
-// DifferingBuckets returns the parts that the other's buckets show as different; all of
-// them when the other has another number of parts.
+// DifferingBuckets returns the indexes of the buckets whose hashes differ from another process's
+// hashes. These are all buckets if the other process has another number of them.
 func (d *Digest) DifferingBuckets(buckets []uint64) []int {
 	var differing []int
 	for n := range d.Buckets {
@@ -94,13 +95,14 @@
 	return differing
 }
 
-// Newer says whether i has anything that somebody who knows o could use. A
-// revision that o has and could not read is of no use to it, although another
-// program version may have it in force: else it would be sent for ever.
+// Newer reports whether i has a revision that a process with item o can use. A revision that this
+// process has already failed to parse is of no use to it, although it may be in force in a process
+// with another program version: otherwise the revision would be sent again and again.
 func (i Item) Newer(o Item) bool {
 	return i.Newest > o.Newest || i.Revision > o.Revision && i.Revision != o.Newest
 }
 
+// hashItems returns the hash of a bucket's items.
 func hashItems(items []Item) uint64 {
 	var h xxhash.Digest
 	h.Reset()
--- a/internal/ctrl/digest/digest_test.go
+++ b/internal/ctrl/digest/digest_test.go
@@ -25,9 +25,9 @@
 	return v
 }
 
-// Whatever two processes know, the parts that differ name every document that
-// one of them lacks, and equal knowledge gives equal digests in any order.
-func TestDifferFindsEveryDifference(t *testing.T) {
+// Guards against differences that the digests miss: any document that differs between two processes
+// must be in a differing bucket, and equal sets must have equal digests, in whatever order.
+func TestDifferingBucketsFindEveryDifference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sets := rapid.MapOf(rapid.StringMatching("[a-z]{1,3}"), rapid.Uint64Range(3, 20))
 		a, b := view(sets.Draw(t, "a")), view(sets.Draw(t, "b"))
@@ -50,8 +50,8 @@
 	})
 }
 
-// One change among the documents of the planned size must not cost the whole list.
-func TestOneChangeIsOnePart(t *testing.T) {
+// Guards against sending all items of 1,300 documents for the change of one.
+func TestOneChangeIsOneBucket(t *testing.T) {
 	revisions := map[string]uint64{}
 	for n := range 1300 {
 		revisions[fmt.Sprint("service-", n)] = 3
