--- a/internal/ctrl/budget/budget_test.go
+++ b/internal/ctrl/budget/budget_test.go
@@ -12,9 +12,9 @@
 	"mangowinch/internal/ctrl/budget"
 )
 
-// Guards against a document of a megabyte that many peers request at once, and behind which
-// exchanges and customer traffic are delayed. The texts of any minute must stay within the budget,
-// and requests that would wait long must be refused, so that the peer requests it elsewhere.
+// Guards against delays of exchanges and customer traffic when many peers request a document of a
+// megabyte at once. The texts of any minute must stay within the budget, and a request that would
+// wait long must be refused, so that the requester turns to another peer.
 func TestTextsStayWithinTheBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := budget.New()
--- a/internal/ctrl/follow/turn.go
+++ b/internal/ctrl/follow/turn.go
@@ -82,9 +82,9 @@
 	return n.fleetSize()
 }
 
-// fleetSize returns the number of known processes: this one, the servers' agents and the entries seen lately. It does
-// not count peers by their messages: in a large fleet a process receives messages from only a few others, and with so
-// small a number far too many processes would volunteer. n.mu is held.
+// fleetSize returns the number of known processes: this one, the agents of all servers in the belief, and the entries
+// seen within peerTTL. Counting only the peers that sent messages would give too small a number in a large fleet, where
+// a process receives messages from few others, and far too many processes would volunteer. n.mu is held.
 func (n *Node) fleetSize() int {
 	return 1 + len(n.Log.View().Homes.Agents()) + len(n.knownEntries())
 }
