--- a/cmd/exper/main.go
+++ b/cmd/exper/main.go
@@ -39,8 +39,8 @@
 
 func (t tuning) policy() policy.Tuning {
 	p := policy.Tuned
-	p.Admit = admit.Rules{Wait: t.Wait, Spread: t.Spread, Long: t.Long}
-	p.Place.Even, p.Place.Shorter, p.Place.Slower, p.Place.Fade = t.Even, t.Shorter, t.Slower, t.Fade
+	p.Admit = admit.Rules{WaitShare: t.Wait, Spread: t.Spread, LongShare: t.Long}
+	p.Place.EvenMargin, p.Place.ShorterFactor, p.Place.SlowFactor, p.Place.ReportLifetime = t.Even, t.Shorter, t.Slower, t.Fade
 	p.Report, p.Usage, p.Retry.Share = t.Report, t.Usage, t.Retries
 	return p
 }
@@ -48,8 +48,8 @@
 // defaults shows the thresholds in use as the flags' defaults.
 func defaults(t policy.Tuning) kong.Vars {
 	return kong.Vars{
-		"wait": fmt.Sprint(t.Admit.Wait), "long": fmt.Sprint(t.Admit.Long), "spread": fmt.Sprint(t.Admit.Spread),
-		"even": fmt.Sprint(t.Place.Even), "shorter": fmt.Sprint(t.Place.Shorter), "slower": fmt.Sprint(t.Place.Slower), "fade": t.Place.Fade.String(),
+		"wait": fmt.Sprint(t.Admit.WaitShare), "long": fmt.Sprint(t.Admit.LongShare), "spread": fmt.Sprint(t.Admit.Spread),
+		"even": fmt.Sprint(t.Place.EvenMargin), "shorter": fmt.Sprint(t.Place.ShorterFactor), "slower": fmt.Sprint(t.Place.SlowFactor), "fade": t.Place.ReportLifetime.String(),
 		"report": t.Report.String(), "usage": t.Usage.String(), "retries": fmt.Sprint(t.Retry.Share),
 	}
 }
--- a/cmd/exper/sweep.go
+++ b/cmd/exper/sweep.go
@@ -28,15 +28,15 @@
 // thresholds lists what is swept. The value in use is among each one's values.
 func thresholds() []threshold {
 	return []threshold{
-		{"admit wait", []float64{0.1, 0.2, 0.3, 0.4, 0.6, 1}, func(t *policy.Tuning, v float64) { t.Admit.Wait = v }, []cases.Case{cases.Tight(), cases.Lying()}},
+		{"admit wait", []float64{0.1, 0.2, 0.3, 0.4, 0.6, 1}, func(t *policy.Tuning, v float64) { t.Admit.WaitShare = v }, []cases.Case{cases.Tight(), cases.Lying()}},
 		{"admit spread", []float64{0, 1, 2, 4, 8}, func(t *policy.Tuning, v float64) { t.Admit.Spread = v }, []cases.Case{cases.Storm()}},
-		{"admit long", []float64{0.25, 0.5, 0.75, 1}, func(t *policy.Tuning, v float64) { t.Admit.Long = v }, []cases.Case{cases.Long()}},
-		{"place even", []float64{0, 0.005, 0.01, 0.02, 0.05}, func(t *policy.Tuning, v float64) { t.Place.Even = v }, []cases.Case{cases.Steady()}},
-		{"place shorter", []float64{0.5, 0.7, 0.8, 0.9, 1}, func(t *policy.Tuning, v float64) { t.Place.Shorter = v }, []cases.Case{cases.Lying(), cases.Partial()}},
-		{"place slower", []float64{1.5, 2, 3, 100}, func(t *policy.Tuning, v float64) { t.Place.Slower = v }, []cases.Case{cases.Slow(), cases.Lying()}},
-		{"place fade, seconds", []float64{0.5, 1, 2, 5}, func(t *policy.Tuning, v float64) { t.Place.Fade = time.Duration(v * float64(time.Second)) }, []cases.Case{cases.Steady()}},
-		{"place slow start, seconds", []float64{0, 5, 10, 20}, func(t *policy.Tuning, v float64) { t.Place.Slow = time.Duration(v * float64(time.Second)) }, []cases.Case{cases.Cold()}},
-		{"place ceiling", []float64{0.2, 1.0 / 3, 0.5, 1}, func(t *policy.Tuning, v float64) { t.Place.Ceiling = v }, []cases.Case{cases.FailHalf(3), cases.FailHalf(7)}},
+		{"admit long", []float64{0.25, 0.5, 0.75, 1}, func(t *policy.Tuning, v float64) { t.Admit.LongShare = v }, []cases.Case{cases.Long()}},
+		{"place even", []float64{0, 0.005, 0.01, 0.02, 0.05}, func(t *policy.Tuning, v float64) { t.Place.EvenMargin = v }, []cases.Case{cases.Steady()}},
+		{"place shorter", []float64{0.5, 0.7, 0.8, 0.9, 1}, func(t *policy.Tuning, v float64) { t.Place.ShorterFactor = v }, []cases.Case{cases.Lying(), cases.Partial()}},
+		{"place slower", []float64{1.5, 2, 3, 100}, func(t *policy.Tuning, v float64) { t.Place.SlowFactor = v }, []cases.Case{cases.Slow(), cases.Lying()}},
+		{"place fade, seconds", []float64{0.5, 1, 2, 5}, func(t *policy.Tuning, v float64) { t.Place.ReportLifetime = time.Duration(v * float64(time.Second)) }, []cases.Case{cases.Steady()}},
+		{"place slow start, seconds", []float64{0, 5, 10, 20}, func(t *policy.Tuning, v float64) { t.Place.SlowStart = time.Duration(v * float64(time.Second)) }, []cases.Case{cases.Cold()}},
+		{"place ceiling", []float64{0.2, 1.0 / 3, 0.5, 1}, func(t *policy.Tuning, v float64) { t.Place.MaxEjected = v }, []cases.Case{cases.FailHalf(3), cases.FailHalf(7)}},
 		{"retry share", []float64{0, 0.05, 0.1, 0.3, 10}, func(t *policy.Tuning, v float64) { t.Retry.Share = v }, []cases.Case{cases.Partial(), cases.Storm()}},
 		{"usage window, seconds", []float64{0.5, 1, 2, 5}, func(t *policy.Tuning, v float64) { t.Usage = time.Duration(v * float64(time.Second)) }, []cases.Case{cases.Steady()}},
 		{"reports, seconds (0: on replies)", []float64{0, 0.05, 0.25, 1}, func(t *policy.Tuning, v float64) { t.Report = time.Duration(v * float64(time.Second)) }, []cases.Case{cases.Steady(), cases.Slow()}},
--- a/internal/ctrl/follow/follow_test.go
+++ b/internal/ctrl/follow/follow_test.go
@@ -214,7 +214,7 @@
 	}
 	go func() {
 		time.Sleep(time.Millisecond)
-		h, rest, err := msgs.ReadHead(b)
+		h, rest, err := msgs.ReadHeader(b)
 		if err != nil {
 			return
 		}
--- a/internal/ctrl/follow/peers.go
+++ b/internal/ctrl/follow/peers.go
@@ -81,7 +81,7 @@
 
 // beacon encodes a beacon of this process. n.mu is held.
 func (n *Node) beacon(now time.Time, reply bool) []byte {
-	m := msgs.Beacon{Role: n.Role, Domain: belief.DomainHash(n.Domain), Reader: n.reading && !n.platformLost && !n.asOf.IsZero(), Trying: n.probing(now), Leaving: n.leaving, Reply: reply, Age: msgs.MaxAge}
+	m := msgs.Beacon{Role: n.Role, Domain: belief.DomainHash(n.Domain), Reader: n.reading && !n.platformLost && !n.asOf.IsZero(), PlatformDown: n.probing(now), Leaving: n.leaving, WantReply: reply, Age: msgs.MaxAge}
 	m.Revision = n.Log.Revision()
 	if !n.asOf.IsZero() {
 		m.Age = uint32(min(now.Sub(n.asOf).Milliseconds(), int64(msgs.MaxAge-1)))
@@ -141,7 +141,7 @@
 	if m.Reader {
 		p.lastReading = now
 	}
-	if m.Trying {
+	if m.PlatformDown {
 		p.lastProbing = now
 	}
 	n.mergeReaders(now, m.Readers)
@@ -156,7 +156,7 @@
 	if n.shouldRelay(now, before) {
 		to = n.recipients(false)
 	}
-	reply := m.Reply || m.Revision < n.Log.Revision()
+	reply := m.WantReply || m.Revision < n.Log.Revision()
 	message := n.beacon(now, false)
 	n.mu.Unlock()
 	if reply {
--- a/internal/ctrl/follow/spread.go
+++ b/internal/ctrl/follow/spread.go
@@ -114,7 +114,7 @@
 	if err != nil || len(text) > maxUpdateSize {
 		return nil
 	}
-	m := msgs.News{Change: text}
+	m := msgs.Update{Change: text}
 	m.Revision = c.To
 	return m.AppendTo(nil)
 }
--- a/internal/ctrl/follow/spread_test.go
+++ b/internal/ctrl/follow/spread_test.go
@@ -47,7 +47,7 @@
 		f.onSend = func(from, to netip.Addr, message []byte) {
 			mu.Lock()
 			defer mu.Unlock()
-			if msgs.KindOf(message) == msgs.KindNews && domainOf(from) != domainOf(to) {
+			if msgs.KindOf(message) == msgs.KindUpdate && domainOf(from) != domainOf(to) {
 				crossed[from]++
 			}
 		}
--- a/internal/ctrl/relay/exchange.go
+++ b/internal/ctrl/relay/exchange.go
@@ -125,7 +125,7 @@
 func (n *Node) seek(ctx context.Context) {
 	for sleep(ctx, n.jitter(seekEvery)) {
 		n.mu.Lock()
-		m, ok := n.table.Suspect(n.Rand)
+		m, ok := n.table.RandomSuspect(n.Rand)
 		n.mu.Unlock()
 		if ok {
 			n.meet(ctx, m)
@@ -184,7 +184,7 @@
 func (n *Node) failed(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.table.Failed(time.Now(), name)
+	n.table.CallFailed(time.Now(), name)
 	for at, m := range n.near {
 		if m.Name == name {
 			n.near = append(n.near[:at], n.near[at+1:]...)
@@ -278,7 +278,7 @@
 	defer n.mu.Unlock()
 	now := time.Now()
 	if m, ok := memberOf(in.GetFrom()); ok && m.Role == peers.Entry {
-		n.table.Learn(now, m, true)
+		n.table.Merge(now, m, true)
 	}
 	for _, w := range in.GetMembers()[:min(len(in.GetMembers()), peers.MaxMembers)] {
 		m, ok := memberOf(w)
@@ -290,7 +290,7 @@
 			continue
 		}
 		if m.Role == peers.Entry {
-			n.table.Learn(now, m, false)
+			n.table.Merge(now, m, false)
 		}
 	}
 	if c := in.GetContact(); c > 0 {
@@ -315,7 +315,7 @@
 	if n.Self.Role != peers.Entry {
 		return out
 	}
-	for _, m := range n.table.News(n.Rand, membersSent, peers.Entries) {
+	for _, m := range n.table.Gossip(n.Rand, membersSent, peers.Entries) {
 		out.Members = append(out.Members, memberTo(m))
 	}
 	return out
--- a/internal/exper/flows/list.go
+++ b/internal/exper/flows/list.go
@@ -16,7 +16,7 @@
 func Rules() []Named {
 	set := func(name string, part, dead float64) Named {
 		r := shift.Default
-		r.Part, r.Dead = part, dead
+		r.Gain, r.DeadZone = part, dead
 		return Named{name, r}
 	}
 	return []Named{
--- a/internal/exper/outage/outage.go
+++ b/internal/exper/outage/outage.go
@@ -149,7 +149,7 @@
 		var list []share.Server
 		for j := range c.Servers {
 			if j != i {
-				list = append(list, share.Server{Agent: address(j), Near: j%c.Domains == i%c.Domains})
+				list = append(list, share.Server{Agent: address(j), SameDomain: j%c.Domains == i%c.Domains})
 			}
 		}
 		v.others = append(v.others, list)
@@ -245,16 +245,16 @@
 		if o.over || q.over {
 			return
 		}
-		w := hold.Waiting{Flow: o.flow, Priority: q.kind.Priority, Began: v.loop.Now().Add(-age), Target: q.kind.Target}
+		w := hold.QueuedFlow{Flow: o.flow, Priority: q.kind.Priority, FirstSent: v.loop.Now().Add(-age), Target: q.kind.Target}
 		if v.r.Known {
-			w.Began = q.sent
+			w.FirstSent = q.sent
 		}
 		v.offer(v.agents[v.random.IntN(len(v.agents))], o, &w, nil, false)
 	})
 }
 
 // offer gives a flow to an agent, which may pass it on.
-func (v *run) offer(a *agent, o *opening, w *hold.Waiting, visited []msgs.Visit, final bool) {
+func (v *run) offer(a *agent, o *opening, w *hold.QueuedFlow, visited []msgs.Visit, final bool) {
 	work := uint16((a.expected() + a.queue.Len()) * 100 / v.c.Slots)
 	next := share.Next(share.Server{Agent: address(a.index), Work: work}, visited, final, v.others[a.index], v.random.IntN)
 	if i := index(next.Agent); i != a.index {
@@ -270,7 +270,7 @@
 }
 
 // refuse tells a caller that its flow isn't taken; it comes again.
-func (v *run) refuse(a *agent, w *hold.Waiting) {
+func (v *run) refuse(a *agent, w *hold.QueuedFlow) {
 	o := a.waiting[w.Flow]
 	delete(a.waiting, w.Flow)
 	v.report.Refused++
--- a/internal/exper/policy/agents.go
+++ b/internal/exper/policy/agents.go
@@ -20,7 +20,7 @@
 	Expire(now time.Time) admit.Change
 	NextExpiry() time.Time
 	Drain() []uint64
-	After(now time.Time) time.Duration
+	RetryAfter(now time.Time) time.Duration
 	Stats() admit.Stats
 }
 
@@ -124,7 +124,7 @@
 func (a *agent) hint() place.Hint {
 	st := a.gate.Stats()
 	return place.Hint{
-		Running: st.Running, Waiting: st.Waiting, Busy: a.usage.Share(a.now()), Service: st.Service(),
+		Running: st.Running, Waiting: st.Waiting, Utilization: a.usage.Share(a.now()), Service: st.ServiceTime(),
 		Leaving: a.leaving || a.placer.Down(a.now()),
 	}
 }
@@ -152,7 +152,7 @@
 		choice = a.placer.Choose(a.now(), a.hint(), tried)
 	}
 	if choice.Server == 0 {
-		answer(Answer{End: fakes.Shed, Reason: reason, After: a.gate.After(a.now())})
+		answer(Answer{End: fakes.Shed, Reason: reason, After: a.gate.RetryAfter(a.now())})
 		return
 	}
 	to := a.agents.list[choice.Server-1]
@@ -173,7 +173,7 @@
 
 // back takes in what came of a try.
 func (a *agent) back(j *fakes.Job, from *agent, tried []uint32, sent time.Time, o outcome, answer func(Answer)) {
-	ends := map[fakes.End]place.End{fakes.Good: place.Good, fakes.Late: place.Good, fakes.Shed: place.Shed, fakes.Unreached: place.Missed}
+	ends := map[fakes.End]place.Outcome{fakes.Good: place.Answered, fakes.Late: place.Answered, fakes.Shed: place.Shed, fakes.Unreached: place.Unreachable}
 	end, known := ends[o.end]
 	if !known {
 		end = place.Failed
@@ -192,10 +192,10 @@
 		return
 	}
 	attempt := retry.Attempt{
-		Result:   result.Result{Outcome: result.NotRun, Reason: o.reason},
-		Tries:    len(tried),
-		Deadline: j.Deadline,
-		Service:  a.hint().Service,
+		Result:      result.Result{Outcome: result.NotRun, Reason: o.reason},
+		Tries:       len(tried),
+		Deadline:    j.Deadline,
+		ServiceTime: a.hint().Service,
 	}
 	if !a.agents.byFlow && a.budget.Decide(a.now(), attempt).Retry {
 		a.place(j, tried, o.reason, answer)
@@ -211,7 +211,7 @@
 		if a.server.Down {
 			reason, end = result.ServerDown, fakes.Unreached
 		}
-		reply(outcome{end: end, reason: reason, after: a.gate.After(a.now())})
+		reply(outcome{end: end, reason: reason, after: a.gate.RetryAfter(a.now())})
 		return
 	}
 	a.id++
@@ -223,7 +223,7 @@
 		a.start(id)
 	case admit.Refuse:
 		delete(a.waiting, id)
-		reply(outcome{end: fakes.Shed, reason: d.Reason, after: d.After})
+		reply(outcome{end: fakes.Shed, reason: d.Reason, after: d.RetryAfter})
 	}
 	a.timer()
 }
@@ -241,7 +241,7 @@
 		a.apply(c)
 		o := outcome{end: end}
 		if end == fakes.Shed || end == fakes.Unreached {
-			o.reason, o.after = result.ServerDown, a.gate.After(a.now())
+			o.reason, o.after = result.ServerDown, a.gate.RetryAfter(a.now())
 		}
 		v.reply(o)
 	})
@@ -255,7 +255,7 @@
 	for _, r := range c.Refused {
 		v := a.waiting[r.ID]
 		delete(a.waiting, r.ID)
-		v.reply(outcome{end: fakes.Shed, reason: r.Reason, after: r.After})
+		v.reply(outcome{end: fakes.Shed, reason: r.Reason, after: r.RetryAfter})
 	}
 	a.observe()
 	a.timer()
@@ -288,7 +288,7 @@
 	for _, id := range a.gate.Drain() {
 		v := a.waiting[id]
 		delete(a.waiting, id)
-		v.reply(outcome{end: fakes.Shed, reason: result.LeavingServer, after: a.gate.After(a.now())})
+		v.reply(outcome{end: fakes.Shed, reason: result.LeavingServer, after: a.gate.RetryAfter(a.now())})
 	}
 }
 
--- a/internal/exper/policy/line.go
+++ b/internal/exper/policy/line.go
@@ -26,7 +26,7 @@
 		return admit.Decision{Verdict: admit.Run}
 	}
 	if !g.unlimited && g.count(r.Class) >= kindOf(g.limits.Classes, r.Class).Queue {
-		return admit.Decision{Verdict: admit.Refuse, Reason: result.QueueFull, After: time.Second}
+		return admit.Decision{Verdict: admit.Refuse, Reason: result.QueueFull, RetryAfter: time.Second}
 	}
 	g.waiting = append(g.waiting, r)
 	return admit.Decision{Verdict: admit.Wait}
@@ -52,7 +52,7 @@
 		r := g.waiting[0]
 		g.waiting = g.waiting[1:]
 		if !g.unlimited && !now.Before(r.Deadline) {
-			c.Refused = append(c.Refused, admit.Refused{ID: r.ID, Reason: result.Expired, After: time.Second})
+			c.Refused = append(c.Refused, admit.Refusal{ID: r.ID, Reason: result.Expired, RetryAfter: time.Second})
 			continue
 		}
 		g.running[r.ID] = true
@@ -73,7 +73,7 @@
 	return ids
 }
 
-func (g *line) After(time.Time) time.Duration { return time.Second }
+func (g *line) RetryAfter(time.Time) time.Duration { return time.Second }
 
 func (g *line) Stats() admit.Stats {
 	return admit.Stats{Slots: g.limits.Slots, Running: len(g.running), Waiting: len(g.waiting), Classes: []admit.ClassStats{g.measured}}
--- a/internal/load/admit/admit.go
+++ b/internal/load/admit/admit.go
@@ -71,22 +71,22 @@
 
 // Decision answers an arrival.
 type Decision struct {
-	Verdict Verdict
-	Reason  result.Reason // of a refusal
-	After   time.Duration // of a refusal: when to come back
+	Verdict    Verdict
+	Reason     result.Reason // of a refusal
+	RetryAfter time.Duration // of a refusal: when to come back
 }
 
-// Refused is a request that waited and is given up on. It did not run.
-type Refused struct {
-	ID     uint64
-	Reason result.Reason
-	After  time.Duration // when to come back
+// Refusal is a request that waited and is given up on. It did not run.
+type Refusal struct {
+	ID         uint64
+	Reason     result.Reason
+	RetryAfter time.Duration // when to come back
 }
 
 // Change is what an event leads to: the process starts the ones and answers the others.
 type Change struct {
 	Started []uint64
-	Refused []Refused
+	Refused []Refusal
 }
 
 // Gate holds the slots and the queue of one backend server.
@@ -160,7 +160,7 @@
 	if g.late(now, l, r) {
 		return g.refusal(now, result.TooLate)
 	}
-	if !l.waiting.Room(class.Name, r.Caller, class.Queue) {
+	if !l.waiting.HasRoom(class.Name, r.Caller, class.Queue) {
 		reason := result.ShedCaller
 		if l.waiting.Waiting(class.Name) >= class.Queue {
 			reason = result.QueueFull
--- a/internal/load/admit/admit_test.go
+++ b/internal/load/admit/admit_test.go
@@ -68,7 +68,7 @@
 	d := b.arrive("claim", fundA, 150*time.Millisecond)
 	assert.Equal(t, d.Verdict, Refuse)
 	assert.Equal(t, d.Reason, result.TooLate)
-	assert.Assert(t, d.After >= leastAfter && d.After <= 5*leastAfter, d.After)
+	assert.Assert(t, d.RetryAfter >= leastAfter && d.RetryAfter <= 5*leastAfter, d.RetryAfter)
 }
 
 // Heirs upload scans for seconds each. Were every slot theirs, a caseworker's
@@ -205,16 +205,16 @@
 			b.arrive("claim", fundA, time.Second)
 			b.Done(b.now, b.id, 10*time.Millisecond)
 		}
-		b.After(b.now)
+		b.RetryAfter(b.now)
 		b.now = b.now.Add(time.Second)
 	}
-	first := b.After(b.now)
+	first := b.RetryAfter(b.now)
 	assert.Assert(t, first <= 5*leastAfter, first)
 	for range 100 {
 		b.now = b.now.Add(100 * time.Millisecond)
-		b.After(b.now)
+		b.RetryAfter(b.now)
 	}
-	last := b.After(b.now)
+	last := b.RetryAfter(b.now)
 	assert.Assert(t, last >= 10*time.Second && last <= 50*time.Second, last)
 }
 
--- a/internal/load/admit/after.go
+++ b/internal/load/admit/after.go
@@ -51,13 +51,13 @@
 	s.second, s.arrivals, s.refused = now, 0, 0
 }
 
-// After is when a caller that is refused now is to come back; it notes the refusal.
+// RetryAfter is when a caller that is refused now is to come back; it notes the refusal.
 // A process asks for it when it refuses for a reason of its own, such as that no server
 // can be reached. A shortage is expected to last about as long again as it has
 // lasted, and no less than the queue takes to empty. The answer is spread evenly beyond
 // that: callers that were refused together would otherwise come back together and
 // make the next shortage.
-func (g *Gate) After(now time.Time) time.Duration {
+func (g *Gate) RetryAfter(now time.Time) time.Duration {
 	base := max(g.shortage.refuse(now), g.backlog(), leastAfter)
 	base = min(base, mostAfter)
 	return base + time.Duration(g.rules.Spread*g.random.Float64()*float64(base))
@@ -75,11 +75,11 @@
 }
 
 func (g *Gate) refusal(now time.Time, r result.Reason) Decision {
-	return Decision{Verdict: Refuse, Reason: r, After: g.After(now)}
+	return Decision{Verdict: Refuse, Reason: r, RetryAfter: g.RetryAfter(now)}
 }
 
-func (g *Gate) refused(now time.Time, id uint64, r result.Reason) Refused {
-	return Refused{ID: id, Reason: r, After: g.After(now)}
+func (g *Gate) refused(now time.Time, id uint64, r result.Reason) Refusal {
+	return Refusal{ID: id, Reason: r, RetryAfter: g.RetryAfter(now)}
 }
 
 // Stats is the state of a gate for /status and for the load that peers are told of.
@@ -98,10 +98,10 @@
 	Runs  int           `json:"runs"`
 }
 
-// Service is the service time to tell peers: the mean of the shortest class. A mean over
+// ServiceTime is the service time to tell peers: the mean of the shortest class. A mean over
 // all classes would make a server look slow that happens to have got more uploads. 0 if
 // nothing has been measured.
-func (s Stats) Service() (shortest time.Duration) {
+func (s Stats) ServiceTime() (shortest time.Duration) {
 	for _, c := range s.Classes {
 		if c.Runs > 0 && (shortest == 0 || c.Mean < shortest) {
 			shortest = c.Mean
--- a/internal/load/admit/estimate.go
+++ b/internal/load/admit/estimate.go
@@ -46,7 +46,7 @@
 // for a service time that is over the mean and for a wait that is longer than expected.
 func (g *Gate) late(now time.Time, l *lane, r Request) bool {
 	wait, left := g.wait(now, l, r.Caller), r.Deadline.Sub(now).Seconds()
-	return wait > g.rules.Wait*left || wait+g.cost(r.Class) > left
+	return wait > g.rules.WaitShare*left || wait+g.cost(r.Class) > left
 }
 
 // wait is the expected wait of a new request of a caller, in seconds: the work that
--- a/internal/load/admit/limits.go
+++ b/internal/load/admit/limits.go
@@ -33,13 +33,13 @@
 
 // Rules are the thresholds of admission.
 type Rules struct {
-	Wait   float64 // share of the time left to the deadline that a request may be expected to wait
-	Spread float64 // Retry-After is spread over once to 1+Spread times the expected shortage
-	Long   float64 // share of the slots that feeds may hold, and that uploads may hold
+	WaitShare float64 // share of the time left to the deadline that a request may be expected to wait
+	Spread    float64 // Retry-After is spread over once to 1+Spread times the expected shortage
+	LongShare float64 // share of the slots that feeds may hold, and that uploads may hold
 }
 
 // Default are the thresholds in use; docs/design/load.md has the runs behind them.
-var Default = Rules{Wait: 0.3, Spread: 4, Long: 0.5}
+var Default = Rules{WaitShare: 0.3, Spread: 4, LongShare: 0.5}
 
 // most is how many slots a kind may hold. Feeds and uploads together leave one free
 // besides, so that lookups always find a slot that turns over quickly; a server with
@@ -48,7 +48,7 @@
 	if l.kind == docs.Lookup {
 		return g.limits.Slots
 	}
-	return max(1, int(g.rules.Long*float64(g.limits.Slots)))
+	return max(1, int(g.rules.LongShare*float64(g.limits.Slots)))
 }
 
 func (l Limits) class(name string) (docs.Class, bool) {
--- a/internal/load/bulk/bulk.go
+++ b/internal/load/bulk/bulk.go
@@ -65,7 +65,7 @@
 	patience time.Duration
 	kinds    map[netip.AddrPort]float64 // bytes that a flow to an address sends
 	active   map[segs.Flow]*flow
-	waiting  []Waiting
+	waiting  []QueuedFlow
 }
 
 // flow is one that is under way.
@@ -74,8 +74,8 @@
 	used  time.Time
 }
 
-// Waiting is a flow that waits for its turn.
-type Waiting struct {
+// QueuedFlow is a flow that waits for its turn.
+type QueuedFlow struct {
 	Flow   segs.Flow
 	Packet []byte    // its opening packet
 	until  time.Time // it has waited for too long
@@ -86,8 +86,8 @@
 	return &Gate{rate: rate, patience: patience, kinds: map[netip.AddrPort]float64{}, active: map[segs.Flow]*flow{}}
 }
 
-// Open says what becomes of a flow whose caller began to ask for it some time ago. It copies the packet of one that waits.
-func (g *Gate) Open(now time.Time, f segs.Flow, age time.Duration, packet []byte) Verdict {
+// Admit says what becomes of a flow whose caller began to ask for it some time ago. It copies the packet of one that waits.
+func (g *Gate) Admit(now time.Time, f segs.Flow, age time.Duration, packet []byte) Verdict {
 	switch {
 	case !g.long(f):
 		return Pass
@@ -97,14 +97,14 @@
 	case age+g.expected(f) > g.patience: // known now, so not told later
 		return Refuse
 	default:
-		g.waiting = append(g.waiting, Waiting{Flow: f, Packet: slices.Clone(packet), until: now.Add(g.patience - age)})
+		g.waiting = append(g.waiting, QueuedFlow{Flow: f, Packet: slices.Clone(packet), until: now.Add(g.patience - age)})
 		return Hold
 	}
 }
 
 // long says whether a flow is one that may be held up.
 func (g *Gate) long(f segs.Flow) bool {
-	return g.rate > 0 && g.kinds[f.Called()]/g.rate > longFlow.Seconds()
+	return g.rate > 0 && g.kinds[f.ServiceAddr()]/g.rate > longFlow.Seconds()
 }
 
 // room says whether one more flow may be under way.
@@ -132,11 +132,11 @@
 // expected is how long a flow waits for its turn: until those before it have sent what they will, and half of those under way.
 func (g *Gate) expected(f segs.Flow) time.Duration {
 	before := float64(len(g.waiting)) + float64(g.underWay())/2
-	return time.Duration(before * g.kinds[f.Called()] / g.rate * float64(time.Second))
+	return time.Duration(before * g.kinds[f.ServiceAddr()] / g.rate * float64(time.Second))
 }
 
-// Waits says whether a flow waits for its turn.
-func (g *Gate) Waits(f segs.Flow) bool {
+// Contains says whether a flow waits for its turn.
+func (g *Gate) Contains(f segs.Flow) bool {
 	for _, w := range g.waiting {
 		if w.Flow == f {
 			return true
@@ -145,11 +145,11 @@
 	return false
 }
 
-// Waiting is how many flows wait.
-func (g *Gate) Waiting() int { return len(g.waiting) }
+// Len is how many flows wait.
+func (g *Gate) Len() int { return len(g.waiting) }
 
-// Sent notes bytes that a flow's caller has sent.
-func (g *Gate) Sent(now time.Time, f segs.Flow, bytes int) {
+// RecordSent notes bytes that a flow's caller has sent.
+func (g *Gate) RecordSent(now time.Time, f segs.Flow, bytes int) {
 	if g.rate == 0 {
 		return
 	}
@@ -165,8 +165,8 @@
 	a.used = now
 }
 
-// Closed notes that a flow's caller has sent all that it will.
-func (g *Gate) Closed(f segs.Flow) {
+// Close notes that a flow's caller has sent all that it will.
+func (g *Gate) Close(f segs.Flow) {
 	if a := g.active[f]; a != nil {
 		g.end(f, a)
 	}
@@ -175,7 +175,7 @@
 // end forgets a flow and learns what it has sent.
 func (g *Gate) end(f segs.Flow, a *flow) {
 	delete(g.active, f)
-	called := f.Called()
+	called := f.ServiceAddr()
 	size, seen := g.kinds[called]
 	switch {
 	case seen:
@@ -186,9 +186,9 @@
 }
 
 // Next returns the flow whose turn it is.
-func (g *Gate) Next(now time.Time) (w Waiting, ok bool) {
+func (g *Gate) Next(now time.Time) (w QueuedFlow, ok bool) {
 	if len(g.waiting) == 0 || !g.room() {
-		return Waiting{}, false
+		return QueuedFlow{}, false
 	}
 	w = g.take()
 	g.begin(now, w.Flow)
@@ -196,16 +196,16 @@
 }
 
 // take takes the first of the waiting flows.
-func (g *Gate) take() Waiting {
+func (g *Gate) take() QueuedFlow {
 	w := g.waiting[0]
 	g.waiting = slices.Delete(g.waiting, 0, 1)
 	return w
 }
 
-// Late returns a flow that has waited for too long.
-func (g *Gate) Late(now time.Time) (w Waiting, ok bool) {
+// NextExpired returns a flow that has waited for too long.
+func (g *Gate) NextExpired(now time.Time) (w QueuedFlow, ok bool) {
 	if len(g.waiting) == 0 || now.Before(g.waiting[0].until) {
-		return Waiting{}, false
+		return QueuedFlow{}, false
 	}
 	return g.take(), true
 }
--- a/internal/load/bulk/play_test.go
+++ b/internal/load/bulk/play_test.go
@@ -88,7 +88,7 @@
 		p.send(u)
 		return
 	}
-	switch p.gate.Open(p.now, f, 0, nil) {
+	switch p.gate.Admit(p.now, f, 0, nil) {
 	case Pass:
 		p.send(u)
 	case Refuse:
@@ -126,7 +126,7 @@
 	}
 	p.link(packetBytes, func() {
 		if p.gate != nil {
-			p.gate.Sent(p.now, u.flow, packetBytes)
+			p.gate.RecordSent(p.now, u.flow, packetBytes)
 		}
 		p.at(p.now.Add(baseTrip), func() { p.ack(u, i) })
 	})
@@ -147,14 +147,14 @@
 	u.over = true
 	p.done = append(p.done, p.now.Sub(u.began))
 	if p.gate != nil {
-		p.gate.Closed(u.flow)
+		p.gate.Close(u.flow)
 		p.turns()
 	}
 }
 
 // turns begins the uploads whose turn it is.
 func (p *play) turns() {
-	for w, ok := p.gate.Late(p.now); ok; w, ok = p.gate.Late(p.now) {
+	for w, ok := p.gate.NextExpired(p.now); ok; w, ok = p.gate.NextExpired(p.now) {
 		held[w.Flow].over = true
 		p.refused++
 	}
--- a/internal/load/detect/detect.go
+++ b/internal/load/detect/detect.go
@@ -18,24 +18,24 @@
 //
 // # Usage
 //
-//	d := detect.New(detect.Bounds{Doubt: 150 * time.Millisecond, Wait: 150 * time.Millisecond, Checks: 3})
+//	d := detect.New(detect.Config{Doubt: 150 * time.Millisecond, Wait: 150 * time.Millisecond, Checks: 3})
 //	d.Asked(now) // something was sent that is answered at once
 //	d.Heard(now) // anything has come
 //	switch d.Tick(now, detect.Open) {
-//	case detect.Check:
+//	case detect.Probe:
 //		askDirectly()
-//	case detect.Lost:
+//	case detect.Failed:
 //		giveUp()
 //	}
 package detect
 
 import "time"
 
-// Bounds are the times of one detector.
-type Bounds struct {
-	Doubt  time.Duration // without an answer, until the party is asked directly
-	Wait   time.Duration // for the answer to a direct question
-	Checks int           // direct questions without an answer until the party is lost
+// Config are the times of one detector.
+type Config struct {
+	SuspectAfter time.Duration // without an answer, until the party is asked directly
+	ProbeTimeout time.Duration // for the answer to a direct question
+	Probes       int           // direct questions without an answer until the party is lost
 }
 
 // Verdict is what a tick asks for.
@@ -43,19 +43,19 @@
 
 // The verdicts.
 const (
-	Fine  Verdict = iota // nothing is to be done
-	Check                // the party is to be asked directly
-	Lost                 // it is lost as of now; said once
+	None   Verdict = iota // nothing is to be done
+	Probe                 // the party is to be asked directly
+	Failed                // it is lost as of now; said once
 )
 
-// Way is how the way between the observer and the others was while it waited for an answer, by their answers.
-type Way uint8
+// Path is how the way between the observer and the others was while it waited for an answer, by their answers.
+type Path uint8
 
 // The ways.
 const (
-	Open    Way = iota // all others have answered: silence counts
-	Patchy             // some have: it doesn't count, and waiting longer is of no use
-	Blocked            // none has: it doesn't count, and answers may take longer
+	Open    Path = iota // all others have answered: silence counts
+	Partial             // some have: it doesn't count, and waiting longer is of no use
+	Blocked             // none has: it doesn't count, and answers may take longer
 )
 
 // mostStep bounds what one step between two ticks counts for: twice the 50 ms of the ticks of
@@ -67,7 +67,7 @@
 
 // Detector watches one party. Its zero value is of no use.
 type Detector struct {
-	bounds Bounds
+	bounds Config
 	last   time.Time     // of the last tick
 	awake  time.Duration // until then
 	since  time.Duration // awake time of the first unanswered message
@@ -79,13 +79,13 @@
 }
 
 // New returns a detector of a party that nothing speaks against.
-func New(b Bounds) *Detector { return &Detector{bounds: b, wait: b.Wait} }
+func New(b Config) *Detector { return &Detector{bounds: b, wait: b.ProbeTimeout} }
 
-// Lost says whether the party is lost.
-func (d *Detector) Lost() bool { return d.lost }
+// Failed says whether the party is lost.
+func (d *Detector) Failed() bool { return d.lost }
 
-// InDoubt says whether something is unanswered.
-func (d *Detector) InDoubt() bool { return d.doubts }
+// AwaitingReply says whether something is unanswered.
+func (d *Detector) AwaitingReply() bool { return d.doubts }
 
 // clock is the observer's awake time.
 func (d *Detector) clock(now time.Time) time.Duration {
@@ -95,48 +95,48 @@
 	return d.awake + min(max(now.Sub(d.last), 0), mostStep)
 }
 
-// Asked notes that something was sent that the party answers at once.
-func (d *Detector) Asked(now time.Time) {
+// Sent notes that something was sent that the party answers at once.
+func (d *Detector) Sent(now time.Time) {
 	if !d.doubts {
 		d.doubts, d.since = true, d.clock(now)
 	}
 }
 
-// Heard notes that something has come from the party. It says whether it was lost.
-func (d *Detector) Heard() (back bool) {
+// Received notes that something has come from the party. It says whether it was lost.
+func (d *Detector) Received() (back bool) {
 	back = d.lost
-	d.doubts, d.checks, d.lost, d.wait = false, 0, false, d.bounds.Wait
+	d.doubts, d.checks, d.lost, d.wait = false, 0, false, d.bounds.ProbeTimeout
 	return back
 }
 
 // Tick says what is to be done now. It is to be called each 50 ms. Way is how the way was since the last question. A lost party
 // is still to be asked directly every now and then, so that its return shows.
-func (d *Detector) Tick(now time.Time, way Way) Verdict {
+func (d *Detector) Tick(now time.Time, way Path) Verdict {
 	d.awake, d.last = d.clock(now), now
 	switch {
 	case !d.doubts:
-		return Fine
-	case d.checks == 0 && d.awake-d.since < d.bounds.Doubt:
-		return Fine
+		return None
+	case d.checks == 0 && d.awake-d.since < d.bounds.SuspectAfter:
+		return None
 	case d.checks > 0 && d.awake-d.asked < d.wait:
-		return Fine
+		return None
 	case d.checks > 0 && way != Open:
 		return d.repeat(way)
-	case d.checks >= d.bounds.Checks && !d.lost:
+	case d.checks >= d.bounds.Probes && !d.lost:
 		d.lost = true
-		return Lost
+		return Failed
 	default:
 		d.checks++
 		d.asked = d.awake
-		return Check
+		return Probe
 	}
 }
 
 // repeat asks once more, as the last question doesn't count.
-func (d *Detector) repeat(way Way) Verdict {
+func (d *Detector) repeat(way Path) Verdict {
 	if way == Blocked {
-		d.wait = min(2*d.wait, mostWaits*d.bounds.Wait)
+		d.wait = min(2*d.wait, mostWaits*d.bounds.ProbeTimeout)
 	}
 	d.asked = d.awake
-	return Check
+	return Probe
 }
--- a/internal/load/detect/detect_test.go
+++ b/internal/load/detect/detect_test.go
@@ -10,7 +10,7 @@
 
 const tick = 50 * time.Millisecond
 
-var bounds = Bounds{Doubt: 150 * time.Millisecond, Wait: 200 * time.Millisecond, Checks: 2}
+var bounds = Config{SuspectAfter: 150 * time.Millisecond, ProbeTimeout: 200 * time.Millisecond, Probes: 2}
 
 // world ticks a detector and answers its questions as long as answers says so.
 type world struct {
@@ -30,13 +30,13 @@
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.now = w.now.Add(tick)
 		switch w.d.Tick(w.now, Open) {
-		case Check:
+		case Probe:
 			if w.answers {
-				w.d.Heard()
+				w.d.Received()
 			}
-		case Lost:
+		case Failed:
 			w.lost = w.now
-		case Fine:
+		case None:
 		}
 	}
 }
@@ -45,21 +45,21 @@
 func TestSilentPartyIsLostWithinTheBound(t *testing.T) {
 	w := newWorld()
 	began := w.now
-	w.d.Asked(w.now)
+	w.d.Sent(w.now)
 	w.run(2 * time.Second)
-	bound := bounds.Doubt + time.Duration(bounds.Checks)*bounds.Wait
+	bound := bounds.SuspectAfter + time.Duration(bounds.Probes)*bounds.ProbeTimeout
 	took := w.lost.Sub(began)
 	assert.Assert(t, took >= bound && took <= bound+tick, took)
-	assert.Assert(t, w.d.Lost())
-	assert.Assert(t, w.d.Heard())
-	assert.Assert(t, !w.d.Lost())
+	assert.Assert(t, w.d.Failed())
+	assert.Assert(t, w.d.Received())
+	assert.Assert(t, !w.d.Failed())
 }
 
 // Nothing was asked, so nothing is owed: a party without traffic is never in doubt.
 func TestPartyThatIsAskedNothingIsFine(t *testing.T) {
 	w := newWorld()
 	w.run(time.Minute)
-	assert.Assert(t, !w.d.Lost())
+	assert.Assert(t, !w.d.Failed())
 }
 
 // A message and its answer are lost, again and again, and the direct questions are answered.
@@ -67,7 +67,7 @@
 	w := newWorld()
 	w.answers = true
 	for range 100 {
-		w.d.Asked(w.now)
+		w.d.Sent(w.now)
 		w.run(time.Second)
 	}
 	assert.Assert(t, w.lost.IsZero())
@@ -78,13 +78,13 @@
 // read a word.
 func TestFrozenObserverTakesNobodyForLost(t *testing.T) {
 	w := newWorld()
-	w.d.Asked(w.now)
+	w.d.Sent(w.now)
 	w.now = w.now.Add(5 * time.Second)
-	assert.Equal(t, w.d.Tick(w.now, Open), Fine)
+	assert.Equal(t, w.d.Tick(w.now, Open), None)
 	w.now = w.now.Add(tick)
 	verdict := w.d.Tick(w.now, Open)
-	assert.Assert(t, verdict != Lost)
-	w.d.Heard()
+	assert.Assert(t, verdict != Failed)
+	w.d.Received()
 	w.run(time.Second)
 	assert.Assert(t, w.lost.IsZero())
 }
@@ -92,20 +92,20 @@
 // Guards against a party that is lost by questions whose answers couldn't come, and against asking ever more often meanwhile.
 func TestQuestionsThatDoNotCountLoseNobody(t *testing.T) {
 	w := newWorld()
-	w.d.Asked(w.now)
+	w.d.Sent(w.now)
 	questions := 0
 	for range 200 {
 		w.now = w.now.Add(tick)
 		switch w.d.Tick(w.now, Blocked) {
-		case Check:
+		case Probe:
 			questions++
-		case Lost:
+		case Failed:
 			t.Fatal("lost")
-		case Fine:
+		case None:
 		}
 	}
 	assert.Assert(t, questions > 0 && questions <= 10, questions)
-	w.run(bounds.Wait * time.Duration(bounds.Checks) * mostWaits)
+	w.run(bounds.ProbeTimeout * time.Duration(bounds.Probes) * mostWaits)
 	assert.Assert(t, !w.lost.IsZero(), "the way is open again, and the party has answered nothing")
 }
 
@@ -117,14 +117,14 @@
 		for i := range 200 {
 			w.now = w.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(r, "step")) * time.Millisecond)
 			if rapid.Bool().Draw(r, "ask") {
-				w.d.Asked(w.now)
+				w.d.Sent(w.now)
 			}
 			if i == due {
-				w.d.Heard()
+				w.d.Received()
 			}
 			verdict := w.d.Tick(w.now, Open)
-			assert.Assert(r, verdict != Lost)
-			if verdict == Check {
+			assert.Assert(r, verdict != Failed)
+			if verdict == Probe {
 				due = i + 2
 			}
 		}
--- a/internal/load/hold/hold.go
+++ b/internal/load/hold/hold.go
@@ -18,7 +18,7 @@
 // # Usage
 //
 //	q := hold.New(patience)
-//	if last := q.Add(now, &hold.Waiting{Flow: f, Began: now}, limit); last != nil { refuse(last) }
+//	if last := q.Add(now, &hold.QueuedFlow{Flow: f, Began: now}, limit); last != nil { refuse(last) }
 //	if w := q.Next(now, expected, slots, lowest); w != nil { give(w) }
 package hold
 
@@ -34,23 +34,23 @@
 // in percent: work takes a fifth of the target on average and twice that at times.
 const onTimePart = 60
 
-// Waiting is a flow that waits to be opened.
-type Waiting struct {
-	Flow     segs.Flow
-	Origin   netip.Addr    // the entry that placed it
-	Priority int           // 0 is the highest
-	Began    time.Time     // when the caller sent the first opening packet
-	Target   time.Duration // in which its request is to be answered; 0: none
-	Packet   []byte
+// QueuedFlow is a flow that waits to be opened.
+type QueuedFlow struct {
+	Flow      segs.Flow
+	Origin    netip.Addr    // the entry that placed it
+	Priority  int           // 0 is the highest
+	FirstSent time.Time     // when the caller sent the first opening packet
+	Target    time.Duration // in which its request is to be answered; 0: none
+	Packet    []byte
 }
 
 // onTime says whether the request can still be answered in time.
-func (w *Waiting) onTime(now time.Time) bool {
-	return w.Target > 0 && now.Sub(w.Began) < w.Target*onTimePart/100
+func (w *QueuedFlow) onTime(now time.Time) bool {
+	return w.Target > 0 && now.Sub(w.FirstSent) < w.Target*onTimePart/100
 }
 
 // before says whether w goes before v.
-func (w *Waiting) before(v *Waiting, now time.Time) bool {
+func (w *QueuedFlow) before(v *QueuedFlow, now time.Time) bool {
 	mine, other := w.onTime(now), v.onTime(now)
 	switch {
 	case mine != other:
@@ -58,16 +58,16 @@
 	case w.Priority != v.Priority:
 		return w.Priority < v.Priority
 	case mine:
-		return w.Began.After(v.Began)
+		return w.FirstSent.After(v.FirstSent)
 	default:
-		return w.Began.Before(v.Began)
+		return w.FirstSent.Before(v.FirstSent)
 	}
 }
 
 // Queue is the flows that wait at one agent.
 type Queue struct {
 	patience time.Duration // how long a caller waits for its flow to open
-	waiting  []*Waiting
+	waiting  []*QueuedFlow
 }
 
 // New returns an empty queue of flows whose callers wait so long for their flows to open.
@@ -76,14 +76,14 @@
 // Len is the number of flows that wait.
 func (q *Queue) Len() int { return len(q.waiting) }
 
-// Has says whether a flow waits.
-func (q *Queue) Has(f segs.Flow) bool {
-	return slices.ContainsFunc(q.waiting, func(w *Waiting) bool { return w.Flow == f })
+// Contains says whether a flow waits.
+func (q *Queue) Contains(f segs.Flow) bool {
+	return slices.ContainsFunc(q.waiting, func(w *QueuedFlow) bool { return w.Flow == f })
 }
 
 // Add lets a flow wait. If more than limit then do, the last in order is removed and returned,
 // which may be w.
-func (q *Queue) Add(now time.Time, w *Waiting, limit int) (last *Waiting) {
+func (q *Queue) Add(now time.Time, w *QueuedFlow, limit int) (last *QueuedFlow) {
 	q.waiting = append(q.waiting, w)
 	if len(q.waiting) <= limit {
 		return nil
@@ -97,13 +97,13 @@
 	return last
 }
 
-func (q *Queue) remove(w *Waiting) {
-	q.waiting = slices.DeleteFunc(q.waiting, func(v *Waiting) bool { return v == w })
+func (q *Queue) remove(w *QueuedFlow) {
+	q.waiting = slices.DeleteFunc(q.waiting, func(v *QueuedFlow) bool { return v == w })
 }
 
-// First returns the flow that goes next, or nil, without removing it. Flows whose
+// Peek returns the flow that goes next, or nil, without removing it. Flows whose
 // callers have given up are dropped.
-func (q *Queue) First(now time.Time) (first *Waiting) {
+func (q *Queue) Peek(now time.Time) (first *QueuedFlow) {
 	q.Expire(now)
 	for _, w := range q.waiting {
 		if first == nil || w.before(first, now) {
@@ -115,8 +115,8 @@
 
 // Next removes and returns the flow that goes next if the server has room for it: it has
 // expected requests under way or about to come in so many slots.
-func (q *Queue) Next(now time.Time, expected, slots, lowest int) (next *Waiting) {
-	next = q.First(now)
+func (q *Queue) Next(now time.Time, expected, slots, lowest int) (next *QueuedFlow) {
+	next = q.Peek(now)
 	if next == nil || expected >= room(next, slots, lowest) {
 		return nil
 	}
@@ -132,7 +132,7 @@
 // open already never wait here, so in a long overload they would keep every new flow out; a flow of a
 // higher priority than the lowest is let in to the server's own queue, which holds four
 // requests for each slot.
-func room(w *Waiting, slots, lowest int) int {
+func room(w *QueuedFlow, slots, lowest int) int {
 	if w.Priority < lowest {
 		return urgentRoom * slots
 	}
@@ -146,12 +146,12 @@
 // Expire drops the flows whose callers have given up and returns their number.
 func (q *Queue) Expire(now time.Time) int {
 	before := len(q.waiting)
-	q.waiting = slices.DeleteFunc(q.waiting, func(w *Waiting) bool { return now.Sub(w.Began) > q.patience })
+	q.waiting = slices.DeleteFunc(q.waiting, func(w *QueuedFlow) bool { return now.Sub(w.FirstSent) > q.patience })
 	return before - len(q.waiting)
 }
 
 // Clear removes and returns all flows.
-func (q *Queue) Clear() (all []*Waiting) {
+func (q *Queue) Clear() (all []*QueuedFlow) {
 	all = q.waiting
 	q.waiting = nil
 	return all
--- a/internal/load/hold/hold_test.go
+++ b/internal/load/hold/hold_test.go
@@ -20,8 +20,8 @@
 
 func flow(n int) segs.Flow { return segs.Flow{CallerPort: uint16(n)} }
 
-func waiting(n, priority int, age time.Duration) *Waiting {
-	return &Waiting{Flow: flow(n), Priority: priority, Began: now.Add(-age), Target: target}
+func waiting(n, priority int, age time.Duration) *QueuedFlow {
+	return &QueuedFlow{Flow: flow(n), Priority: priority, FirstSent: now.Add(-age), Target: target}
 }
 
 func order(q *Queue) (ports []int) {
@@ -35,7 +35,7 @@
 // can be in time. Oldest first, all are late; the new ones first, only those that are late anyway.
 func TestFlowsThatCanBeInTimeGoFirst(t *testing.T) {
 	q := New(patience)
-	for _, w := range []*Waiting{
+	for _, w := range []*QueuedFlow{
 		waiting(1, 2, 800*time.Millisecond), waiting(2, 2, 500*time.Millisecond), waiting(3, 2, 50*time.Millisecond),
 		waiting(4, 1, 60*time.Millisecond), waiting(5, 2, 10*time.Millisecond), waiting(6, 1, 700*time.Millisecond),
 	} {
--- a/internal/load/place/place.go
+++ b/internal/load/place/place.go
@@ -35,7 +35,7 @@
 //	placer.SetServers(now, place.ServersOf(service))
 //	choice := placer.Choose(now, own, nil)
 //	placer.Sent(choice.Server)
-//	placer.Ended(now, choice.Server, place.Good, took)
+//	placer.Ended(now, choice.Server, place.Answered, took)
 //	placer.Report(now, peer, hint) // whenever a message from the peer carries one
 package place
 
@@ -66,11 +66,11 @@
 
 // Hint is what an agent says of its server; a peer gets it late.
 type Hint struct {
-	Running int           // requests in slots
-	Waiting int           // requests in the queue
-	Busy    float64       // share of the slots' time used lately, 0 to 1
-	Service time.Duration // mean service time
-	Leaving bool          // takes no new work
+	Running     int           // requests in slots
+	Waiting     int           // requests in the queue
+	Utilization float64       // share of the slots' time used lately, 0 to 1
+	Service     time.Duration // mean service time
+	Leaving     bool          // takes no new work
 }
 
 // Self names the agent's own server.
@@ -79,25 +79,25 @@
 	Domain string
 }
 
-// Why says what a choice was made for; each has a counter.
-type Why string
+// Reason says what a choice was made for; each has a counter.
+type Reason string
 
 // The reasons of a choice.
 const (
-	Own      Why = "own"      // the own server has an idle slot
-	Full     Why = "full"     // the own server is full, a peer has an idle slot
-	Balance  Why = "balance"  // the own server worked more than a peer lately
-	Slow     Why = "slow"     // the own server is much slower than a peer
-	Avoid    Why = "avoid"    // the own server is leaving, ejected or already tried
-	Shorter  Why = "shorter"  // all are full; a peer is expected to answer much earlier
-	Stay     Why = "stay"     // all are full, or no peer is better
-	NoServer Why = "noserver" // nothing may take the request
+	Own      Reason = "own"      // the own server has an idle slot
+	Full     Reason = "full"     // the own server is full, a peer has an idle slot
+	Balance  Reason = "balance"  // the own server worked more than a peer lately
+	Slow     Reason = "slow"     // the own server is much slower than a peer
+	Avoid    Reason = "avoid"    // the own server is leaving, ejected or already tried
+	Shorter  Reason = "shorter"  // all are full; a peer is expected to answer much earlier
+	Stay     Reason = "stay"     // all are full, or no peer is better
+	NoServer Reason = "noserver" // nothing may take the request
 )
 
 // Choice is where a request goes. Server is 0 if nothing may take it.
 type Choice struct {
 	Server uint32
-	Why    Why
+	Reason Reason
 }
 
 // Placer holds what one agent knows of the servers of its service.
@@ -172,7 +172,7 @@
 	if best := p.pick(now, idle); best != nil {
 		return Choice{best.ID, Full}
 	}
-	if best := p.pick(now, peers); best != nil && best.expected(now, p.rules) < p.rules.Shorter*mine.expected(now, p.rules) {
+	if best := p.pick(now, peers); best != nil && best.expected(now, p.rules) < p.rules.ShorterFactor*mine.expected(now, p.rules) {
 		return Choice{best.ID, Shorter}
 	}
 	return Choice{p.self.ID, Stay}
@@ -185,7 +185,7 @@
 		best = p.pick(now, peers)
 	}
 	if best == nil {
-		return Choice{Why: NoServer}
+		return Choice{Reason: NoServer}
 	}
 	return Choice{best.ID, Avoid}
 }
@@ -233,11 +233,11 @@
 // prefer reports whether a is better than b.
 func (p *Placer) prefer(now time.Time, a, b *state) bool {
 	ea, eb := a.expected(now, p.rules), b.expected(now, p.rules)
-	if !alike(ea, eb, p.rules.Alike) {
+	if !alike(ea, eb, p.rules.SimilarMargin) {
 		return ea < eb
 	}
 	ba, bb := a.busy(now, p.rules), b.busy(now, p.rules)
-	if d := ba - bb; d < -p.rules.Even || d > p.rules.Even {
+	if d := ba - bb; d < -p.rules.EvenMargin || d > p.rules.EvenMargin {
 		return ba < bb
 	}
 	if (a.Domain == p.self.Domain) != (b.Domain == p.self.Domain) {
@@ -249,7 +249,7 @@
 // slower reports whether the own server is so slow that a hop is worth it.
 func (p *Placer) slower(now time.Time, mine, best *state) bool {
 	theirs := best.expected(now, p.rules)
-	return theirs > 0 && mine.service(now, p.rules) > p.rules.Slower*theirs
+	return theirs > 0 && mine.service(now, p.rules) > p.rules.SlowFactor*theirs
 }
 
 // busier reports whether the own server has lately worked more than its share.
@@ -257,12 +257,12 @@
 	sum, n := mine.busy(now, p.rules), 1
 	for _, s := range p.states {
 		if s != mine && s.fresh(now, p.rules) {
-			sum += s.hint.Busy
+			sum += s.hint.Utilization
 			n++
 		}
 	}
 	own := mine.busy(now, p.rules)
-	return n > 1 && own > sum/float64(n)+p.rules.Even && best.fresh(now, p.rules) && best.busy(now, p.rules) < own-p.rules.Even
+	return n > 1 && own > sum/float64(n)+p.rules.EvenMargin && best.fresh(now, p.rules) && best.busy(now, p.rules) < own-p.rules.EvenMargin
 }
 
 func alike(a, b, margin float64) bool {
--- a/internal/load/place/place_test.go
+++ b/internal/load/place/place_test.go
@@ -11,10 +11,10 @@
 var now = time.Unix(1_000_000, 0)
 
 // quiet is a server with idle slots that works like the others.
-var quiet = Hint{Running: 1, Busy: 0.3, Service: 20 * time.Millisecond}
+var quiet = Hint{Running: 1, Utilization: 0.3, Service: 20 * time.Millisecond}
 
 // full is a server without an idle slot.
-var full = Hint{Running: 4, Waiting: 2, Busy: 0.3, Service: 20 * time.Millisecond}
+var full = Hint{Running: 4, Waiting: 2, Utilization: 0.3, Service: 20 * time.Millisecond}
 
 // seven is the placer of server 1 of seven in three failure domains, with a fresh report of each peer.
 func seven() *Placer {
@@ -67,15 +67,15 @@
 // work although it has an idle slot, or one fund's callers would wait longer than another's.
 func TestBusierServerGivesWork(t *testing.T) {
 	own := quiet
-	own.Busy = 0.6
-	assert.Equal(t, seven().Choose(now, own, nil).Why, Balance)
+	own.Utilization = 0.6
+	assert.Equal(t, seven().Choose(now, own, nil).Reason, Balance)
 }
 
 // A server turned five times slower. It has idle slots, but its requests are placed elsewhere.
 func TestSlowOwnServerPassesOn(t *testing.T) {
 	own := quiet
 	own.Service = 100 * time.Millisecond
-	assert.Equal(t, seven().Choose(now, own, nil).Why, Slow)
+	assert.Equal(t, seven().Choose(now, own, nil).Reason, Slow)
 }
 
 // A peer reports four idle slots for ever and refuses whatever it is sent. It is
@@ -95,7 +95,7 @@
 			p.Ended(at, 3, Shed, time.Millisecond)
 			continue
 		}
-		p.Ended(at, c.Server, Good, 20*time.Millisecond)
+		p.Ended(at, c.Server, Answered, 20*time.Millisecond)
 	}
 	assert.Assert(t, asked < 20, asked)
 }
@@ -112,7 +112,7 @@
 		c := p.Choose(at, full, nil)
 		p.Sent(c.Server)
 		if c.Server != 3 {
-			p.Ended(at, c.Server, Good, 20*time.Millisecond)
+			p.Ended(at, c.Server, Answered, 20*time.Millisecond)
 			continue
 		}
 		failed++
@@ -140,7 +140,7 @@
 	p := seven()
 	for _, id := range []uint32{1, 3, 5} {
 		p.Sent(id)
-		p.Ended(now, id, Missed, time.Millisecond)
+		p.Ended(now, id, Unreachable, time.Millisecond)
 	}
 	assert.Assert(t, p.Down(now))
 	counts := spread(p, quiet, 100)
@@ -163,7 +163,7 @@
 	p.Joined(now, 5)
 	p.Report(now, 5, Hint{})
 	assert.Assert(t, spread(p, full, 10)[5] <= 1)
-	assert.Equal(t, p.state(5).open(now.Add(Default.Slow), Default), 4.0)
+	assert.Equal(t, p.state(5).open(now.Add(Default.SlowStart), Default), 4.0)
 }
 
 // All hold the same old report that one server is idle. None of them sends it more
@@ -186,7 +186,7 @@
 		c := p.Choose(now, Hint{Leaving: true}, []uint32{3, 4, 5, 6})
 		assert.Equal(t, c, Choice{7, Avoid})
 	}
-	assert.Equal(t, p.Choose(now, Hint{Leaving: true}, []uint32{3, 4, 5, 6, 7}).Why, NoServer)
+	assert.Equal(t, p.Choose(now, Hint{Leaving: true}, []uint32{3, 4, 5, 6, 7}).Reason, NoServer)
 }
 
 func TestUsageForgets(t *testing.T) {
--- a/internal/load/place/state.go
+++ b/internal/load/place/state.go
@@ -6,26 +6,26 @@
 
 // Rules are the thresholds of placement.
 type Rules struct {
-	Fade    time.Duration // age at which a report no longer counts
-	Slow    time.Duration // length of the slow start of a server that joined
-	Slower  float64       // a server counts as slow, or its report as false, from this many times the service time
-	Even    float64       // difference in the share of slot time that counts as equal
-	Alike   float64       // relative difference in expected time that counts as equal
-	Shorter float64       // all being full, a peer must be expected to take less than this share of the own time
-	Failing float64       // share of failures from which a server is ejected
-	Ceiling float64       // share of the servers that may be ejected at a time
+	ReportLifetime time.Duration // age at which a report no longer counts
+	SlowStart      time.Duration // length of the slow start of a server that joined
+	SlowFactor     float64       // a server counts as slow, or its report as false, from this many times the service time
+	EvenMargin     float64       // difference in the share of slot time that counts as equal
+	SimilarMargin  float64       // relative difference in expected time that counts as equal
+	ShorterFactor  float64       // all being full, a peer must be expected to take less than this share of the own time
+	FailureShare   float64       // share of failures from which a server is ejected
+	MaxEjected     float64       // share of the servers that may be ejected at a time
 }
 
 // Default are the thresholds in use; docs/design/load.md has the runs behind them.
 var Default = Rules{
-	Fade:    2 * time.Second,
-	Slow:    10 * time.Second,
-	Slower:  2,
-	Even:    0.01,
-	Alike:   0.25,
-	Shorter: 0.8,
-	Failing: 0.5,
-	Ceiling: 0.5,
+	ReportLifetime: 2 * time.Second,
+	SlowStart:      10 * time.Second,
+	SlowFactor:     2,
+	EvenMargin:     0.01,
+	SimilarMargin:  0.25,
+	ShorterFactor:  0.8,
+	FailureShare:   0.5,
+	MaxEjected:     0.5,
 }
 
 const (
@@ -62,15 +62,15 @@
 	misses   int       // in a row
 }
 
-// End is how a request ended at a server.
-type End uint8
+// Outcome is how a request ended at a server.
+type Outcome uint8
 
 // The ends.
 const (
-	Good   End = iota // answered
-	Failed            // failed, or broke off
-	Shed              // refused as not run
-	Missed            // the server could not be reached, so it did not run
+	Answered    Outcome = iota // answered
+	Failed                     // failed, or broke off
+	Shed                       // refused as not run
+	Unreachable                // the server could not be reached, so it did not run
 )
 
 // Sent says that a request was given to a server.
@@ -92,7 +92,7 @@
 // it was sent; 0 for a request that is long by nature, which says nothing of how
 // slow the server is. A feed has ended with the first byte of its answer: it holds no slot
 // after that, and its server would count as full for hours.
-func (p *Placer) Ended(now time.Time, id uint32, end End, took time.Duration) {
+func (p *Placer) Ended(now time.Time, id uint32, end Outcome, took time.Duration) {
 	s := p.state(id)
 	if s == nil {
 		return
@@ -102,7 +102,7 @@
 	case Shed:
 		s.shed(now)
 		return
-	case Missed:
+	case Unreachable:
 		s.miss(now)
 		return
 	}
@@ -115,7 +115,7 @@
 		s.sample(now, took)
 	}
 	s.failures += gain * (failed - s.failures)
-	if end == Good && s.outcomes >= fewest {
+	if end == Answered && s.outcomes >= fewest {
 		s.ejects = 0
 	}
 	p.eject(now, s)
@@ -158,7 +158,7 @@
 // beyond the ceiling: if most seem to fail, the fault is likely elsewhere, and the
 // few that are left would drown.
 func (p *Placer) eject(now time.Time, s *state) {
-	failing := s.outcomes >= fewest && s.failures > p.rules.Failing
+	failing := s.outcomes >= fewest && s.failures > p.rules.FailureShare
 	relapse := s.ejects > 0 && s.outcomes == 1 && s.failures > 0
 	if !failing && !relapse {
 		return
@@ -169,7 +169,7 @@
 			out++
 		}
 	}
-	if len(p.states) < 2 || out >= max(1, int(p.rules.Ceiling*float64(len(p.states)))) {
+	if len(p.states) < 2 || out >= max(1, int(p.rules.MaxEjected*float64(len(p.states)))) {
 		return
 	}
 	length := min(firstEject<<min(s.ejects, 10), longEject)
@@ -198,7 +198,7 @@
 
 // fresh reports whether the server's own report still counts.
 func (s *state) fresh(now time.Time, r Rules) bool {
-	return !s.heard.IsZero() && now.Sub(s.heard) < r.Fade
+	return !s.heard.IsZero() && now.Sub(s.heard) < r.ReportLifetime
 }
 
 // load is how many requests the server has, as far as this agent can tell. Of its own
@@ -209,7 +209,7 @@
 	}
 	hinted := 0.0
 	if s.fresh(now, r) {
-		fade := 1 - float64(now.Sub(s.heard))/float64(r.Fade)
+		fade := 1 - float64(now.Sub(s.heard))/float64(r.ReportLifetime)
 		hinted = float64(s.hint.Running+s.hint.Waiting)*fade + float64(s.since)
 	}
 	return max(hinted, float64(s.inflight))
@@ -218,8 +218,8 @@
 // open is how many slots may be counted on; few while the server is cold.
 func (s *state) open(now time.Time, r Rules) float64 {
 	share := 1.0
-	if age := now.Sub(s.cold); !s.cold.IsZero() && age < r.Slow {
-		share = coldOpen + (1-coldOpen)*float64(max(age, 0))/float64(r.Slow)
+	if age := now.Sub(s.cold); !s.cold.IsZero() && age < r.SlowStart {
+		share = coldOpen + (1-coldOpen)*float64(max(age, 0))/float64(r.SlowStart)
 	}
 	return max(1, share*float64(s.Slots))
 }
@@ -241,7 +241,7 @@
 // says that it can't be true.
 func (s *state) expected(now time.Time, r Rules) float64 {
 	reported := s.service(now, r) * max(1, (s.load(now, r)+1)/s.open(now, r))
-	if now.Sub(s.sampled) <= measuredFor && s.measured > r.Slower*reported {
+	if now.Sub(s.sampled) <= measuredFor && s.measured > r.SlowFactor*reported {
 		return s.measured
 	}
 	return reported
@@ -251,5 +251,5 @@
 	if !s.fresh(now, r) {
 		return 1
 	}
-	return s.hint.Busy
+	return s.hint.Utilization
 }
--- a/internal/load/queue/ahead.go
+++ b/internal/load/queue/ahead.go
@@ -82,14 +82,14 @@
 	return nil
 }
 
-// Room reports whether a caller may have one more request of a class waiting,
+// HasRoom reports whether a caller may have one more request of a class waiting,
 // of at most limit in all. Each caller may have as many as places are still free,
 // times its weight over the mean weight: one heavy caller fills half of the queue
 // at most, two a third each. So there is always room for a caller that has
 // nothing waiting, nobody has to be turned out again to make it, and a refusal is
 // said at once. Unnamed callers are bounded as the group they are, and in the
 // same way among each other.
-func (f *Fair) Room(class string, c Caller, limit int) bool {
+func (f *Fair) HasRoom(class string, c Caller, limit int) bool {
 	key := c
 	if c.Name == "" {
 		key = unnamed
--- a/internal/load/queue/queue_test.go
+++ b/internal/load/queue/queue_test.go
@@ -81,7 +81,7 @@
 	q := New(funds)
 	const limit = 32
 	push := func(c Caller) (n int) {
-		for ; q.Room("claim", c, limit) && n < 2*limit; n++ {
+		for ; q.HasRoom("claim", c, limit) && n < 2*limit; n++ {
 			fill(q, c, 1, 1)
 		}
 		return n
--- a/internal/load/quick/quick.go
+++ b/internal/load/quick/quick.go
@@ -52,8 +52,8 @@
 	mostKinds = 256
 )
 
-// Watch is one server's. The zero value is of no use.
-type Watch struct {
+// Breaker is one server's. The zero value is of no use.
+type Breaker struct {
 	kinds  map[netip.AddrPort]*kind
 	weight float64 // of answers that were far too fast
 	open   bool
@@ -67,10 +67,10 @@
 }
 
 // New returns a watch that has seen no answer.
-func New() *Watch { return &Watch{kinds: map[netip.AddrPort]*kind{}} }
+func New() *Breaker { return &Breaker{kinds: map[netip.AddrPort]*kind{}} }
 
-// Answered notes how long an answer took on a flow to an address. It says whether that has opened or closed the breaker.
-func (w *Watch) Answered(now time.Time, called netip.AddrPort, took time.Duration) (turned bool) {
+// RecordAnswer notes how long an answer took on a flow to an address. It says whether that has opened or closed the breaker.
+func (w *Breaker) RecordAnswer(now time.Time, called netip.AddrPort, took time.Duration) (turned bool) {
 	k := w.kinds[called]
 	if k == nil {
 		if len(w.kinds) >= mostKinds {
@@ -101,10 +101,10 @@
 }
 
 // Open says whether the server fails.
-func (w *Watch) Open() bool { return w.open }
+func (w *Breaker) Open() bool { return w.open }
 
 // Allows says whether the server may get a new flow.
-func (w *Watch) Allows(now time.Time) bool {
+func (w *Breaker) Allows(now time.Time) bool {
 	if !w.open {
 		return true
 	}
--- a/internal/load/quick/quick_test.go
+++ b/internal/load/quick/quick_test.go
@@ -17,7 +17,7 @@
 
 // server answers some forty requests a second.
 type server struct {
-	watch *Watch
+	watch *Breaker
 	now   time.Time
 	rand  *rand.Rand
 	turns int // how often the breaker turned
@@ -43,7 +43,7 @@
 			took = 4 * time.Millisecond
 			failed++
 		}
-		if s.watch.Answered(s.now, called, took) {
+		if s.watch.RecordAnswer(s.now, called, took) {
 			s.turns++
 		}
 	}
@@ -91,7 +91,7 @@
 	s.run(20*time.Second, sheet, 47*time.Millisecond, 0)
 	for range 2000 { // each is given to it, as all others turn flows away too
 		s.now = s.now.Add(25 * time.Millisecond)
-		s.watch.Answered(s.now, sheet, s.good(5*time.Millisecond))
+		s.watch.RecordAnswer(s.now, sheet, s.good(5*time.Millisecond))
 	}
 	assert.Assert(t, !s.watch.Open())
 }
--- a/internal/load/retry/retry.go
+++ b/internal/load/retry/retry.go
@@ -43,50 +43,50 @@
 
 // Rules are the thresholds of retries.
 type Rules struct {
-	Share   float64 // retries for each fresh request
-	Reserve float64 // retries that may be saved up
-	Tries   int     // in all, the first one included
+	Share    float64 // retries for each fresh request
+	Reserve  float64 // retries that may be saved up
+	MaxTries int     // in all, the first one included
 }
 
 // Default are the thresholds in use; docs/design/load.md has the runs behind them.
-var Default = Rules{Share: 0.1, Reserve: 10, Tries: 3}
+var Default = Rules{Share: 0.1, Reserve: 10, MaxTries: 3}
 
-// Why says why a retry was taken or not. Each has a counter.
-type Why string
+// Reason says why a retry was taken or not. Each has a counter.
+type Reason string
 
 // Why a retry was taken.
 const (
-	ShedThere   Why = "shed"    // a server or a peer's queue refused it as not run
-	NeverSent   Why = "unsent"  // the server could not be reached
-	SafeToRerun Why = "repeat"  // outcome unknown, the class is idempotent
-	Left        Why = "leaving" // the server takes no new work
+	Shed          Reason = "shed"    // a server or a peer's queue refused it as not run
+	Unsent        Reason = "unsent"  // the server could not be reached
+	Idempotent    Reason = "repeat"  // outcome unknown, the class is idempotent
+	ServerLeaving Reason = "leaving" // the server takes no new work
 )
 
 // Why a retry was not taken.
 const (
-	HasRun      Why = "ran"     // it ran, whatever the answer
-	NotSafe     Why = "unsafe"  // outcome unknown, and it must not run twice
-	OtherLayer  Why = "layer"   // another process or the caller decides on its retries
-	NoBudget    Why = "budget"  // retries are used up
-	NoTime      Why = "late"    // the deadline leaves no room
-	EnoughTries Why = "tries"   // tried often enough
-	NotHere     Why = "verdict" // no other server would decide otherwise
+	Ran         Reason = "ran"     // it ran, whatever the answer
+	Unsafe      Reason = "unsafe"  // outcome unknown, and it must not run twice
+	OtherLayer  Reason = "layer"   // another process or the caller decides on its retries
+	NoBudget    Reason = "budget"  // retries are used up
+	TooLate     Reason = "late"    // the deadline leaves no room
+	MaxTries    Reason = "tries"   // tried often enough
+	FinalReason Reason = "verdict" // no other server would decide otherwise
 )
 
 // Attempt is a try that ended without an answer for the caller.
 type Attempt struct {
-	Result     result.Result
-	Idempotent bool          // the class's
-	Tries      int           // so far, 1 after the first
-	Placed     bool          // another agent handed it over, or the caller repeats it by itself
-	Deadline   time.Time     // of the request
-	Service    time.Duration // expected time of one more try, the way there and back included
+	Result      result.Result
+	Idempotent  bool          // the class's
+	Tries       int           // so far, 1 after the first
+	OtherLayer  bool          // another agent handed it over, or the caller repeats it by itself
+	Deadline    time.Time     // of the request
+	ServiceTime time.Duration // expected time of one more try, the way there and back included
 }
 
 // Verdict answers an attempt.
 type Verdict struct {
-	Retry bool
-	Why   Why
+	Retry  bool
+	Reason Reason
 }
 
 // Budget holds the retries that may be taken. It is not safe for concurrent use.
@@ -105,36 +105,36 @@
 	b.saved = min(b.rules.Reserve, b.saved+b.rules.Share)
 }
 
-// Saved returns how many retries may be taken now.
-func (b *Budget) Saved() float64 { return b.saved }
+// Available returns how many retries may be taken now.
+func (b *Budget) Available() float64 { return b.saved }
 
 // Decide says whether to try once more, and takes it from the budget if so.
 func (b *Budget) Decide(now time.Time, a Attempt) Verdict {
 	if why := b.against(now, a); why != "" {
-		return Verdict{Why: why}
+		return Verdict{Reason: why}
 	}
 	if b.saved < 1 {
-		return Verdict{Why: NoBudget}
+		return Verdict{Reason: NoBudget}
 	}
 	b.saved--
-	return Verdict{Retry: true, Why: taken(a.Result)}
+	return Verdict{Retry: true, Reason: taken(a.Result)}
 }
 
 // against returns what speaks against one more try, budget apart.
-func (b *Budget) against(now time.Time, a Attempt) Why {
+func (b *Budget) against(now time.Time, a Attempt) Reason {
 	switch {
 	case a.Result.Outcome == result.Ran:
-		return HasRun
+		return Ran
 	case a.Result.Outcome == result.Unknown && !a.Idempotent:
-		return NotSafe
-	case a.Placed:
+		return Unsafe
+	case a.OtherLayer:
 		return OtherLayer
 	case final(a.Result.Reason):
-		return NotHere
-	case a.Tries >= b.rules.Tries:
-		return EnoughTries
-	case now.Add(a.Service).After(a.Deadline):
-		return NoTime
+		return FinalReason
+	case a.Tries >= b.rules.MaxTries:
+		return MaxTries
+	case now.Add(a.ServiceTime).After(a.Deadline):
+		return TooLate
 	}
 	return ""
 }
@@ -148,14 +148,14 @@
 	return false
 }
 
-func taken(r result.Result) Why {
+func taken(r result.Result) Reason {
 	switch {
 	case r.Outcome == result.Unknown:
-		return SafeToRerun
+		return Idempotent
 	case r.Reason == result.ServerDown:
-		return NeverSent
+		return Unsent
 	case r.Reason == result.LeavingServer:
-		return Left
+		return ServerLeaving
 	}
-	return ShedThere
+	return Shed
 }
--- a/internal/load/retry/retry_test.go
+++ b/internal/load/retry/retry_test.go
@@ -14,28 +14,28 @@
 
 // shed is an attempt that may be made again.
 var shed = Attempt{
-	Result:   result.Result{Outcome: result.NotRun, Reason: result.ServerShed},
-	Tries:    1,
-	Deadline: now.Add(time.Second),
-	Service:  50 * time.Millisecond,
+	Result:      result.Result{Outcome: result.NotRun, Reason: result.ServerShed},
+	Tries:       1,
+	Deadline:    now.Add(time.Second),
+	ServiceTime: 50 * time.Millisecond,
 }
 
 func TestEachReason(t *testing.T) {
-	for want, change := range map[Why]func(*Attempt){
-		HasRun:      func(a *Attempt) { a.Result.Outcome = result.Ran },
-		NotSafe:     func(a *Attempt) { a.Result.Outcome = result.Unknown },
-		OtherLayer:  func(a *Attempt) { a.Placed = true },
-		NotHere:     func(a *Attempt) { a.Result.Reason = result.NoClass },
-		EnoughTries: func(a *Attempt) { a.Tries = 3 },
-		NoTime:      func(a *Attempt) { a.Service = 2 * time.Second },
-		ShedThere:   func(*Attempt) {},
-		NeverSent:   func(a *Attempt) { a.Result.Reason = result.ServerDown },
-		Left:        func(a *Attempt) { a.Result.Reason = result.LeavingServer },
-		SafeToRerun: func(a *Attempt) { a.Result.Outcome, a.Idempotent = result.Unknown, true },
+	for want, change := range map[Reason]func(*Attempt){
+		Ran:           func(a *Attempt) { a.Result.Outcome = result.Ran },
+		Unsafe:        func(a *Attempt) { a.Result.Outcome = result.Unknown },
+		OtherLayer:    func(a *Attempt) { a.OtherLayer = true },
+		FinalReason:   func(a *Attempt) { a.Result.Reason = result.NoClass },
+		MaxTries:      func(a *Attempt) { a.Tries = 3 },
+		TooLate:       func(a *Attempt) { a.ServiceTime = 2 * time.Second },
+		Shed:          func(*Attempt) {},
+		Unsent:        func(a *Attempt) { a.Result.Reason = result.ServerDown },
+		ServerLeaving: func(a *Attempt) { a.Result.Reason = result.LeavingServer },
+		Idempotent:    func(a *Attempt) { a.Result.Outcome, a.Idempotent = result.Unknown, true },
 	} {
 		a := shed
 		change(&a)
-		assert.Equal(t, New(Default).Decide(now, a).Why, want)
+		assert.Equal(t, New(Default).Decide(now, a).Reason, want)
 	}
 }
 
@@ -51,7 +51,7 @@
 		}
 	}
 	assert.Equal(t, retries, 1009)
-	assert.Equal(t, b.Decide(now, shed).Why, NoBudget)
+	assert.Equal(t, b.Decide(now, shed).Reason, NoBudget)
 }
 
 // Whatever the attempt: what ran, or may have run and must not run twice, is never tried again.
@@ -60,13 +60,13 @@
 		a := Attempt{
 			Result:     result.Result{Outcome: rapid.SampledFrom([]result.Outcome{result.Unknown, result.Ran, result.NotRun}).Draw(t, "outcome")},
 			Idempotent: rapid.Bool().Draw(t, "idempotent"),
-			Placed:     rapid.Bool().Draw(t, "placed"),
+			OtherLayer: rapid.Bool().Draw(t, "placed"),
 			Tries:      rapid.IntRange(1, 4).Draw(t, "tries"),
 			Deadline:   now.Add(time.Second),
 		}
 		if New(Default).Decide(now, a).Retry {
 			assert.Assert(t, a.Result.Outcome == result.NotRun || a.Result.Outcome == result.Unknown && a.Idempotent)
-			assert.Assert(t, !a.Placed)
+			assert.Assert(t, !a.OtherLayer)
 		}
 	})
 }
--- a/internal/load/share/share.go
+++ b/internal/load/share/share.go
@@ -38,9 +38,9 @@
 
 // Server is a server as an agent knows it.
 type Server struct {
-	Agent netip.Addr
-	Work  uint16 // hundredths of its slots; only of the own server
-	Near  bool   // in the same failure domain
+	Agent      netip.Addr
+	Work       uint16 // hundredths of its slots; only of the own server
+	SameDomain bool   // in the same failure domain
 }
 
 // Choice is who is to have the opening packet. If it is not the agent itself, it goes
@@ -56,7 +56,7 @@
 	if final || own.Work < full {
 		return Choice{Agent: own.Agent}
 	}
-	visited = append(visited, msgs.Visit{Agent: own.Agent, Work: own.Work})
+	visited = append(visited, msgs.Visit{Agent: own.Agent, Utilization: own.Work})
 	if len(visited) < mostVisits {
 		if agent, ok := another(visited, others, len(visited) < nearVisits, random); ok {
 			return Choice{Agent: agent, Visited: visited}
@@ -64,7 +64,7 @@
 	}
 	best := visited[0]
 	for _, v := range visited[1:] {
-		if v.Work < best.Work {
+		if v.Utilization < best.Utilization {
 			best = v
 		}
 	}
@@ -75,7 +75,7 @@
 func another(visited []msgs.Visit, others []Server, near bool, random func(int) int) (agent netip.Addr, ok bool) {
 	found, count := false, 0
 	for _, s := range others {
-		wanted := s.Near == near
+		wanted := s.SameDomain == near
 		if been(visited, s.Agent) || found && !wanted {
 			continue
 		}
--- a/internal/load/share/share_test.go
+++ b/internal/load/share/share_test.go
@@ -25,23 +25,23 @@
 
 // Callers of one failure domain are more than its servers can take. A flow must not be passed on only within it.
 func TestFlowLeavesAnOverloadedDomain(t *testing.T) {
-	others := []Server{{Agent: agent(2), Near: true}, {Agent: agent(3), Near: true}, {Agent: agent(4)}}
-	visited := []msgs.Visit{{Agent: agent(2), Work: 300}}
+	others := []Server{{Agent: agent(2), SameDomain: true}, {Agent: agent(3), SameDomain: true}, {Agent: agent(4)}}
+	visited := []msgs.Visit{{Agent: agent(2), Utilization: 300}}
 	got := Next(Server{Agent: agent(1), Work: 150}, visited, false, others, first)
 	assert.Equal(t, got.Agent, agent(4))
 }
 
 func TestBusyServerPassesTheFlowOnNearFirst(t *testing.T) {
-	others := []Server{{Agent: agent(2)}, {Agent: agent(3), Near: true}, {Agent: agent(4)}}
+	others := []Server{{Agent: agent(2)}, {Agent: agent(3), SameDomain: true}, {Agent: agent(4)}}
 	got := Next(Server{Agent: agent(1), Work: 150}, nil, false, others, first)
 	assert.Equal(t, got.Agent, agent(3))
-	assert.DeepEqual(t, got.Visited, []msgs.Visit{{Agent: agent(1), Work: 150}}, addrs)
+	assert.DeepEqual(t, got.Visited, []msgs.Visit{{Agent: agent(1), Utilization: 150}}, addrs)
 	assert.Assert(t, !got.Final)
 }
 
 // All servers are busy. The packet must not go round for ever, and the least busy one takes it.
 func TestLeastBusyOfTheVisitedTakesTheFlow(t *testing.T) {
-	visited := []msgs.Visit{{Agent: agent(1), Work: 300}, {Agent: agent(2), Work: 200}, {Agent: agent(3), Work: 400}}
+	visited := []msgs.Visit{{Agent: agent(1), Utilization: 300}, {Agent: agent(2), Utilization: 200}, {Agent: agent(3), Utilization: 400}}
 	got := Next(Server{Agent: agent(4), Work: 250}, visited, false, []Server{{Agent: agent(5)}}, first)
 	assert.Equal(t, got.Agent, agent(2))
 	assert.Assert(t, got.Final)
--- a/internal/load/shift/shift.go
+++ b/internal/load/shift/shift.go
@@ -39,31 +39,31 @@
 
 // Rules are the parameters of the controller.
 type Rules struct {
-	Every  time.Duration // between steps
-	Part   float64       // part of the way to the target in one step; 1 is undamped
-	Dead   float64       // relative difference from the mean load that is let be
-	Floor  float64       // least weight, as a share of the document's
-	Most   float64       // greatest weight, in document weights
-	Expire time.Duration // age at which a report no longer counts
+	Interval       time.Duration // between steps
+	Gain           float64       // part of the way to the target in one step; 1 is undamped
+	DeadZone       float64       // relative difference from the mean load that is let be
+	Floor          float64       // least weight, as a share of the document's
+	Ceiling        float64       // greatest weight, in document weights
+	ReportLifetime time.Duration // age at which a report no longer counts
 }
 
 // Default are the parameters in use.
 var Default = Rules{
-	Every:  time.Second,
-	Part:   0.05,
-	Dead:   0.1,
-	Floor:  0.1,
-	Most:   2,
-	Expire: 10 * time.Second,
+	Interval:       time.Second,
+	Gain:           0.05,
+	DeadZone:       0.1,
+	Floor:          0.1,
+	Ceiling:        2,
+	ReportLifetime: 10 * time.Second,
 }
 
-// Plain follows each report at once; it is the rule that Default is measured against.
-var Plain = Rules{
-	Every:  time.Second,
-	Part:   1,
-	Floor:  0.1,
-	Most:   2,
-	Expire: 10 * time.Second,
+// Undamped follows each report at once; it is the rule that Default is measured against.
+var Undamped = Rules{
+	Interval:       time.Second,
+	Gain:           1,
+	Floor:          0.1,
+	Ceiling:        2,
+	ReportLifetime: 10 * time.Second,
 }
 
 // Server is what the document says of one server.
@@ -155,20 +155,20 @@
 		if s.counts(now, w.rules) && mean > 0 {
 			target = w.target(s, mean)
 		}
-		s.factor += w.rules.Part * (target - s.factor)
+		s.factor += w.rules.Gain * (target - s.factor)
 	}
 }
 
 // target is the factor at which a server would have the mean load.
 func (w *Weights) target(s *state, mean float64) float64 {
-	if off := s.load.Demand/mean - 1; off >= -w.rules.Dead && off <= w.rules.Dead {
+	if off := s.load.Demand/mean - 1; off >= -w.rules.DeadZone && off <= w.rules.DeadZone {
 		return s.factor
 	}
-	even := s.factor * w.rules.Most
+	even := s.factor * w.rules.Ceiling
 	if s.load.Demand > 0 {
 		even = s.factor * mean / s.load.Demand
 	}
-	return min(max(even, w.rules.Floor), w.rules.Most)
+	return min(max(even, w.rules.Floor), w.rules.Ceiling)
 }
 
 // Weights returns the weights in force, ordered by server.
@@ -188,7 +188,7 @@
 
 // counts reports whether the server's load is known and belongs to the mean.
 func (s *state) counts(now time.Time, r Rules) bool {
-	return !s.leaving() && !s.heard.IsZero() && now.Sub(s.heard) < r.Expire
+	return !s.leaving() && !s.heard.IsZero() && now.Sub(s.heard) < r.ReportLifetime
 }
 
 func (w *Weights) state(id uint32) *state {
--- a/internal/load/shift/shift_test.go
+++ b/internal/load/shift/shift_test.go
@@ -51,8 +51,8 @@
 		report(w, at, 2, 0.5, 0.5)
 		w.Step(at)
 		got := shares(w)
-		assert.Assert(t, got[0] <= last && last-got[0] <= Default.Part, got)
-		assert.Assert(t, got[1] <= Default.Most)
+		assert.Assert(t, got[0] <= last && last-got[0] <= Default.Gain, got)
+		assert.Assert(t, got[1] <= Default.Ceiling)
 		last = got[0]
 	}
 	assert.Assert(t, last < 0.11 && last >= Default.Floor, last)
--- a/internal/load/steer/steer.go
+++ b/internal/load/steer/steer.go
@@ -40,7 +40,7 @@
 	Slots    int
 	Draining bool
 	Cold     bool // started a moment ago and slow
-	Lost     bool // its agent is taken for lost
+	Failed   bool // its agent is taken for lost
 }
 
 const (
@@ -139,7 +139,7 @@
 	if k.Domain != c.domain && !c.off.Distance {
 		w += distance
 	}
-	if k.Lost {
+	if k.Failed {
 		w += rankSilent * slots
 	}
 	if k.Draining {
@@ -183,16 +183,18 @@
 	s.silent, s.refused = time.Time{}, time.Time{}
 }
 
-// Silent says that an agent's server didn't answer an opening packet in time.
-func (c *Chooser) Silent(now time.Time, agent netip.Addr) { c.state(agent).silent = now.Add(silentFor) }
+// NoReply says that an agent's server didn't answer an opening packet in time.
+func (c *Chooser) NoReply(now time.Time, agent netip.Addr) {
+	c.state(agent).silent = now.Add(silentFor)
+}
 
 // Refused says that an agent handed an opening packet back.
 func (c *Chooser) Refused(now time.Time, agent netip.Addr) {
 	c.state(agent).refused = now.Add(refusedFor)
 }
 
-// Keep forgets all agents but those listed.
-func (c *Chooser) Keep(agents []netip.Addr) {
+// Retain forgets all agents but those listed.
+func (c *Chooser) Retain(agents []netip.Addr) {
 	for a := range c.states {
 		if !slices.Contains(agents, a) {
 			delete(c.states, a)
--- a/internal/load/trip/trip.go
+++ b/internal/load/trip/trip.go
@@ -40,8 +40,8 @@
 // Open says whether the server has tripped the breaker.
 func (b *Breaker) Open() bool { return b.failed >= failuresToTrip }
 
-// Failed notes a request that the server broke off. It says whether that one has opened the breaker.
-func (b *Breaker) Failed(now time.Time) (opened bool) {
+// RecordFailure notes a request that the server broke off. It says whether that one has opened the breaker.
+func (b *Breaker) RecordFailure(now time.Time) (opened bool) {
 	b.failed++
 	if b.failed != failuresToTrip {
 		return false
@@ -50,8 +50,8 @@
 	return true
 }
 
-// Answered notes an answer.
-func (b *Breaker) Answered() { b.failed = 0 }
+// RecordAnswer notes an answer.
+func (b *Breaker) RecordAnswer() { b.failed = 0 }
 
 // Allows says whether the server may get a new flow.
 func (b *Breaker) Allows(now time.Time) bool {
--- a/internal/load/trip/trip_test.go
+++ b/internal/load/trip/trip_test.go
@@ -14,19 +14,19 @@
 func TestFailingServerGetsAFlowNowAndThen(t *testing.T) {
 	var b Breaker
 	for range failuresToTrip - 1 {
-		assert.Assert(t, !b.Failed(now))
+		assert.Assert(t, !b.RecordFailure(now))
 		assert.Assert(t, b.Allows(now))
 	}
-	assert.Assert(t, b.Failed(now))
+	assert.Assert(t, b.RecordFailure(now))
 	allowed := 0
 	for i := range 100 {
 		if b.Allows(now.Add(time.Duration(i) * 20 * time.Millisecond)) {
 			allowed++
-			assert.Assert(t, !b.Failed(now), "it is open already")
+			assert.Assert(t, !b.RecordFailure(now), "it is open already")
 		}
 	}
 	assert.Equal(t, allowed, 4)
-	b.Answered()
+	b.RecordAnswer()
 	assert.Assert(t, b.Allows(now))
 }
 
@@ -37,8 +37,8 @@
 	opened := 0
 	for range 10_000 {
 		if random.IntN(10) > 0 {
-			b.Answered()
-		} else if b.Failed(now) {
+			b.RecordAnswer()
+		} else if b.RecordFailure(now) {
 			opened++
 		}
 	}
@@ -59,10 +59,10 @@
 			for range 3 {
 				s := choose(random, breakers, at)
 				if s < failing {
-					breakers[s].Failed(at)
+					breakers[s].RecordFailure(at)
 					continue
 				}
-				breakers[s].Answered()
+				breakers[s].RecordAnswer()
 				served = true
 				break
 			}
--- a/internal/load/warm/warm.go
+++ b/internal/load/warm/warm.go
@@ -30,11 +30,11 @@
 	taken []time.Time // within the window, oldest first; kept while the server is cold
 }
 
-// ColdFor says how much longer the server is cold; it replaces what was said before.
-func (l *Limiter) ColdFor(now time.Time, left time.Duration) { l.until = now.Add(left) }
+// SetCold says how much longer the server is cold; it replaces what was said before.
+func (l *Limiter) SetCold(now time.Time, left time.Duration) { l.until = now.Add(left) }
 
-// AtLeast says that the server is cold for that long or longer.
-func (l *Limiter) AtLeast(now time.Time, left time.Duration) {
+// ExtendCold says that the server is cold for that long or longer.
+func (l *Limiter) ExtendCold(now time.Time, left time.Duration) {
 	if until := now.Add(left); until.After(l.until) {
 		l.until = until
 	}
@@ -52,8 +52,8 @@
 	return len(l.taken) < max(1, int(perSecond))
 }
 
-// Took notes a new flow.
-func (l *Limiter) Took(now time.Time) {
+// Record notes a new flow.
+func (l *Limiter) Record(now time.Time) {
 	l.forget(now)
 	l.taken = append(l.taken, now)
 }
--- a/internal/load/warm/warm_test.go
+++ b/internal/load/warm/warm_test.go
@@ -15,13 +15,13 @@
 	rapid.Check(t, func(r *rapid.T) {
 		rate := rapid.Float64Range(0.2, 40).Draw(r, "rate")
 		var l Limiter
-		l.ColdFor(now, 10*time.Second)
+		l.SetCold(now, 10*time.Second)
 		var taken []time.Time
 		at := now
 		for range 200 {
 			at = at.Add(time.Duration(rapid.IntRange(0, 60).Draw(r, "ms")) * time.Millisecond)
 			if l.Allows(at, rate) {
-				l.Took(at)
+				l.Record(at)
 				taken = append(taken, at)
 			}
 		}
@@ -39,9 +39,9 @@
 	var l Limiter
 	for range 100 {
 		assert.Assert(t, l.Allows(now, 5), "warm")
-		l.Took(now)
+		l.Record(now)
 	}
-	l.ColdFor(now, time.Second)
+	l.SetCold(now, time.Second)
 	assert.Assert(t, !l.Allows(now, 5))
 	assert.Assert(t, l.Allows(now, 0), "no rate")
 	assert.Assert(t, l.Allows(now.Add(time.Second), 5), "warm again")
@@ -50,9 +50,9 @@
 // Guards against a server that is taken for warm because an older word said so.
 func TestColdAtLeast(t *testing.T) {
 	var l Limiter
-	l.AtLeast(now, 2*time.Second)
-	l.AtLeast(now, time.Second)
+	l.ExtendCold(now, 2*time.Second)
+	l.ExtendCold(now, time.Second)
 	assert.Assert(t, l.Cold(now.Add(1500*time.Millisecond)))
-	l.ColdFor(now, 0)
+	l.SetCold(now, 0)
 	assert.Assert(t, !l.Cold(now))
 }
--- a/internal/node/agent/chain.go
+++ b/internal/node/agent/chain.go
@@ -13,19 +13,19 @@
 
 // Exchange is one request on its way through the filters.
 type Exchange struct {
-	ID       string // unique in the service
-	Service  *docs.Service
-	Class    *docs.Class
-	OwnFlow  bool         // came by a flow of this agent, not from another agent
-	Source   netip.Addr   // where it comes from
-	Caller   queue.Caller // who shares the service fairly with others
-	Key      string       // request key, if it has one
-	Hops     int          // hand-overs so far
-	Placed   bool         // another agent chose this one for it
-	Decided  bool         // its key was looked at: "not run" holds for the key
-	Deadline time.Time
-	Request  *http.Request
-	Answer   *Answer
+	ID         string // unique in the service
+	Service    *docs.Service
+	Class      *docs.Class
+	OwnFlow    bool         // came by a flow of this agent, not from another agent
+	Source     netip.Addr   // where it comes from
+	Caller     queue.Caller // who shares the service fairly with others
+	Key        string       // request key, if it has one
+	Hops       int          // hand-overs so far
+	Placed     bool         // another agent chose this one for it
+	KeyDecided bool         // its key was looked at: "not run" holds for the key
+	Deadline   time.Time
+	Request    *http.Request
+	Answer     *Answer
 	// FirstByte is called when the server's answer begins; a feed then gives its
 	// slot back. It is set by the filter enter.
 	FirstByte func()
--- a/internal/node/agent/enter.go
+++ b/internal/node/agent/enter.go
@@ -32,7 +32,7 @@
 			if x.Answer.Failed() {
 				pass.Fail()
 			}
-			pass.Leave()
+			pass.Release()
 			if x.OwnFlow {
 				a.demand.add(time.Since(began))
 			}
--- a/internal/node/agent/once.go
+++ b/internal/node/agent/once.go
@@ -23,7 +23,7 @@
 		if !once.Applies(r) {
 			return next(ctx, x)
 		}
-		x.Decided = true
+		x.KeyDecided = true
 		return a.guard.Run(ctx, r, outer{x.Answer}, x.asRunner(next))
 	}
 }
@@ -32,7 +32,7 @@
 // once: that this try did not run says nothing of an earlier one under the key.
 func settle(x *Exchange, end result.Result) result.Result {
 	idempotent := x.Class != nil && x.Class.Idempotent
-	if x.Key != "" && !x.Decided && !idempotent && end.Outcome == result.NotRun {
+	if x.Key != "" && !x.KeyDecided && !idempotent && end.Outcome == result.NotRun {
 		end.Outcome = result.Unknown
 	}
 	return end
--- a/internal/node/agent/place.go
+++ b/internal/node/agent/place.go
@@ -52,7 +52,7 @@
 	}
 	switch end.Reason {
 	case result.ServerDown, result.ServerShed, result.LeavingServer, result.PeerLost:
-		end.After = max(end.After, a.gate.After())
+		end.After = max(end.After, a.gate.RetryAfter())
 	}
 	return end
 }
@@ -108,11 +108,11 @@
 	busy := a.usage.Share(now)
 	a.usageMu.Unlock()
 	return place.Hint{
-		Running: s.Running,
-		Waiting: s.Waiting,
-		Busy:    busy,
-		Service: s.Service(),
-		Leaving: !a.standing.accepting(),
+		Running:     s.Running,
+		Waiting:     s.Waiting,
+		Utilization: busy,
+		Service:     s.ServiceTime(),
+		Leaving:     !a.standing.accepting(),
 	}
 }
 
--- a/internal/node/agent/side.go
+++ b/internal/node/agent/side.go
@@ -45,7 +45,7 @@
 // openSide takes the first address that is free. Without addresses there is no side.
 func openSide(ctx context.Context, sides []netip.AddrPort) (s *side, err error) {
 	for i, own := range sides {
-		conn, failed := sock.UDP(ctx, own, sock.Alone)
+		conn, failed := sock.UDP(ctx, own, sock.Exclusive)
 		if failed == nil {
 			return &side{index: uint8(i), conn: conn, other: sides[len(sides)-1-i]}, nil
 		}
@@ -133,7 +133,7 @@
 		return []net.Listener{l.peers}, nil
 	}
 	own := l.side.conn.LocalAddr().(*net.UDPAddr).AddrPort()
-	side, err := sock.TCP(ctx, own, sock.Alone)
+	side, err := sock.TCP(ctx, own, sock.Exclusive)
 	if err != nil {
 		return nil, errors.CombineErrors(err, main.Close())
 	}
--- a/internal/node/agent/side_test.go
+++ b/internal/node/agent/side_test.go
@@ -22,7 +22,7 @@
 
 // The old process has died. After a second of silence its flows' callers must be
 // told, so that they open new ones instead of waiting for their idle timeout.
-func TestSilentSideIsGivenUp(t *testing.T) {
+func TestUnresponsiveSideTimesOut(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var s side
 	s.heard.Set(now)
@@ -39,7 +39,7 @@
 // said that the server leaves, so that entries gave it hardly any new flows, although
 // the successor was serving. While it serves, the stop of the old process is no word
 // of the server's; any other cause still is.
-func TestReplacedProcessDoesNotSpeakForTheServer(t *testing.T) {
+func TestReplacedProcessDoesNotReportLeaving(t *testing.T) {
 	now := time.Now()
 	a := &Agent{standing: standing{log: zerolog.Nop(), changed: func(bool) {}}}
 	l := &link{agent: a, side: &side{}}
--- a/internal/node/awake/awake.go
+++ b/internal/node/awake/awake.go
@@ -22,16 +22,16 @@
 const (
 	// Tick is how often the clock is looked at.
 	Tick = 100 * time.Millisecond
-	// Late is the step that counts as a pause. A busy machine delays a tick by
+	// Threshold is the step that counts as a pause. A busy machine delays a tick by
 	// tens of milliseconds; what agents believe of entries ages in 400 ms, so
 	// a shorter pause is met by those beliefs' own limits.
-	Late = time.Second
+	Threshold = time.Second
 )
 
 // Pause returns how long a process was paused between two ticks, 0 if it was not.
 func Pause(before, now time.Time) time.Duration {
 	step := now.Sub(before)
-	if step < Late {
+	if step < Threshold {
 		return 0
 	}
 	return step - Tick
--- a/internal/node/awake/awake_test.go
+++ b/internal/node/awake/awake_test.go
@@ -12,6 +12,6 @@
 func TestPauseIsToldFromDelay(t *testing.T) {
 	now := time.Unix(1000, 0)
 	assert.Equal(t, Pause(now, now.Add(Tick)), time.Duration(0))
-	assert.Equal(t, Pause(now, now.Add(Late-1)), time.Duration(0))
+	assert.Equal(t, Pause(now, now.Add(Threshold-1)), time.Duration(0))
 	assert.Equal(t, Pause(now, now.Add(time.Minute)), time.Minute-Tick)
 }
--- a/internal/node/doubt/doubt.go
+++ b/internal/node/doubt/doubt.go
@@ -36,7 +36,7 @@
 var asks = metrics.NewCounter(`mangowinch_doubt_rounds_total`)
 
 // lostAfter is when an agent is lost: 0.95 s after the first unanswered packet. Killed ones are back after 0.65 s.
-var lostAfter = detect.Bounds{Doubt: 150 * time.Millisecond, Wait: 200 * time.Millisecond, Checks: 4}
+var lostAfter = detect.Config{SuspectAfter: 150 * time.Millisecond, ProbeTimeout: 200 * time.Millisecond, Probes: 4}
 
 // mostAsks bounds how many agents in doubt are asked in a tick. When a failure domain goes, an observer may doubt a thousand at once;
 // the others' turn comes with the next ticks.
@@ -45,15 +45,15 @@
 // lately is for how long an agent that was heard needs no question.
 const lately = time.Second
 
-// Voucher asks whether a process is alive, directly and by way of helpers.
-type Voucher interface {
-	Ask(target netip.Addr, helpers []netip.Addr, round uint32)
+// Prober asks whether a process is alive, directly and by way of helpers.
+type Prober interface {
+	Probe(target netip.Addr, helpers []netip.Addr, round uint32)
 }
 
-// Watch is one observer's doubts.
-type Watch struct {
+// Monitor is one observer's doubts.
+type Monitor struct {
 	self     netip.Addr
-	voucher  Voucher
+	voucher  Prober
 	agents   map[netip.Addr]*agent
 	told     map[netip.Addr]time.Time // lost by another's word, as of when
 	heard    map[netip.Addr]time.Time
@@ -68,8 +68,8 @@
 }
 
 // New returns the watch of the process at an address, without doubts.
-func New(self netip.Addr, v Voucher, r *rand.Rand) *Watch {
-	return &Watch{
+func New(self netip.Addr, v Prober, r *rand.Rand) *Monitor {
+	return &Monitor{
 		self:     self,
 		voucher:  v,
 		agents:   map[netip.Addr]*agent{},
@@ -80,55 +80,57 @@
 	}
 }
 
-// Doubt notes that an agent has left something unanswered.
-func (w *Watch) Doubt(now time.Time, a netip.Addr) {
+// Suspect notes that an agent has left something unanswered.
+func (w *Monitor) Suspect(now time.Time, a netip.Addr) {
 	d := w.agents[a]
 	if d == nil {
 		d = &agent{Detector: detect.New(lostAfter)}
 		d.Tick(now, detect.Open)
 		w.agents[a] = d
 	}
-	d.Asked(now)
+	d.Sent(now)
 }
 
-// DoubtUnheard is Doubt for an agent that hasn't been heard lately, for who sends something without an answer to itself.
-func (w *Watch) DoubtUnheard(now time.Time, a netip.Addr) {
+// SuspectUnlessSeen is Doubt for an agent that hasn't been heard lately, for who sends something without an answer to itself.
+func (w *Monitor) SuspectUnlessSeen(now time.Time, a netip.Addr) {
 	if now.Sub(w.heard[a]) > lately {
-		w.Doubt(now, a)
+		w.Suspect(now, a)
 	}
 }
 
-// Lost says whether an agent is lost.
-func (w *Watch) Lost(a netip.Addr) bool {
+// Failed says whether an agent is lost.
+func (w *Monitor) Failed(a netip.Addr) bool {
 	d := w.agents[a]
-	if d != nil && d.Lost() {
+	if d != nil && d.Failed() {
 		return true
 	}
 	_, told := w.told[a]
 	return told
 }
 
-// InDoubt says whether an agent is in doubt or lost.
-func (w *Watch) InDoubt(a netip.Addr) bool { return w.agents[a] != nil || w.Lost(a) }
+// Suspected says whether an agent is in doubt or lost.
+func (w *Monitor) Suspected(a netip.Addr) bool { return w.agents[a] != nil || w.Failed(a) }
 
-// None says whether nobody is in doubt or lost.
-func (w *Watch) None() bool { return len(w.agents)+len(w.told) == 0 }
+// AllHealthy says whether nobody is in doubt or lost.
+func (w *Monitor) AllHealthy() bool { return len(w.agents)+len(w.told) == 0 }
 
-// Heard ends all doubt about an agent. It says whether it was lost.
-func (w *Watch) Heard(now time.Time, a netip.Addr) (back bool) {
-	back = w.Lost(a)
+// MarkAlive ends all doubt about an agent. It says whether it was lost.
+func (w *Monitor) MarkAlive(now time.Time, a netip.Addr) (back bool) {
+	back = w.Failed(a)
 	delete(w.agents, a)
 	delete(w.told, a)
 	w.heard[a] = now
 	return back
 }
 
-// Answered notes that an agent has answered a question of a round.
-func (w *Watch) Answered(now time.Time, a netip.Addr, round uint32) { w.rounds.answered(now, a, round) }
+// Acked notes that an agent has answered a question of a round.
+func (w *Monitor) Acked(now time.Time, a netip.Addr, round uint32) {
+	w.rounds.answered(now, a, round)
+}
 
 // Tick asks the agents in doubt and returns those that are lost as of now. Agents are all that there are; one for which exempt
 // says so is in no doubt.
-func (w *Watch) Tick(now time.Time, agents []netip.Addr, exempt func(netip.Addr) bool) (lost []netip.Addr) {
+func (w *Monitor) Tick(now time.Time, agents []netip.Addr, exempt func(netip.Addr) bool) (lost []netip.Addr) {
 	w.forget(now, agents)
 	var current *round // of this tick
 	asked := 0
@@ -141,42 +143,42 @@
 			break
 		}
 		switch d.Tick(now, d.round.way()) {
-		case detect.Check:
+		case detect.Probe:
 			if current == nil {
 				current = w.begin(now, agents)
 			}
 			asked++
 			w.ask(a, d, current, agents)
-		case detect.Lost:
+		case detect.Failed:
 			lost = append(lost, a)
-		case detect.Fine:
+		case detect.None:
 		}
 	}
 	return lost
 }
 
 // begin begins a round of questions, for all agents whose turn it is.
-func (w *Watch) begin(now time.Time, agents []netip.Addr) *round {
+func (w *Monitor) begin(now time.Time, agents []netip.Addr) *round {
 	r := w.rounds.begin(now, w.witnesses(agents))
 	for _, o := range r.witnesses {
-		w.voucher.Ask(o, nil, r.number)
+		w.voucher.Probe(o, nil, r.number)
 	}
 	return r
 }
 
 // ask asks an agent, from the second time on by way of others too: most who are asked answer the first question.
-func (w *Watch) ask(a netip.Addr, d *agent, r *round, agents []netip.Addr) {
+func (w *Monitor) ask(a netip.Addr, d *agent, r *round, agents []netip.Addr) {
 	asks.Inc()
 	var helpers []netip.Addr
 	if d.round != nil {
 		helpers = w.some(agents, a)
 	}
 	d.round = r
-	w.voucher.Ask(a, helpers, r.number)
+	w.voucher.Probe(a, helpers, r.number)
 }
 
 // forget drops what is old, and who is no longer there.
-func (w *Watch) forget(now time.Time, agents []netip.Addr) {
+func (w *Monitor) forget(now time.Time, agents []netip.Addr) {
 	w.rounds.forget(now)
 	dropOld(now, w.told, toldFor)
 	dropOld(now, w.heard, lately)
--- a/internal/node/doubt/doubt_test.go
+++ b/internal/node/doubt/doubt_test.go
@@ -20,10 +20,10 @@
 // silence answers nothing.
 type silence struct{}
 
-// Ask is part of Voucher.
-func (silence) Ask(netip.Addr, []netip.Addr, uint32) {}
+// Probe is part of Voucher.
+func (silence) Probe(netip.Addr, []netip.Addr, uint32) {}
 
-func newWatch() (w *Watch, agents []netip.Addr) {
+func newWatch() (w *Monitor, agents []netip.Addr) {
 	for i := range 6 {
 		agents = append(agents, addr(i))
 	}
@@ -41,7 +41,7 @@
 			w.out.loss = 1
 		}
 		w.press(2 * time.Second)
-		assert.Equal(t, w.watch.Lost(addr(1)), heard)
+		assert.Equal(t, w.watch.Failed(addr(1)), heard)
 		assert.Equal(t, len(w.lost) > 0, heard)
 	}
 }
@@ -50,17 +50,17 @@
 func TestWordThatIsPassedOnGrowsOld(t *testing.T) {
 	one, agents := newWatch()
 	two, _ := newWatch()
-	one.Told(now, []msgs.Silent{{Agent: addr(1), Age: 400}})
-	assert.Assert(t, one.Lost(addr(1)))
+	one.LearnFailed(now, []msgs.FailedAgent{{Agent: addr(1), Age: 400}})
+	assert.Assert(t, one.Failed(addr(1)))
 	at := now
 	for range 40 {
 		at = at.Add(100 * time.Millisecond)
 		one.Tick(at, agents, nobody)
 		two.Tick(at, agents, nobody)
-		two.Told(at, one.Tell(at, addr(2)))
-		one.Told(at, two.Tell(at, addr(3)))
+		two.LearnFailed(at, one.FailuresFor(at, addr(2)))
+		one.LearnFailed(at, two.FailuresFor(at, addr(3)))
 		if at.Sub(now) > toldFor {
-			assert.Assert(t, !one.Lost(addr(1)) && !two.Lost(addr(1)))
+			assert.Assert(t, !one.Failed(addr(1)) && !two.Failed(addr(1)))
 		}
 	}
 }
@@ -68,10 +68,10 @@
 // Guards against an agent that is back and is taken for lost by an older word.
 func TestAgentThatWasHeardIsNotLostByAnOlderWord(t *testing.T) {
 	w, _ := newWatch()
-	w.Told(now, []msgs.Silent{{Agent: addr(1)}})
-	assert.Assert(t, w.Heard(now.Add(tick), addr(1)), "it was lost")
-	w.Told(now.Add(2*tick), []msgs.Silent{{Agent: addr(1), Age: 200}})
-	assert.Assert(t, !w.Lost(addr(1)))
-	w.DoubtUnheard(now.Add(2*tick), addr(1))
-	assert.Assert(t, !w.InDoubt(addr(1)), "it was heard just now")
+	w.LearnFailed(now, []msgs.FailedAgent{{Agent: addr(1)}})
+	assert.Assert(t, w.MarkAlive(now.Add(tick), addr(1)), "it was lost")
+	w.LearnFailed(now.Add(2*tick), []msgs.FailedAgent{{Agent: addr(1), Age: 200}})
+	assert.Assert(t, !w.Failed(addr(1)))
+	w.SuspectUnlessSeen(now.Add(2*tick), addr(1))
+	assert.Assert(t, !w.Suspected(addr(1)), "it was heard just now")
 }
--- a/internal/node/doubt/round.go
+++ b/internal/node/doubt/round.go
@@ -38,12 +38,12 @@
 }
 
 // way says how the observer's way was, by the answers of witnesses.
-func (r *round) way() detect.Way {
+func (r *round) way() detect.Path {
 	switch {
 	case r == nil || len(r.silent) == len(r.witnesses):
 		return detect.Blocked
 	case len(r.silent) > 0:
-		return detect.Patchy
+		return detect.Partial
 	default:
 		return detect.Open
 	}
@@ -94,7 +94,7 @@
 )
 
 // class tells that of an agent.
-func (w *Watch) class(a netip.Addr) class {
+func (w *Monitor) class(a netip.Addr) class {
 	answer, miss := w.rounds.answers[a], w.rounds.misses[a]
 	switch {
 	case miss.After(answer):
@@ -115,7 +115,7 @@
 
 // witnesses draws who is asked beside the agents in doubt: of the best class those that were heard last, at random who wasn't, and none that is
 // in doubt itself unless all are.
-func (w *Watch) witnesses(agents []netip.Addr) (drawn []netip.Addr) {
+func (w *Monitor) witnesses(agents []netip.Addr) (drawn []netip.Addr) {
 	all := w.shuffled(agents)
 	calm := slices.DeleteFunc(slices.Clone(all), func(a netip.Addr) bool { return w.agents[a] != nil })
 	if len(calm) == 0 {
@@ -136,10 +136,10 @@
 
 // some draws helpers from the agents but one, anew each time: some of them may not reach it either. It looks at few of the agents, as it
 // is called for each one in doubt.
-func (w *Watch) some(agents []netip.Addr, but netip.Addr) (drawn []netip.Addr) {
+func (w *Monitor) some(agents []netip.Addr, but netip.Addr) (drawn []netip.Addr) {
 	for range drawsPerHelper * mostHelpers {
 		a := agents[w.rounds.rand.IntN(len(agents))]
-		if a == but || a == w.self || w.Lost(a) || slices.Contains(drawn, a) {
+		if a == but || a == w.self || w.Failed(a) || slices.Contains(drawn, a) {
 			continue
 		}
 		if drawn = append(drawn, a); len(drawn) == mostHelpers {
@@ -150,9 +150,9 @@
 }
 
 // shuffled returns the other agents that aren't lost in any order.
-func (w *Watch) shuffled(agents []netip.Addr) (list []netip.Addr) {
+func (w *Monitor) shuffled(agents []netip.Addr) (list []netip.Addr) {
 	for _, i := range w.rounds.rand.Perm(len(agents)) {
-		if agents[i] != w.self && !w.Lost(agents[i]) {
+		if agents[i] != w.self && !w.Failed(agents[i]) {
 			list = append(list, agents[i])
 		}
 	}
--- a/internal/node/doubt/told.go
+++ b/internal/node/doubt/told.go
@@ -14,9 +14,9 @@
 	toldFor = 2 * time.Second
 )
 
-// Told takes others' word that agents are lost. It counts from when whoever found out was sure, until the agent is heard, or
+// LearnFailed takes others' word that agents are lost. It counts from when whoever found out was sure, until the agent is heard, or
 // for a while: word that is passed on grows old on its way, so that it can't go round.
-func (w *Watch) Told(now time.Time, list []msgs.Silent) {
+func (w *Monitor) LearnFailed(now time.Time, list []msgs.FailedAgent) {
 	for _, s := range list {
 		at := now.Add(-time.Duration(s.Age) * time.Millisecond)
 		if at.After(w.told[s.Agent]) && at.After(w.heard[s.Agent]) && now.Sub(at) < toldFor {
@@ -25,20 +25,20 @@
 	}
 }
 
-// Tell returns whom a process is to be told to be lost, by what the observer found itself and what it was told: nobody, if
+// FailuresFor returns whom a process is to be told to be lost, by what the observer found itself and what it was told: nobody, if
 // there is none or the process was told lately.
-func (w *Watch) Tell(now time.Time, process netip.Addr) (list []msgs.Silent) {
-	if w.None() || now.Sub(w.informed[process]) < informEvery {
+func (w *Monitor) FailuresFor(now time.Time, process netip.Addr) (list []msgs.FailedAgent) {
+	if w.AllHealthy() || now.Sub(w.informed[process]) < informEvery {
 		return nil
 	}
 	for a, d := range w.agents {
-		if d.Lost() && len(list) < msgs.MaxLost {
-			list = append(list, msgs.Silent{Agent: a})
+		if d.Failed() && len(list) < msgs.MaxFailed {
+			list = append(list, msgs.FailedAgent{Agent: a})
 		}
 	}
 	for a, at := range w.told {
-		if d := w.agents[a]; (d == nil || !d.Lost()) && len(list) < msgs.MaxLost {
-			list = append(list, msgs.Silent{Agent: a, Age: uint16(now.Sub(at).Milliseconds())})
+		if d := w.agents[a]; (d == nil || !d.Failed()) && len(list) < msgs.MaxFailed {
+			list = append(list, msgs.FailedAgent{Agent: a, Age: uint16(now.Sub(at).Milliseconds())})
 		}
 	}
 	if len(list) > 0 {
--- a/internal/node/doubt/way_test.go
+++ b/internal/node/doubt/way_test.go
@@ -41,7 +41,7 @@
 // world is an observer behind a link of its own, and agents of which some are gone.
 type world struct {
 	now     time.Time
-	watch   *Watch
+	watch   *Monitor
 	agents  []netip.Addr
 	gone    map[netip.Addr]bool
 	out, in link
@@ -71,8 +71,8 @@
 	return w
 }
 
-// Ask is part of Voucher.
-func (w *world) Ask(target netip.Addr, helpers []netip.Addr, round uint32) {
+// Probe is part of Voucher.
+func (w *world) Probe(target netip.Addr, helpers []netip.Addr, round uint32) {
 	w.send(target, round, false)
 	for _, h := range helpers {
 		w.send(target, round, w.gone[h])
@@ -109,8 +109,8 @@
 		if w.rand.Float64() < w.in.loss {
 			continue
 		}
-		w.watch.Heard(w.now, a.agent)
-		w.watch.Answered(w.now, a.agent, a.round)
+		w.watch.MarkAlive(w.now, a.agent)
+		w.watch.Acked(w.now, a.agent, a.round)
 		if w.anyAnswer {
 			for _, r := range w.watch.rounds.open {
 				r.silent = nil
@@ -125,10 +125,10 @@
 	for end := w.now.Add(d); w.now.Before(end); {
 		for _, a := range w.agents {
 			if w.gone[a] || w.rand.IntN(3) == 0 {
-				w.watch.Doubt(w.now, a)
+				w.watch.Suspect(w.now, a)
 			}
 			if !w.gone[a] && w.out.delay(w.now)+w.in.delay(w.now) == 0 && w.rand.IntN(3) == 0 {
-				w.watch.Heard(w.now, a)
+				w.watch.MarkAlive(w.now, a)
 			}
 		}
 		w.step(200 * time.Millisecond)
@@ -208,7 +208,7 @@
 			w.gone[addr(3*i)] = true
 		}
 		for _, a := range w.agents {
-			w.watch.Heard(w.now.Add(-time.Duration(w.rand.IntN(1000))*time.Millisecond), a)
+			w.watch.MarkAlive(w.now.Add(-time.Duration(w.rand.IntN(1000))*time.Millisecond), a)
 		}
 		w.press(3 * time.Second)
 		assert.Equal(t, len(w.lost), 20)
@@ -224,7 +224,7 @@
 		w := newWorld(agents, 1)
 		for i := range agents / 2 {
 			w.gone[addr(i)] = true
-			w.watch.Doubt(w.now, addr(i))
+			w.watch.Suspect(w.now, addr(i))
 		}
 		most := 0
 		for range 100 {
--- a/internal/node/edge/bench_test.go
+++ b/internal/node/edge/bench_test.go
@@ -60,7 +60,7 @@
 	flow := segs.Flow{Caller: [4]byte{100, 64, 0, 7}, CallerPort: 1025, Service: [4]byte{198, 18, 0, 1}, Port: 443}
 	log := belief.New()
 	log.Apply(time.Now(), belief.Change{To: 5, Full: true, Items: []belief.Item{{Key: "c", Revision: 1, Config: &belief.Config{
-		Version: 1, Routes: []belief.Route{{Called: flow.Called(), Shares: []belief.Share{{Service: "s", Weight: 1}}}},
+		Version: 1, Routes: []belief.Route{{Called: flow.ServiceAddr(), Shares: []belief.Share{{Service: "s", Weight: 1}}}},
 	}}}})
 	events := event.New(io.Discard, "entry", "e1")
 	defer events.Close()
--- a/internal/node/edge/bulk.go
+++ b/internal/node/edge/bulk.go
@@ -19,18 +19,18 @@
 	if c.Off.Bulk {
 		rate = 0
 	}
-	return bulk.New(rate, c.Callers.Patience()/2)
+	return bulk.New(rate, c.Callers.OpenWindow()/2)
 }
 
 // mayBegin says whether a new flow may be placed now. Otherwise it waits for its turn, or is refused.
 func (e *Entry) mayBegin(now time.Time, v *belief.View, s *segs.Segment, datagram []byte) bool {
-	if e.bulk.Waits(s.Flow) {
+	if e.bulk.Contains(s.Flow) {
 		return false // a copy
 	}
-	switch e.bulk.Open(now, s.Flow, e.Callers.Age(s.Ack), datagram) {
+	switch e.bulk.Admit(now, s.Flow, e.Callers.Age(s.Ack), datagram) {
 	case bulk.Hold:
 		heldUp.Inc()
-		e.Events.Flow(event.Ordinary, "link-waits", s.Flow).Int("waiting", e.bulk.Waiting()).Stringer("revision", v.Revision).Send()
+		e.Events.Flow(event.Ordinary, "link-waits", s.Flow).Int("waiting", e.bulk.Len()).Stringer("revision", v.Revision).Send()
 		return false
 	case bulk.Refuse:
 		e.refuse(now, s, "link")
@@ -43,17 +43,17 @@
 // noteBulk notes what a caller has sent on an open flow.
 func (e *Entry) noteBulk(now time.Time, s *segs.Segment, size int) {
 	if s.Len > 0 {
-		e.bulk.Sent(now, s.Flow, size)
+		e.bulk.RecordSent(now, s.Flow, size)
 	}
 	if s.Flags&(segs.Fin|segs.Rst) != 0 {
-		e.bulk.Closed(s.Flow)
+		e.bulk.Close(s.Flow)
 		e.beginBulk(now)
 	}
 }
 
 // beginBulk places the flows whose turn it is.
 func (e *Entry) beginBulk(now time.Time) {
-	for w, ok := e.bulk.Late(now); ok; w, ok = e.bulk.Late(now) {
+	for w, ok := e.bulk.NextExpired(now); ok; w, ok = e.bulk.NextExpired(now) {
 		e.refuse(now, &segs.Segment{Flow: w.Flow, Flags: segs.Syn}, "link")
 	}
 	for w, ok := e.bulk.Next(now); ok; w, ok = e.bulk.Next(now) {
@@ -62,19 +62,19 @@
 }
 
 // beginOne places a flow that has waited.
-func (e *Entry) beginOne(now time.Time, w *bulk.Waiting) {
+func (e *Entry) beginOne(now time.Time, w *bulk.QueuedFlow) {
 	s, err := e.Codec.Decode(w.Packet, segs.CallerEnd)
 	if err != nil {
 		dropped("malformed")
 		return
 	}
 	v := e.Log.View()
-	route := v.Route(w.Flow.Called())
+	route := v.Route(w.Flow.ServiceAddr())
 	if route == nil {
 		e.unrouted(now, v, &s)
 		return
 	}
-	var p *owner.Places
+	var p *owner.EntryFlow
 	if p = e.flows.Add(now, w.Flow); p == nil {
 		e.refuse(now, &s, "full")
 		return
--- a/internal/node/edge/edge.go
+++ b/internal/node/edge/edge.go
@@ -54,10 +54,10 @@
 	Domain string
 	Log    *belief.Log
 	Ctrl   Control
-	Vouch  doubt.Voucher // its answers come to Entry.Heard
+	Prober doubt.Prober // its answers come to Entry.Heard
 	Codec  segs.Codec
 	// Callers says how long callers wait for a flow to open.
-	Callers segs.Callers
+	Callers segs.CallerTiming
 	Wire    Wire
 	Events  *event.Log
 	Bound   time.Duration // a change is in force within it
@@ -88,7 +88,7 @@
 	chooser *steer.Chooser
 	bulk    *bulk.Gate
 	agents  *detect.Detector          // of all agents together: is this entry cut off?
-	doubted *doubt.Watch              // agents that have left something unanswered
+	doubted *doubt.Monitor            // agents that have left something unanswered
 	ending  []segs.Flow               // of lost agents, whose callers are to be told
 	cold    map[string]warmth         // by server ID
 	emptied map[string]order.Revision // failure domains that agents called evacuated, and their revision: this entry is behind
@@ -111,7 +111,7 @@
 		chooser: steer.New(c.Domain, c.Rand, c.Off),
 		agents:  detect.New(cutOff),
 		bulk:    newGate(&c),
-		doubted: doubt.New(c.Self, c.Vouch, c.Rand),
+		doubted: doubt.New(c.Self, c.Prober, c.Rand),
 		cold:    map[string]warmth{},
 		emptied: map[string]order.Revision{},
 	}
@@ -142,12 +142,12 @@
 	e.tellEnding(now)
 }
 
-// Changed is to be called after the view has changed.
-func (e *Entry) Changed(now time.Time) {
+// ViewChanged is to be called after the view has changed.
+func (e *Entry) ViewChanged(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	v := e.Log.View()
-	e.chooser.Keep(v.Homes.Agents())
+	e.chooser.Retain(v.Homes.Agents())
 	present := map[string]bool{}
 	for _, a := range v.Homes.Agents() {
 		s, _ := v.Server(a)
@@ -175,7 +175,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	v := e.Log.View()
-	route := v.Route(s.Flow.Called())
+	route := v.Route(s.Flow.ServiceAddr())
 	if route == nil {
 		e.unrouted(now, v, &s)
 		return
@@ -221,9 +221,9 @@
 // ask sends a packet of a flow that this entry doesn't know to the flow's home, or to whoever takes its place.
 func (e *Entry) ask(now time.Time, v *belief.View, s *segs.Segment, datagram []byte) {
 	home, ok := v.Homes.Of(s.Flow)
-	lost := e.doubted.Lost(home)
+	lost := e.doubted.Failed(home)
 	if lost {
-		home, ok = v.Homes.Except(s.Flow, e.doubted.Lost)
+		home, ok = v.Homes.Except(s.Flow, e.doubted.Failed)
 	}
 	if !ok {
 		dropped("homeless")
@@ -233,7 +233,7 @@
 	asked.Inc()
 	e.Events.Flow(event.Ordinary, "asked", s.Flow).Stringer("home", home).Stringer("revision", v.Revision).Send()
 	e.tellLost(now, v, home)
-	e.send(v, home, msgs.Carry{AsHome: lost, Packet: datagram})
+	e.send(v, home, msgs.Forward{AsHome: lost, Packet: datagram})
 }
 
 // noteAsked remembers that a home was asked about a flow. If the caller repeats the packet, the home is in doubt: it may be lost, and
@@ -246,25 +246,25 @@
 	if p == nil {
 		return
 	}
-	p.Used = now
-	if p.Repeats(s) {
+	p.LastUsed = now
+	if p.Observe(s) {
 		e.doubt(now, home)
 	}
 }
 
 // followKnown sends a packet of a flow that this entry knows to its agent, or tells the caller that the agent is lost. It returns false
 // if the flow's place is not known after all.
-func (e *Entry) followKnown(now time.Time, v *belief.View, p *owner.Places, s *segs.Segment, datagram []byte) bool {
-	agent, ok := p.For(s.Ack)
+func (e *Entry) followKnown(now time.Time, v *belief.View, p *owner.EntryFlow, s *segs.Segment, datagram []byte) bool {
+	agent, ok := p.AgentFor(s.Ack)
 	if !ok {
 		return false
 	}
-	p.Used = now
-	if p.Repeats(s) {
+	p.LastUsed = now
+	if p.Observe(s) {
 		e.doubt(now, agent)
 	}
 	switch {
-	case !e.doubted.Lost(agent):
+	case !e.doubted.Failed(agent):
 		e.carry(v, agent, datagram)
 		return true
 	case p.Owner == agent:
@@ -277,10 +277,10 @@
 
 // carry sends a caller's packet to an agent.
 func (e *Entry) carry(v *belief.View, agent netip.Addr, datagram []byte) {
-	e.send(v, agent, msgs.Carry{Packet: datagram})
+	e.send(v, agent, msgs.Forward{Packet: datagram})
 }
 
-func (e *Entry) send(v *belief.View, agent netip.Addr, m msgs.Carry) {
+func (e *Entry) send(v *belief.View, agent netip.Addr, m msgs.Forward) {
 	m.Origin, m.Domain = e.Self, belief.DomainHash(e.Domain)
 	m.Revision = v.Revision
 	if server, ok := v.Server(agent); ok {
--- a/internal/node/edge/evacuate.go
+++ b/internal/node/edge/evacuate.go
@@ -20,7 +20,7 @@
 
 // noteEvacuated takes an agent's word that its failure domain is evacuated, if the agent knows more than this entry.
 func (e *Entry) noteEvacuated(v *belief.View, agent netip.Addr, m *msgs.Refused) {
-	if m.Why != msgs.WhyEvacuated || m.Revision <= v.Revision {
+	if m.Reason != msgs.ReasonEvacuated || m.Revision <= v.Revision {
 		return
 	}
 	if s, ok := v.Server(agent); ok {
--- a/internal/node/edge/lost.go
+++ b/internal/node/edge/lost.go
@@ -25,7 +25,7 @@
 // Why it holds. A lost agent answers neither this entry nor the helpers for most of a second, so nothing that its server
 // sends reaches a caller either, since it goes by the agent. Package doubt says what looks alike and is no loss. Besides:
 //   - Another server holds the flow than the one that this entry was told first, as after a freeze: only flows whose owner is
-//     proved are told (owner.Places).
+//     proved are told (owner.EntryFlow).
 
 // endingsPerTick paces the resets after a loss: 2,000 a second, so that those callers' next tries
 // don't come all at once to the servers that are left.
@@ -34,13 +34,13 @@
 // doubt notes that an agent has left a packet unanswered.
 func (e *Entry) doubt(now time.Time, agent netip.Addr) {
 	if !e.Off.Lost && !e.Ctrl.Leaving(agent) {
-		e.doubted.Doubt(now, agent)
+		e.doubted.Suspect(now, agent)
 	}
 }
 
 // clear ends all doubt about an agent.
 func (e *Entry) clear(now time.Time, agent netip.Addr) {
-	if e.doubted.Heard(now, agent) {
+	if e.doubted.MarkAlive(now, agent) {
 		e.Events.State("agent-back").Stringer("agent", agent).Send()
 	}
 }
@@ -48,21 +48,21 @@
 // watchDoubted asks the agents in doubt, and notes who is lost.
 func (e *Entry) watchDoubted(now time.Time) {
 	v := e.Log.View()
-	exempt := func(agent netip.Addr) bool { return e.agents.Lost() || e.Ctrl.Leaving(agent) }
+	exempt := func(agent netip.Addr) bool { return e.agents.Failed() || e.Ctrl.Leaving(agent) }
 	for _, agent := range e.doubted.Tick(now, v.Homes.Agents(), exempt) {
 		before := len(e.ending)
-		e.ending = append(e.ending, e.flows.Of(agent)...)
+		e.ending = append(e.ending, e.flows.OwnedBy(agent)...)
 		e.Events.State("agent-lost").Stringer("agent", agent).Int("flows", len(e.ending)-before).Stringer("revision", v.Revision).Send()
 	}
 }
 
 // tellLost tells a home whom this entry knows to be lost: the home may be about to pass a packet on to one of them.
 func (e *Entry) tellLost(now time.Time, v *belief.View, home netip.Addr) {
-	list := e.doubted.Tell(now, home)
+	list := e.doubted.FailuresFor(now, home)
 	if len(list) == 0 {
 		return
 	}
-	m := msgs.Lost{Head: msgs.Head{Revision: v.Revision}, Agents: list}
+	m := msgs.Failed{Header: msgs.Header{Revision: v.Revision}, Agents: list}
 	e.buf = m.AppendTo(e.buf[:0])
 	e.Wire.ToPeer(home, e.buf)
 }
@@ -75,7 +75,7 @@
 		if p == nil {
 			continue
 		}
-		if e.doubted.Lost(p.Owner) {
+		if e.doubted.Failed(p.Owner) {
 			e.end(now, f, p)
 		}
 	}
@@ -83,7 +83,7 @@
 }
 
 // end resets an open flow and forgets it.
-func (e *Entry) end(now time.Time, f segs.Flow, p *owner.Places) {
+func (e *Entry) end(now time.Time, f segs.Flow, p *owner.EntryFlow) {
 	e.flows.Delete(f)
 	e.packet = e.Codec.Reset(e.packet[:0], segs.Segment{Flow: f, Flags: segs.Ack, Ack: p.Ack})
 	e.Wire.ToCaller(f.Caller, e.packet)
--- a/internal/node/edge/peer.go
+++ b/internal/node/edge/peer.go
@@ -11,17 +11,17 @@
 )
 
 // FromPeer takes a message about flows from an agent. It says whether the message was one.
-func (e *Entry) FromPeer(now time.Time, from netip.Addr, h msgs.Head, rest []byte) bool {
+func (e *Entry) FromPeer(now time.Time, from netip.Addr, h msgs.Header, rest []byte) bool {
 	var err error
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch h.Kind {
 	case msgs.KindOpened:
-		err = msgs.Take(h, rest, msgs.ReadOpened, func(m msgs.Opened) { e.opened(now, from, m) })
+		err = msgs.Handle(h, rest, msgs.ReadOpened, func(m msgs.Opened) { e.opened(now, from, m) })
 	case msgs.KindRefused:
-		err = msgs.Take(h, rest, msgs.ReadRefused, func(m msgs.Refused) { e.returned(now, from, m) })
+		err = msgs.Handle(h, rest, msgs.ReadRefused, func(m msgs.Refused) { e.returned(now, from, m) })
 	case msgs.KindOwner:
-		err = msgs.Take(h, rest, msgs.ReadOwner, func(m msgs.Owner) { e.told(now, from, m) })
+		err = msgs.Handle(h, rest, msgs.ReadOwner, func(m msgs.Owner) { e.told(now, from, m) })
 	default:
 		return false
 	}
@@ -38,7 +38,7 @@
 	e.chooser.Accepted(from)
 	e.chooser.Report(now, from, m.Load)
 	if p := e.flows.Get(m.Flow); p != nil {
-		p.Opened(from, m.Seq)
+		p.MarkAccepted(from, m.Seq)
 	}
 }
 
@@ -49,8 +49,8 @@
 		dropped("malformed")
 		return
 	}
-	turnedBack(m.Why.String())
-	e.Events.Flow(event.Failure, "turned-back", s.Flow).Stringer("agent", from).Stringer("why", m.Why).
+	turnedBack(m.Reason.String())
+	e.Events.Flow(event.Failure, "turned-back", s.Flow).Stringer("agent", from).Stringer("why", m.Reason).
 		Uint16("busy", m.Load.Busy).Uint16("flows", m.Load.Flows).Stringer("revision", m.Revision).Send()
 	e.chooser.Refused(now, from)
 	p := e.flows.Get(s.Flow)
@@ -60,35 +60,35 @@
 			return
 		}
 	}
-	if m.Why == msgs.WhyBusy {
+	if m.Reason == msgs.ReasonBusy {
 		e.refuse(now, &s, "busy") // several agents were asked, and none can serve it in time
 		return
 	}
-	p.Returned(from)
-	if p.Told || opened(p) {
+	p.MarkReturned(from)
+	if p.Claimed || opened(p) {
 		return // another server has taken it meanwhile
 	}
 	v := e.Log.View()
 	e.noteEvacuated(v, from, &m)
-	route := v.Route(s.Flow.Called())
+	route := v.Route(s.Flow.ServiceAddr())
 	if route == nil {
 		e.unrouted(now, v, &s)
 		return
 	}
-	p.HandedBack = true
+	p.Returned = true
 	tried := append(p.Tried(), from)
-	p.Drop(from)
+	p.Remove(from)
 	e.place(now, v, route, p, &s, tried, m.Packet)
 }
 
-func opened(p *owner.Places) bool {
+func opened(p *owner.EntryFlow) bool {
 	last := p.Last()
-	return last != nil && last.Opened
+	return last != nil && last.Accepted
 }
 
 // told takes the owner's word for where a flow is.
 func (e *Entry) told(now time.Time, from netip.Addr, m msgs.Owner) {
-	if m.Gone {
+	if m.NoOwner {
 		e.flows.Delete(m.Flow)
 		return
 	}
@@ -96,7 +96,7 @@
 	if p == nil {
 		return
 	}
-	p.Told = true
+	p.Claimed = true
 	if m.Open {
 		p.Owner = from
 	}
--- a/internal/node/edge/place.go
+++ b/internal/node/edge/place.go
@@ -14,7 +14,7 @@
 
 // open places a new flow, or a copy of an opening packet.
 func (e *Entry) open(now time.Time, v *belief.View, route *belief.Route, s *segs.Segment, datagram []byte) {
-	if e.agents.Lost() {
+	if e.agents.Failed() {
 		e.refuse(now, s, "cut-off")
 		return
 	}
@@ -28,54 +28,54 @@
 			return
 		}
 	} else if last := p.Last(); last != nil && !e.again(now, p, last, s) {
-		p.Used = now
+		p.LastUsed = now
 		e.carry(v, last.Agent, datagram)
 		return
 	}
-	p.Used = now
+	p.LastUsed = now
 	e.place(now, v, route, p, s, p.Tried(), datagram)
 }
 
 // again says whether a copy of an opening packet goes to another agent than the
 // last one, because nothing answered. The one that did not answer gets no new flows for a while.
-func (e *Entry) again(now time.Time, p *owner.Places, last *owner.Candidate, s *segs.Segment) bool {
-	if last.Opened || p.Told {
+func (e *Entry) again(now time.Time, p *owner.EntryFlow, last *owner.Candidate, s *segs.Segment) bool {
+	if last.Accepted || p.Claimed {
 		return false // the answer was lost, or is on its way
 	}
-	e.chooser.Silent(now, last.Agent)
+	e.chooser.NoReply(now, last.Agent)
 	e.doubt(now, last.Agent)
 	silent.Inc()
 	e.Events.Flow(event.Failure, "unanswered", s.Flow).Stringer("agent", last.Agent).Uint32("copy", s.Ack).Send()
-	return p.Tries < maxTries
+	return p.Attempts < maxTries
 }
 
 // place sends an opening packet to the agent that is best now, none of those tried.
-func (e *Entry) place(now time.Time, v *belief.View, route *belief.Route, p *owner.Places, s *segs.Segment, tried []netip.Addr, datagram []byte) {
+func (e *Entry) place(now time.Time, v *belief.View, route *belief.Route, p *owner.EntryFlow, s *segs.Segment, tried []netip.Addr, datagram []byte) {
 	candidates := e.candidates(now, v, route, s.Flow)
 	agent, ok := e.chooser.Choose(now, candidates, tried)
-	if !ok || p.Tries >= maxTries {
+	if !ok || p.Attempts >= maxTries {
 		e.unplaceable(now, v, route, p, s, datagram, len(candidates))
 		return
 	}
 	p.Candidates = append(p.Candidates, owner.Candidate{Agent: agent})
-	p.Tries++
+	p.Attempts++
 	e.chooser.Placed(agent)
 	if !e.Off.Reach {
-		e.agents.Asked(now)
+		e.agents.Sent(now)
 	}
 	placed.Inc()
 	class := event.Ordinary
-	if p.Tries > 1 {
+	if p.Attempts > 1 {
 		class = event.Failure
 	}
-	e.Events.Flow(class, "placed", s.Flow).Stringer("agent", agent).Int("try", p.Tries).
+	e.Events.Flow(class, "placed", s.Flow).Stringer("agent", agent).Int("try", p.Attempts).
 		Int64("version", v.Version()).Stringer("revision", v.Revision).Send()
-	e.send(v, agent, msgs.Carry{Insist: p.HandedBack, Packet: datagram})
+	e.send(v, agent, msgs.Forward{LastResort: p.Returned, Packet: datagram})
 }
 
 // unplaceable ends the search for a server for a new flow. While an agent may still answer, the
 // caller's next copy goes there again; otherwise the flow is refused.
-func (e *Entry) unplaceable(now time.Time, v *belief.View, route *belief.Route, p *owner.Places, s *segs.Segment, datagram []byte, servers int) {
+func (e *Entry) unplaceable(now time.Time, v *belief.View, route *belief.Route, p *owner.EntryFlow, s *segs.Segment, datagram []byte, servers int) {
 	if last := p.Last(); last != nil {
 		e.carry(v, last.Agent, datagram)
 		return
@@ -100,7 +100,7 @@
 			Slots:    s.Slots,
 			Draining: s.State == belief.Draining || e.Ctrl.Leaving(s.Addr.Addr()),
 			Cold:     now.Before(e.cold[s.ID].until),
-			Lost:     e.doubted.Lost(s.Addr.Addr()),
+			Failed:   e.doubted.Failed(s.Addr.Addr()),
 		})
 	}
 	return list
--- a/internal/node/edge/reach.go
+++ b/internal/node/edge/reach.go
@@ -21,27 +21,27 @@
 
 // cutOff is when an entry takes itself for cut off: 0.55 s after the first opening packet that nobody answered. Answers take 2 ms between
 // domains, 20 ms between regions, and some 100 ms through a full link.
-var cutOff = detect.Bounds{Doubt: 150 * time.Millisecond, Wait: 200 * time.Millisecond, Checks: 2}
+var cutOff = detect.Config{SuspectAfter: 150 * time.Millisecond, ProbeTimeout: 200 * time.Millisecond, Probes: 2}
 
 // askAgents is how many agents are asked in a round: with a hundredth of the packets lost each way, a round of
 // four goes unanswered once in six million.
 const askAgents = 4
 
-// Heard notes that another process is alive: a message has come from it, or from one that has heard it.
-func (e *Entry) Heard(now time.Time, from netip.Addr) {
+// ProcessAlive notes that another process is alive: a message has come from it, or from one that has heard it.
+func (e *Entry) ProcessAlive(now time.Time, from netip.Addr) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if _, ok := e.Log.View().Server(from); ok && e.agents.InDoubt() {
-		e.Vouch.Ask(from, nil, doubt.NoRound) // an agent that greets others has just started
+	if _, ok := e.Log.View().Server(from); ok && e.agents.AwaitingReply() {
+		e.Prober.Probe(from, nil, doubt.NoRound) // an agent that greets others has just started
 	}
 	e.clear(now, from)
 }
 
-// Answered notes that another process has answered a question of a round.
-func (e *Entry) Answered(now time.Time, from netip.Addr, round uint32) {
+// ProbeAnswered notes that another process has answered a question of a round.
+func (e *Entry) ProbeAnswered(now time.Time, from netip.Addr, round uint32) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.doubted.Answered(now, from, round)
+	e.doubted.Acked(now, from, round)
 	e.answered(from)
 }
 
@@ -50,29 +50,29 @@
 	if _, ok := e.Log.View().Server(from); !ok {
 		return
 	}
-	if e.agents.Heard() {
+	if e.agents.Received() {
 		e.Events.State("reached").Send()
 	}
 }
 
-// Reaches says whether agents answer the entry.
-func (e *Entry) Reaches() bool {
+// ReachesAgents says whether agents answer the entry.
+func (e *Entry) ReachesAgents() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return !e.agents.Lost()
+	return !e.agents.Failed()
 }
 
 // watch asks agents when they are silent.
 func (e *Entry) watch(now time.Time) {
 	switch e.agents.Tick(now, detect.Open) {
-	case detect.Check:
+	case detect.Probe:
 		for _, a := range e.some(e.Log.View().Homes.Agents(), askAgents) {
-			e.Vouch.Ask(a, nil, doubt.NoRound)
+			e.Prober.Probe(a, nil, doubt.NoRound)
 		}
 		asks.Inc()
-	case detect.Lost:
+	case detect.Failed:
 		e.Events.State("cut-off").Int("agents", len(e.Log.View().Homes.Agents())).Send()
-	case detect.Fine:
+	case detect.None:
 	}
 }
 
--- a/internal/node/entry/doors.go
+++ b/internal/node/entry/doors.go
@@ -66,7 +66,7 @@
 func (e *Entry) openDoor(a netip.AddrPort, s *service) {
 	d := e.doors[a]
 	if d == nil {
-		conn, err := sock.UDP(context.Background(), a, sock.Alone)
+		conn, err := sock.UDP(context.Background(), a, sock.Exclusive)
 		if err != nil {
 			s.count.unusable.Inc()
 			e.log.Error().Err(err).Str("service", s.name).Msg("address cannot be opened")
--- a/internal/node/entry/entry.go
+++ b/internal/node/entry/entry.go
@@ -67,9 +67,9 @@
 
 // Hooks connect the entry to whoever keeps its documents. Both may be nil.
 type Hooks struct {
-	// Newer is called when a frame shows that the agent at link has a newer
+	// NewerDocument is called when a frame shows that the agent at link has a newer
 	// document of a service. It must not block.
-	Newer func(link netip.AddrPort, service string, revision order.Revision)
+	NewerDocument func(link netip.AddrPort, service string, revision order.Revision)
 	// Refresh asks for the newest documents after a pause.
 	Refresh func(ctx context.Context)
 }
@@ -83,7 +83,7 @@
 	if settings.Entry == nil {
 		return nil, errors.New("the settings have no section entry")
 	}
-	link, err := sock.UDP(context.Background(), settings.Entry.Link, sock.Alone)
+	link, err := sock.UDP(context.Background(), settings.Entry.Link, sock.Exclusive)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/node/entry/inward.go
+++ b/internal/node/entry/inward.go
@@ -97,7 +97,7 @@
 		s.count.foreign.Inc()
 		return false
 	}
-	if err := packet.CheckOpener(datagram, h); err != nil {
+	if err := packet.CheckOpening(datagram, h); err != nil {
 		s.count.refuse(err)
 		return false
 	}
@@ -108,8 +108,8 @@
 	}
 	w.frame.Server = c.Server
 	w.frame.Candidates = c.Candidates
-	if c.Asked {
-		w.frame.Flags |= frame.Former
+	if c.HasFormer {
+		w.frame.Flags |= frame.HasFormer
 	}
 	s.count.ranked.Inc()
 	s.opened(now, c.Server)
@@ -146,7 +146,7 @@
 // refuse counts a datagram that cannot be read.
 func (c *counters) refuse(err error) {
 	switch {
-	case errors.Is(err, packet.ErrOpener):
+	case errors.Is(err, packet.ErrOpening):
 		c.opener.Inc()
 	default:
 		c.short.Inc()
--- a/internal/node/entry/services.go
+++ b/internal/node/entry/services.go
@@ -47,7 +47,7 @@
 
 	// mu guards the beliefs that snapshots are made of.
 	mu      sync.Mutex
-	watch   *route.Watch
+	watch   *route.Detector
 	weights *shift.Weights
 	stepped time.Time            // when weights last moved
 	leaving map[uint32]time.Time // when a server last said itself that it leaves
@@ -113,7 +113,7 @@
 	return &service{
 		name:    name,
 		tag:     ident.ServiceTag(name),
-		watch:   route.NewWatch(),
+		watch:   route.NewDetector(),
 		weights: shift.New(shift.Default),
 		leaving: make(map[uint32]time.Time),
 		count:   newCounters(name),
@@ -133,10 +133,10 @@
 	defer s.mu.Unlock()
 	now := time.Now()
 	if old := s.now.Load(); old != nil && !slices.Equal(ids(old.document), ids(d.Service)) {
-		s.before = old.table.Now
+		s.before = old.table.Current
 		s.changed = now
 	}
-	s.watch.Keep(ids(d.Service))
+	s.watch.Retain(ids(d.Service))
 	maps.DeleteFunc(s.leaving, func(id uint32, _ time.Time) bool {
 		_, ok := d.Service.Server(id)
 		return !ok
@@ -165,20 +165,20 @@
 // publish fills in the beliefs of this moment and makes a snapshot current. The
 // caller holds s.mu.
 func (s *service) publish(now time.Time, next *snapshot) {
-	next.table.Now = nil
+	next.table.Current = nil
 	shares := s.weights.Weights()
 	for i := range next.document.Servers {
 		d := &next.document.Servers[i]
-		next.table.Now = append(next.table.Now, route.Server{
-			ID:      d.ID,
-			Weight:  coarse(shares, d.ID),
-			Leaving: d.State == docs.Leaving || s.leaves(now, d.ID),
-			Silent:  s.watch.Silent(now, d.ID),
+		next.table.Current = append(next.table.Current, route.Server{
+			ID:           d.ID,
+			Weight:       coarse(shares, d.ID),
+			Leaving:      d.State == docs.Leaving || s.leaves(now, d.ID),
+			Unresponsive: s.watch.Unresponsive(now, d.ID),
 		})
 	}
-	next.table.Before = nil
+	next.table.Previous = nil
 	if now.Sub(s.changed) < beforeFor {
-		next.table.Before = s.before
+		next.table.Previous = s.before
 	}
 	s.now.Store(next)
 }
@@ -208,7 +208,7 @@
 func (e *Entry) refreshAll(now time.Time) {
 	for _, s := range *e.tags.Load() {
 		s.mu.Lock()
-		if now.Sub(s.stepped) >= shift.Default.Every {
+		if now.Sub(s.stepped) >= shift.Default.Interval {
 			s.weights.Step(now)
 			s.stepped = now
 		}
@@ -238,7 +238,7 @@
 	if _, ok := s.now.Load().agents[server]; !ok {
 		return // of another document; what is believed is bounded by the one in force
 	}
-	changed := s.watch.Heard(now, server)
+	changed := s.watch.Received(now, server)
 	s.weights.Report(now, server, shift.Load{Demand: float64(h.Load) / loadScale, Leaving: leaving})
 	changed = changed || s.leaves(now, server) != leaving
 	delete(s.leaving, server)
@@ -254,7 +254,7 @@
 func (s *service) opened(now time.Time, server uint32) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.watch.Opened(now, server) {
+	if s.watch.SentOpening(now, server) {
 		s.count.silent.Inc()
 		s.refresh(now)
 	}
--- a/internal/node/entry/services_test.go
+++ b/internal/node/entry/services_test.go
@@ -27,14 +27,14 @@
 	now := time.Unix(1000, 0)
 	s := twoServers(now)
 	s.heard(now, &frame.Header{Server: 1, Flags: frame.Leaving})
-	assert.Assert(t, s.now.Load().table.Now[0].Leaving)
+	assert.Assert(t, s.now.Load().table.Current[0].Leaving)
 	now = now.Add(leavingFor / 2)
 	s.heard(now, &frame.Header{Server: 1, Flags: frame.Leaving}) // it still has feeds
 	now = now.Add(leavingFor - 1)
 	s.refresh(now)
-	assert.Assert(t, s.now.Load().table.Now[0].Leaving)
+	assert.Assert(t, s.now.Load().table.Current[0].Leaving)
 	s.refresh(now.Add(1))
-	assert.Assert(t, !s.now.Load().table.Now[0].Leaving)
+	assert.Assert(t, !s.now.Load().table.Current[0].Leaving)
 }
 
 // Servers are replaced for months. What is believed of one that the document no longer
--- a/internal/node/entry/woken.go
+++ b/internal/node/entry/woken.go
@@ -35,16 +35,16 @@
 func (s *service) forget(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.watch = route.NewWatch()
-	s.watch.Keep(ids(s.now.Load().document))
+	s.watch = route.NewDetector()
+	s.watch.Retain(ids(s.now.Load().document))
 	clear(s.leaving)
 	s.refresh(now)
 }
 
 // hint tells whoever keeps the documents that a newer one exists.
 func (e *Entry) hint(now time.Time, s *service, link netip.AddrPort, revision order.Revision) {
-	if e.hooks.Newer != nil && s.hinted.Claim(now, hintEvery) {
+	if e.hooks.NewerDocument != nil && s.hinted.Claim(now, hintEvery) {
 		s.count.hints.Inc()
-		e.hooks.Newer(link, s.name, revision)
+		e.hooks.NewerDocument(link, s.name, revision)
 	}
 }
--- a/internal/node/gate/gate.go
+++ b/internal/node/gate/gate.go
@@ -59,9 +59,9 @@
 	once  sync.Once
 }
 
-// Leave gives the slot back after work whose time is a measure of the class. Only the
+// Release gives the slot back after work whose time is a measure of the class. Only the
 // first call of Leave or Fail counts.
-func (p *Pass) Leave() { p.end(time.Since(p.since)) }
+func (p *Pass) Release() { p.end(time.Since(p.since)) }
 
 // Fail gives the slot back after work that failed or was broken off. Its time measures
 // nothing: a server that fails each request at once would seem fast, and be given more
@@ -91,7 +91,7 @@
 	if res, ended := g.cancel(id, turn); ended {
 		// A slot was given in the moment the caller went away; it goes back.
 		if pass, _ := g.pass(id, res); pass != nil {
-			pass.Leave()
+			pass.Release()
 		}
 	}
 	return nil, result.Result{Outcome: result.NotRun, Reason: result.Gone}
@@ -119,7 +119,7 @@
 		g.waiting[id] = turn
 	default:
 		turn = nil
-		refused = result.Result{Outcome: result.NotRun, Reason: d.Reason, After: d.After}
+		refused = result.Result{Outcome: result.NotRun, Reason: d.Reason, After: d.RetryAfter}
 	}
 	g.carry(admit.Change{}) // the next expiry may be this request's
 	return id, turn, refused
@@ -146,7 +146,7 @@
 		g.tell(id, result.Result{Outcome: result.Ran})
 	}
 	for _, r := range c.Refused {
-		g.tell(r.ID, result.Result{Outcome: result.NotRun, Reason: r.Reason, After: r.After})
+		g.tell(r.ID, result.Result{Outcome: result.NotRun, Reason: r.Reason, After: r.RetryAfter})
 	}
 	next := g.admit.NextExpiry()
 	if next.Equal(g.expiry) {
@@ -188,17 +188,17 @@
 	defer g.mu.Unlock()
 	var c admit.Change
 	for _, id := range g.admit.Drain() {
-		c.Refused = append(c.Refused, admit.Refused{ID: id, Reason: result.LeavingServer})
+		c.Refused = append(c.Refused, admit.Refusal{ID: id, Reason: result.LeavingServer})
 	}
 	g.carry(c)
 }
 
-// After is when a caller is to come back whose request the gate did not refuse itself;
+// RetryAfter is when a caller is to come back whose request the gate did not refuse itself;
 // it counts as refused.
-func (g *Gate) After() time.Duration {
+func (g *Gate) RetryAfter() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.admit.After(time.Now())
+	return g.admit.RetryAfter(time.Now())
 }
 
 // Stats returns a copy of the gate's state.
--- a/internal/node/gate/gate_test.go
+++ b/internal/node/gate/gate_test.go
@@ -56,7 +56,7 @@
 				time.Sleep(10 * time.Millisecond)
 				mu.Lock()
 				running--
-				pass.Leave()
+				pass.Release()
 			})
 		}
 		wg.Wait()
@@ -80,10 +80,10 @@
 		synctest.Wait()
 		leave()
 		assert.Equal(t, (<-gone).Reason, result.Gone)
-		first.Leave()
+		first.Release()
 		next, _ := g.Enter(t.Context(), lookup(time.Second))
 		assert.Assert(t, next != nil)
-		next.Leave()
+		next.Release()
 		assert.Equal(t, g.Stats().Running, 0)
 	})
 }
@@ -97,7 +97,7 @@
 		pass, res := g.Enter(t.Context(), lookup(100*time.Millisecond))
 		assert.Assert(t, pass == nil)
 		assert.Equal(t, res.Outcome, result.NotRun)
-		first.Leave()
+		first.Release()
 	})
 }
 
@@ -116,7 +116,7 @@
 		g.Drain()
 		assert.Equal(t, (<-back).Reason, result.LeavingServer)
 		assert.Equal(t, g.Stats().Running, 1)
-		first.Leave()
+		first.Release()
 	})
 }
 
@@ -125,14 +125,14 @@
 func TestComeBackFollowsTheOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := New(admit.Limits{Slots: 4})
-		first := g.After()
+		first := g.RetryAfter()
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
-			g.After()
+			g.RetryAfter()
 		}
 		told := map[time.Duration]bool{}
 		for range 10 {
-			last := g.After()
+			last := g.RetryAfter()
 			assert.Assert(t, last >= 10*time.Second && first < last)
 			told[last] = true
 		}
@@ -149,14 +149,14 @@
 		for range 100 {
 			pass, _ := g.Enter(t.Context(), lookup(time.Minute))
 			time.Sleep(100 * time.Millisecond)
-			pass.Leave()
+			pass.Release()
 		}
 		before := g.Stats().Classes[0]
 		for range 100 {
 			pass, _ := g.Enter(t.Context(), lookup(time.Minute))
 			time.Sleep(time.Millisecond)
 			pass.Fail()
-			pass.Leave() // the second call counts for nothing
+			pass.Release() // the second call counts for nothing
 		}
 		assert.DeepEqual(t, g.Stats().Classes[0], before)
 		assert.Equal(t, g.Stats().Running, 0)
--- a/internal/node/local/caller.go
+++ b/internal/node/local/caller.go
@@ -14,7 +14,7 @@
 )
 
 // carried takes a caller's packet that an entry or another agent sent.
-func (a *Agent) carried(now time.Time, from netip.Addr, m msgs.Carry) {
+func (a *Agent) carried(now time.Time, from netip.Addr, m msgs.Forward) {
 	s, err := a.Codec.Decode(m.Packet, segs.CallerEnd)
 	if err != nil || s.Has(segs.Returned) {
 		dropped("malformed")
@@ -48,18 +48,18 @@
 }
 
 // open takes an opening packet that an entry has placed here.
-func (a *Agent) open(now time.Time, m msgs.Carry, s *segs.Segment) {
-	a.offered(now, msgs.Offer{Head: m.Head, Origin: m.Origin, Insist: m.Insist, Packet: m.Packet}, s)
+func (a *Agent) open(now time.Time, m msgs.Forward, s *segs.Segment) {
+	a.offered(now, msgs.Offer{Header: m.Header, Origin: m.Origin, LastResort: m.LastResort, Packet: m.Packet}, s)
 }
 
 // offered gives an opening packet to the server, to a less busy one, or back to the entry.
 func (a *Agent) offered(now time.Time, m msgs.Offer, s *segs.Segment) {
 	if o := a.flows.Get(s.Flow); o != nil {
-		o.Used = now
+		o.LastUsed = now
 		a.Wire.ToServer(m.Packet) // a copy: the server's answer was lost or is on its way
 		return
 	}
-	if a.waiting.Has(s.Flow) {
+	if a.waiting.Contains(s.Flow) {
 		return // a copy: it waits in one place only, or two servers would open it
 	}
 	if why := a.closed(now, m, s); why != 0 {
@@ -80,23 +80,23 @@
 
 // take lets a flow that is to be this server's wait for its turn, which may come at once.
 func (a *Agent) take(now time.Time, m msgs.Offer, s *segs.Segment) {
-	w := &hold.Waiting{
-		Flow:   s.Flow,
-		Origin: m.Origin,
-		Began:  now.Add(-a.Callers.Age(s.Ack)),
-		Packet: slices.Clone(m.Packet),
+	w := &hold.QueuedFlow{
+		Flow:      s.Flow,
+		Origin:    m.Origin,
+		FirstSent: now.Add(-a.Callers.Age(s.Ack)),
+		Packet:    slices.Clone(m.Packet),
 	}
-	if r := a.Log.View().Route(s.Flow.Called()); r != nil {
+	if r := a.Log.View().Route(s.Flow.ServiceAddr()); r != nil {
 		w.Priority, w.Target = r.Priority, r.Target
 	}
 	if last := a.waiting.Add(now, w, a.waitingLimit(now)); last != nil {
-		a.handBackWaiting(now, last, msgs.WhyBusy)
+		a.handBackWaiting(now, last, msgs.ReasonBusy)
 		if last == w {
 			return
 		}
 	}
 	a.admit(now)
-	if a.waiting.Has(s.Flow) {
+	if a.waiting.Contains(s.Flow) {
 		held.Inc()
 		a.Events.Flow(event.Ordinary, "waits", s.Flow).Int("waiting", a.waiting.Len()).Uint16("work", a.work(now)).
 			Int("priority", w.Priority).Stringer("revision", a.Log.Revision()).Send()
@@ -115,7 +115,7 @@
 	if rate <= 0 || !a.warmth.Cold(now) {
 		return limit
 	}
-	return min(limit, max(1, int(rate*a.Callers.Patience().Seconds())))
+	return min(limit, max(1, int(rate*a.Callers.OpenWindow().Seconds())))
 }
 
 // admit gives the server the flows that it has room for.
@@ -131,11 +131,11 @@
 		}
 		o := a.flows.Add(now, w.Flow)
 		if o == nil {
-			a.handBackWaiting(now, w, msgs.WhyTable)
+			a.handBackWaiting(now, w, msgs.ReasonTable)
 			continue
 		}
 		o.Origin = w.Origin
-		a.warmth.Took(now)
+		a.warmth.Record(now)
 		if a.unheard.IsZero() {
 			a.unheard = now
 		}
@@ -144,13 +144,13 @@
 }
 
 // returnWaiting hands all waiting flows back to their entries.
-func (a *Agent) returnWaiting(now time.Time, why msgs.Why) {
+func (a *Agent) returnWaiting(now time.Time, why msgs.Reason) {
 	for _, w := range a.waiting.Clear() {
 		a.handBackWaiting(now, w, why)
 	}
 }
 
-func (a *Agent) handBackWaiting(now time.Time, w *hold.Waiting, why msgs.Why) {
+func (a *Agent) handBackWaiting(now time.Time, w *hold.QueuedFlow, why msgs.Reason) {
 	s := segs.Segment{Flow: w.Flow}
 	a.handBack(now, w.Origin, &s, w.Packet, why)
 }
@@ -177,7 +177,7 @@
 	self, _ := a.self(v)
 	for _, s := range v.Servers(a.Service) {
 		if s.State == belief.Ready && s.Addr.Addr() != a.Self && !v.Evacuated(s.Domain) {
-			agents = append(agents, share.Server{Agent: s.Addr.Addr(), Near: s.Domain == self.Domain})
+			agents = append(agents, share.Server{Agent: s.Addr.Addr(), SameDomain: s.Domain == self.Domain})
 		}
 	}
 	return agents
@@ -193,33 +193,33 @@
 	a.Wire.ToPeer(next.Agent, a.buf)
 	offers.Inc()
 	a.Events.Flow(event.Ordinary, "offered", s.Flow).Stringer("agent", next.Agent).Bool("final", next.Final).
-		Int("visited", len(next.Visited)).Uint16("work", next.Visited[len(next.Visited)-1].Work).Stringer("revision", m.Revision).Send()
+		Int("visited", len(next.Visited)).Uint16("work", next.Visited[len(next.Visited)-1].Utilization).Stringer("revision", m.Revision).Send()
 }
 
 // closed says why no new flow may go to the server, or 0.
-func (a *Agent) closed(now time.Time, m msgs.Offer, s *segs.Segment) msgs.Why {
+func (a *Agent) closed(now time.Time, m msgs.Offer, s *segs.Segment) msgs.Reason {
 	v := a.Log.View()
 	switch {
 	case m.Service != 0 && m.Service != a.hash:
 		// The address was another service's server's until a moment ago, and the entry
 		// doesn't know yet. Without the check its flow would run on a foreign service.
-		return msgs.WhyService
+		return msgs.ReasonService
 	case v.Evacuated(a.Domain):
-		return msgs.WhyEvacuated
+		return msgs.ReasonEvacuated
 	case a.leaving:
-		return msgs.WhyLeaving
+		return msgs.ReasonLeaving
 	case now.Sub(a.down) < downFor:
-		return msgs.WhyDown
+		return msgs.ReasonDown
 	case a.mute(now):
-		return msgs.WhyMute
-	case !m.Insist && (!a.breaker.Allows(now) || !a.quick.Allows(now)):
-		return msgs.WhyFails
-	case v.Revision > m.Revision && v.Config != nil && !v.Allows(s.Flow.Called(), a.Service):
+		return msgs.ReasonUnresponsive
+	case !m.LastResort && (!a.breaker.Allows(now) || !a.quick.Allows(now)):
+		return msgs.ReasonFailing
+	case v.Revision > m.Revision && v.Config != nil && !v.Allows(s.Flow.ServiceAddr(), a.Service):
 		// The entry is behind, or was frozen and has just woken up with an old route.
-		return msgs.WhyRoute
+		return msgs.ReasonRoute
 	}
 	if self, ok := a.self(v); ok && self.State == belief.Draining {
-		return msgs.WhyDraining
+		return msgs.ReasonDraining
 	}
 	return 0
 }
@@ -246,8 +246,8 @@
 }
 
 // handBack returns an opening packet that no server has taken to the entry.
-func (a *Agent) handBack(now time.Time, origin netip.Addr, s *segs.Segment, packet []byte, why msgs.Why) {
-	m := msgs.Refused{Head: a.head(), Why: why, Load: a.flows.Load(now), Packet: packet}
+func (a *Agent) handBack(now time.Time, origin netip.Addr, s *segs.Segment, packet []byte, why msgs.Reason) {
+	m := msgs.Refused{Header: a.head(), Reason: why, Load: a.flows.Load(now), Packet: packet}
 	a.buf = m.AppendTo(a.buf[:0])
 	a.Wire.ToPeer(origin, a.buf)
 	handedBack(why.String())
@@ -257,25 +257,25 @@
 
 // passOn sends on a packet of a flow that the own server doesn't hold: to the owner if this
 // agent is the flow's home, to the home otherwise.
-func (a *Agent) passOn(now time.Time, m msgs.Carry, s *segs.Segment) {
+func (a *Agent) passOn(now time.Time, m msgs.Forward, s *segs.Segment) {
 	if m.Hops >= mostHops {
 		dropped("hops")
 		a.Events.Flow(event.Failure, "circled", s.Flow).Uint8("hops", m.Hops).Stringer("revision", a.Log.Revision()).Send()
 		return
 	}
-	if m.Named {
+	if m.ToOwner {
 		// The home remembers this agent from before its restart, or the server has let the flow
 		// go. Sent back to the home, the packet would come again, and be dropped in the end.
 		a.searchFor(now, m, s)
 		return
 	}
-	if owner, ok := a.home.Find(s.Flow, s.Ack); ok && owner != a.Self {
-		if a.doubted.Lost(owner) {
+	if owner, ok := a.home.Owner(s.Flow, s.Ack); ok && owner != a.Self {
+		if a.doubted.Failed(owner) {
 			a.searchFor(now, m, s)
 			return
 		}
 		a.keepPassed(now, owner, m, s)
-		m.Named = true
+		m.ToOwner = true
 		a.forward(owner, m)
 		return
 	}
@@ -287,10 +287,10 @@
 	a.forward(home, m)
 }
 
-func (a *Agent) forward(to netip.Addr, m msgs.Carry) {
+func (a *Agent) forward(to netip.Addr, m msgs.Forward) {
 	m.Hops++
 	m.AsHome = false
-	m.Head = a.head()
+	m.Header = a.head()
 	m.Service = 0
 	a.buf = m.AppendTo(a.buf[:0])
 	a.Wire.ToPeer(to, a.buf)
@@ -299,7 +299,7 @@
 
 // tellOwner tells an entry where a flow is.
 func (a *Agent) tellOwner(entry netip.Addr, m msgs.Owner) {
-	m.Head = a.head()
+	m.Header = a.head()
 	a.buf = m.AppendTo(a.buf[:0])
 	a.Wire.ToPeer(entry, a.buf)
 }
--- a/internal/node/local/cold.go
+++ b/internal/node/local/cold.go
@@ -22,14 +22,14 @@
 		return
 	}
 	a.server.cold = self.Cold
-	a.warmth.ColdFor(now, self.Cold)
+	a.warmth.SetCold(now, self.Cold)
 }
 
 // heardServer notes that the server has sent something.
 func (a *Agent) heardServer(now time.Time) {
 	away := !a.down.IsZero() || !a.unheard.IsZero() && now.Sub(a.unheard) >= muteAfter
 	if away {
-		a.warmth.AtLeast(now, a.Log.View().WarmUp(a.Service).Time)
+		a.warmth.ExtendCold(now, a.Log.View().WarmUp(a.Service).Time)
 	}
 	a.down, a.unheard = time.Time{}, time.Time{}
 }
--- a/internal/node/local/evacuate.go
+++ b/internal/node/local/evacuate.go
@@ -20,7 +20,7 @@
 		return
 	}
 	a.emptied = true
-	a.returnWaiting(now, msgs.WhyEvacuated)
+	a.returnWaiting(now, msgs.ReasonEvacuated)
 }
 
 // countResting shows how many flows are still open in an evacuated domain, so that an operator sees when it is empty.
--- a/internal/node/local/fails.go
+++ b/internal/node/local/fails.go
@@ -25,11 +25,11 @@
 
 // brokeOff notes that the server has broken off a request.
 func (a *Agent) brokeOff(now time.Time) {
-	if a.Off.Breaker || !a.breaker.Failed(now) {
+	if a.Off.Breaker || !a.breaker.RecordFailure(now) {
 		return
 	}
 	for f, o := range a.flows.All {
-		if o.Resting() {
+		if o.Idle() {
 			a.ending = append(a.ending, f)
 		}
 	}
@@ -41,7 +41,7 @@
 	if a.breaker.Open() {
 		a.Events.State("server-answers").Stringer("server", a.Backend).Send()
 	}
-	a.breaker.Answered()
+	a.breaker.RecordAnswer()
 	a.ending = nil
 }
 
@@ -49,7 +49,7 @@
 func (a *Agent) tellResting(now time.Time) {
 	n := min(len(a.ending), endingsPerTick)
 	for _, f := range a.ending[:n] {
-		if o := a.flows.Get(f); o != nil && o.Resting() {
+		if o := a.flows.Get(f); o != nil && o.Idle() {
 			a.end(now, o, &segs.Segment{Flow: f, Flags: segs.Ack, Ack: o.Ack}, "fails")
 		}
 	}
@@ -59,7 +59,7 @@
 // judge notes how long an answer took. A server that answers far too fast fails its requests (package quick), and is given few flows; what
 // is open there goes on, as some of its answers may be good.
 func (a *Agent) judge(now time.Time, f segs.Flow, took time.Duration) {
-	if a.Off.Quick || !a.quick.Answered(now, f.Called(), took) {
+	if a.Off.Quick || !a.quick.RecordAnswer(now, f.ServiceAddr(), took) {
 		return
 	}
 	a.Events.State("server-too-fast").Stringer("server", a.Backend).Bool("failing", a.quick.Open()).Dur("took", took).Send()
--- a/internal/node/local/lead.go
+++ b/internal/node/local/lead.go
@@ -15,7 +15,7 @@
 
 // want takes a home's question.
 func (a *Agent) want(now time.Time, home netip.Addr, q msgs.Question) {
-	if !a.rounds.Want(home, q) {
+	if !a.rounds.Add(home, q) {
 		dropped("searches")
 		return
 	}
@@ -25,7 +25,7 @@
 // askAll sends the questions that are due.
 func (a *Agent) askAll(now time.Time) {
 	for _, ask := range a.rounds.Next(now, a.present()) {
-		find := msgs.Find{Head: a.head(), Round: ask.Round, Questions: ask.Questions}
+		find := msgs.Query{Header: a.head(), Round: ask.Round, Questions: ask.Questions}
 		a.buf = find.AppendTo(a.buf[:0])
 		for _, to := range ask.To {
 			if to != a.Self {
@@ -36,21 +36,21 @@
 		if ask.Repeats == 0 {
 			rounds.Inc()
 		}
-		if ask.Repeats >= seek.Slow {
+		if ask.Repeats >= seek.SlowRepeats {
 			a.doubtAll(now, ask.To)
 		}
-		if ask.Repeats == seek.Slow {
+		if ask.Repeats == seek.SlowRepeats {
 			a.sayUnheard(ask)
-			a.tellHomes(now, a.rounds.SoFar(ask.Round))
+			a.tellHomes(now, a.rounds.PartialResults(ask.Round))
 		}
 		if slices.Contains(ask.To, a.Self) {
-			a.found(now, a.Self, msgs.Found{Round: ask.Round, Verdicts: a.verdicts(now, ask.Questions)})
+			a.found(now, a.Self, msgs.QueryAnswer{Round: ask.Round, Verdicts: a.verdicts(now, ask.Questions)})
 		}
 	}
 }
 
 // sayUnheard writes why searches take long: some agents have missed a repeated question too.
-func (a *Agent) sayUnheard(ask seek.Ask) {
+func (a *Agent) sayUnheard(ask seek.Query) {
 	for _, q := range ask.Questions {
 		a.Events.Flow(event.Failure, "unheard", q.Flow).Int("agents", len(ask.To)).Stringer("agent", ask.To[0]).
 			Stringer("revision", a.Log.Revision()).Send()
@@ -78,28 +78,30 @@
 
 // complete says whether the agent has seen all flows that its server can hold: it has
 // run since before the server started, or longer than any flow lives.
-func (a *Agent) complete(now time.Time) bool { return a.server.whole || now.Sub(a.Started) > a.Life }
+func (a *Agent) complete(now time.Time) bool {
+	return a.server.whole || now.Sub(a.Started) > a.MaxLife
+}
 
 // find answers a lead.
-func (a *Agent) find(now time.Time, from netip.Addr, m msgs.Find) {
-	answer := msgs.Found{Head: a.head(), Round: m.Round, Verdicts: a.verdicts(now, m.Questions)}
+func (a *Agent) find(now time.Time, from netip.Addr, m msgs.Query) {
+	answer := msgs.QueryAnswer{Header: a.head(), Round: m.Round, Verdicts: a.verdicts(now, m.Questions)}
 	a.buf = answer.AppendTo(a.buf[:0])
 	a.Wire.ToPeer(from, a.buf)
 }
 
 // found takes an agent's answer in.
-func (a *Agent) found(now time.Time, from netip.Addr, m msgs.Found) {
+func (a *Agent) found(now time.Time, from netip.Addr, m msgs.QueryAnswer) {
 	a.tellHomes(now, a.rounds.Answer(from, m.Round, m.Verdicts, a.present()))
 }
 
 // tellHomes tells homes what rounds have shown.
 func (a *Agent) tellHomes(now time.Time, results []seek.Result) {
 	for _, r := range results {
-		m := msgs.Sought{Head: a.head(), Flow: r.Flow, Owner: r.Owner, Unsure: r.Unsure, Partial: r.Partial}
+		m := msgs.LookupResult{Header: a.head(), Flow: r.Flow, Owner: r.Owner, Unsure: r.Unsure, Partial: r.Partial}
 		if len(m.Unsure) > msgs.MaxUnsure {
-			m.Unsure, m.All = nil, true
+			m.Unsure, m.AllUnsure = nil, true
 		}
-		for _, home := range r.Homes {
+		for _, home := range r.Requesters {
 			if home == a.Self {
 				a.sought(now, m)
 				continue
@@ -117,7 +119,7 @@
 	a.tellHomes(now, results)
 	for _, u := range unheard {
 		for _, f := range u.Flows {
-			a.Events.Flow(event.Failure, "unfound", f).Str("why", "no answer").Int("agents", len(u.Silent)).Send()
+			a.Events.Flow(event.Failure, "unfound", f).Str("why", "no answer").Int("agents", len(u.Unresponsive)).Send()
 		}
 	}
 	a.askAll(now)
--- a/internal/node/local/local.go
+++ b/internal/node/local/local.go
@@ -54,22 +54,22 @@
 
 // Config is what an Agent is made of.
 type Config struct {
-	Self    netip.Addr
-	Domain  string // failure domain
-	Service string
-	Backend netip.AddrPort
-	Log     *belief.Log
-	Ctrl    Control
-	Vouch   doubt.Voucher // its answers come to Agent.Heard
-	Codec   segs.Codec
-	Callers segs.Callers
-	Wire    Wire
-	Events  *event.Log
-	Bound   time.Duration // a change is in force within it
-	Life    time.Duration // no flow lives longer
-	Started time.Time     // of the process
-	Rand    *rand.Rand    // used under the agent's lock
-	Off     parts.Off
+	Self             netip.Addr
+	Domain           string // failure domain
+	Service          string
+	Backend          netip.AddrPort
+	Log              *belief.Log
+	Control          Control
+	Prober           doubt.Prober // its answers come to Agent.Heard
+	Codec            segs.Codec
+	Callers          segs.CallerTiming
+	Wire             Wire
+	Events           *event.Log
+	PropagationBound time.Duration // a change is in force within it
+	MaxLife          time.Duration // no flow lives longer
+	Started          time.Time     // of the process
+	Rand             *rand.Rand    // used under the agent's lock
+	Off              parts.Off
 }
 
 const (
@@ -106,11 +106,11 @@
 	probes   map[segs.Flow]probe
 	searches map[segs.Flow]*search // as the home of flows
 	rounds   *seek.Rounds          // as a lead
-	doubted  *doubt.Watch          // agents that have left something unanswered
+	doubted  *doubt.Monitor        // agents that have left something unanswered
 	passed   map[segs.Flow]passing // as the home: packets on their way to owners in doubt
 	leaving  bool
 	breaker  trip.Breaker
-	quick    *quick.Watch
+	quick    *quick.Breaker
 	warmth   warm.Limiter
 	ending   []segs.Flow // that rest at a server that breaks off its requests
 	server   sight
@@ -129,11 +129,11 @@
 		hash:     belief.ServiceHash(c.Service),
 		flows:    owner.NewAgent(flowLimit, c.Off),
 		home:     owner.NewHome(homeLimit),
-		waiting:  hold.New(c.Callers.Patience()),
+		waiting:  hold.New(c.Callers.OpenWindow()),
 		probes:   map[segs.Flow]probe{},
 		searches: map[segs.Flow]*search{},
 		rounds:   seek.New(rand.Uint32()),
-		doubted:  doubt.New(c.Self, c.Vouch, c.Rand),
+		doubted:  doubt.New(c.Self, c.Prober, c.Rand),
 		passed:   map[segs.Flow]passing{},
 		quick:    quick.New(),
 	}
@@ -165,7 +165,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.leaving = true
-	a.returnWaiting(now, msgs.WhyLeaving)
+	a.returnWaiting(now, msgs.ReasonLeaving)
 }
 
 // downFor is how long the server counts as down after its address was found closed, if nothing
@@ -187,9 +187,9 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	idle := a.idle()
-	a.flows.Expire(now, owner.Lives{Idle: idle, Life: a.Life + overFor, Over: overFor, Opening: a.Callers.GiveUp + openingAfter})
+	a.flows.Expire(now, owner.Lifetimes{Idle: idle, MaxAge: a.MaxLife + overFor, Closed: overFor, Opening: a.Callers.GiveUp + openingAfter})
 	a.admit(now)
-	a.home.Expire(now, a.Life+overFor)
+	a.home.Expire(now, a.MaxLife+overFor)
 	a.tellResting(now)
 	a.expireProbes(now)
 	a.tickSearches(now)
@@ -202,7 +202,7 @@
 	if c := a.Log.View().Config; c != nil {
 		return max(idleLeast, c.Idle)
 	}
-	return a.Life
+	return a.MaxLife
 }
 
 // Changed is to be called after the view has changed: homes may have.
@@ -217,7 +217,7 @@
 	} else if a.server.first == 0 {
 		a.server.first = v.Revision
 	}
-	moved := map[netip.Addr][]msgs.Place{}
+	moved := map[netip.Addr][]msgs.Location{}
 	for f, o := range a.flows.All {
 		if !o.Accepted {
 			continue
@@ -227,7 +227,7 @@
 			continue
 		}
 		o.Home = home
-		moved[home] = append(moved[home], msgs.Place{Flow: f, Seq: o.Seq})
+		moved[home] = append(moved[home], msgs.Location{Flow: f, Seq: o.Seq})
 	}
 	for home, places := range moved {
 		a.register(now, home, places)
@@ -264,7 +264,7 @@
 }
 
 // register tells a home which flows the agent owns.
-func (a *Agent) register(now time.Time, home netip.Addr, places []msgs.Place) {
+func (a *Agent) register(now time.Time, home netip.Addr, places []msgs.Location) {
 	if home == a.Self {
 		for _, p := range places {
 			a.home.Register(now, a.Self, p)
@@ -272,8 +272,8 @@
 		return
 	}
 	for len(places) > 0 {
-		n := min(len(places), msgs.MaxPlaces)
-		m := msgs.Register{Head: a.head(), Places: places[:n]}
+		n := min(len(places), msgs.MaxLocations)
+		m := msgs.Register{Header: a.head(), Locations: places[:n]}
 		a.buf = m.AppendTo(a.buf[:0])
 		a.Wire.ToPeer(home, a.buf)
 		registered.Add(n)
@@ -282,17 +282,17 @@
 }
 
 // registerOne tells a flow's home that the agent owns it.
-func (a *Agent) registerOne(now time.Time, o *owner.Own, f segs.Flow) {
+func (a *Agent) registerOne(now time.Time, o *owner.Flow, f segs.Flow) {
 	home, ok := a.Log.View().Homes.Of(f)
 	if !ok {
 		return
 	}
 	o.Home = home
-	a.register(now, home, []msgs.Place{{Flow: f, Seq: o.Seq}})
+	a.register(now, home, []msgs.Location{{Flow: f, Seq: o.Seq}})
 }
 
-func (a *Agent) head() msgs.Head {
-	return msgs.Head{Revision: a.Log.Revision(), Service: a.hash}
+func (a *Agent) head() msgs.Header {
+	return msgs.Header{Revision: a.Log.Revision(), Service: a.hash}
 }
 
 // self returns the platform's entry for the own server.
--- a/internal/node/local/lost.go
+++ b/internal/node/local/lost.go
@@ -25,10 +25,10 @@
 // present returns the agents whose answers a lead waits for.
 func (a *Agent) present() []netip.Addr {
 	all := a.Log.View().Homes.Agents()
-	if a.doubted.None() {
+	if a.doubted.AllHealthy() {
 		return all
 	}
-	present := slices.DeleteFunc(slices.Clone(all), a.doubted.Lost)
+	present := slices.DeleteFunc(slices.Clone(all), a.doubted.Failed)
 	if 2*len(present) <= len(all) {
 		return all
 	}
@@ -45,18 +45,18 @@
 // passing is a packet that a home has passed on to a flow's owner.
 type passing struct {
 	owner  netip.Addr
-	carry  msgs.Carry
+	carry  msgs.Forward
 	packet []byte
 	at     time.Time
 }
 
 // keepPassed keeps a packet that goes to an owner which hasn't been heard lately, and puts the owner in doubt.
-func (a *Agent) keepPassed(now time.Time, owner netip.Addr, m msgs.Carry, s *segs.Segment) {
-	if a.Off.Lost || a.Ctrl.Leaving(owner) {
+func (a *Agent) keepPassed(now time.Time, owner netip.Addr, m msgs.Forward, s *segs.Segment) {
+	if a.Off.Lost || a.Control.Leaving(owner) {
 		return
 	}
-	a.doubted.DoubtUnheard(now, owner)
-	if s.Len == 0 || len(a.passed) >= mostPassed || !a.doubted.InDoubt(owner) {
+	a.doubted.SuspectUnlessSeen(now, owner)
+	if s.Len == 0 || len(a.passed) >= mostPassed || !a.doubted.Suspected(owner) {
 		return
 	}
 	p := passing{owner: owner, carry: m, packet: slices.Clone(m.Packet), at: now}
@@ -68,12 +68,12 @@
 func (a *Agent) seekPassed(now time.Time) {
 	for f, p := range a.passed {
 		switch {
-		case a.doubted.Lost(p.owner):
+		case a.doubted.Failed(p.owner):
 			delete(a.passed, f)
 			if s, err := a.Codec.Decode(p.packet, segs.CallerEnd); err == nil {
 				a.searchFor(now, p.carry, &s)
 			}
-		case !a.doubted.InDoubt(p.owner) || now.Sub(p.at) > passedFor:
+		case !a.doubted.Suspected(p.owner) || now.Sub(p.at) > passedFor:
 			delete(a.passed, f)
 		}
 	}
@@ -81,11 +81,11 @@
 
 // tellLost tells a process whom this agent knows to be lost, so that it needn't find out by itself.
 func (a *Agent) tellLost(now time.Time, to netip.Addr) {
-	list := a.doubted.Tell(now, to)
+	list := a.doubted.FailuresFor(now, to)
 	if len(list) == 0 {
 		return
 	}
-	m := msgs.Lost{Head: a.head(), Agents: list}
+	m := msgs.Failed{Header: a.head(), Agents: list}
 	a.buf = m.AppendTo(a.buf[:0])
 	a.Wire.ToPeer(to, a.buf)
 }
@@ -96,8 +96,8 @@
 		return
 	}
 	for _, other := range agents {
-		if other != a.Self && !a.Ctrl.Leaving(other) {
-			a.doubted.Doubt(now, other)
+		if other != a.Self && !a.Control.Leaving(other) {
+			a.doubted.Suspect(now, other)
 		}
 	}
 }
@@ -105,24 +105,24 @@
 // watchDoubted asks the agents in doubt, and notes who is lost.
 func (a *Agent) watchDoubted(now time.Time) {
 	v := a.Log.View()
-	for _, other := range a.doubted.Tick(now, v.Homes.Agents(), a.Ctrl.Leaving) {
+	for _, other := range a.doubted.Tick(now, v.Homes.Agents(), a.Control.Leaving) {
 		a.Events.State("agent-lost").Stringer("agent", other).Stringer("revision", v.Revision).Send()
 	}
 	a.seekPassed(now)
 }
 
-// Heard notes that another process is alive: a message has come from it, or from one that has heard it.
-func (a *Agent) Heard(now time.Time, from netip.Addr) {
+// MarkAlive notes that another process is alive: a message has come from it, or from one that has heard it.
+func (a *Agent) MarkAlive(now time.Time, from netip.Addr) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.doubted.Heard(now, from) {
+	if a.doubted.MarkAlive(now, from) {
 		a.Events.State("agent-back").Stringer("agent", from).Send()
 	}
 }
 
-// Answered notes that another process has answered a question of a round.
-func (a *Agent) Answered(now time.Time, from netip.Addr, round uint32) {
+// ProbeAnswered notes that another process has answered a question of a round.
+func (a *Agent) ProbeAnswered(now time.Time, from netip.Addr, round uint32) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.doubted.Answered(now, from, round)
+	a.doubted.Acked(now, from, round)
 }
--- a/internal/node/local/probe.go
+++ b/internal/node/local/probe.go
@@ -32,17 +32,17 @@
 		return false
 	}
 	delete(a.probes, s.Flow)
-	a.tellTried(now, p.home, msgs.Tried{Flow: s.Flow})
+	a.tellTried(now, p.home, msgs.ProbeResult{Flow: s.Flow})
 	return true
 }
 
 // tellTried tells the home that searches for a flow whether the own server holds it.
-func (a *Agent) tellTried(now time.Time, home netip.Addr, m msgs.Tried) {
+func (a *Agent) tellTried(now time.Time, home netip.Addr, m msgs.ProbeResult) {
 	if home == a.Self {
 		a.triedAt(now, a.Self, m)
 		return
 	}
-	m.Head = a.head()
+	m.Header = a.head()
 	a.buf = m.AppendTo(a.buf[:0])
 	a.Wire.ToPeer(home, a.buf)
 }
--- a/internal/node/local/search.go
+++ b/internal/node/local/search.go
@@ -52,7 +52,7 @@
 	began    time.Time
 	ended    time.Time // zero: it is under way
 	question msgs.Question
-	carry    msgs.Carry // the newest packet
+	carry    msgs.Forward // the newest packet
 	packet   []byte
 	asked    time.Time              // when a lead was asked last
 	asks     int                    // how often leads were asked
@@ -74,7 +74,7 @@
 }
 
 // searchFor begins a search for a flow's owner.
-func (a *Agent) searchFor(now time.Time, m msgs.Carry, s *segs.Segment) {
+func (a *Agent) searchFor(now time.Time, m msgs.Forward, s *segs.Segment) {
 	if a.Off.Search {
 		dropped("searches")
 		return
@@ -94,7 +94,7 @@
 	a.askLead(now, q)
 }
 
-func (q *search) keep(m msgs.Carry) {
+func (q *search) keep(m msgs.Forward) {
 	q.packet = append(q.packet[:0], m.Packet...)
 	q.carry = m
 	q.carry.Packet = nil
@@ -118,13 +118,13 @@
 		return
 	}
 	a.tellLost(now, lead)
-	m := msgs.Seek{Head: a.head(), Question: q.question}
+	m := msgs.Lookup{Header: a.head(), Question: q.question}
 	a.buf = m.AppendTo(a.buf[:0])
 	a.Wire.ToPeer(lead, a.buf)
 }
 
 // sought takes a lead's answer in.
-func (a *Agent) sought(now time.Time, m msgs.Sought) {
+func (a *Agent) sought(now time.Time, m msgs.LookupResult) {
 	q := a.searches[m.Flow]
 	if q == nil || !q.ended.IsZero() || q.answered {
 		return
@@ -135,7 +135,7 @@
 	}
 	q.answered = !m.Partial
 	v := a.Log.View()
-	if m.All {
+	if m.AllUnsure {
 		m.Unsure = v.Homes.Agents()
 	}
 	q.near, q.far = split(v, m.Unsure, q.carry.Domain)
@@ -163,13 +163,13 @@
 		a.tellOwner(q.carry.Origin, msgs.Owner{Flow: f, Open: true})
 		return
 	}
-	a.home.Register(now, agent, msgs.Place{Flow: f})
+	a.home.Register(now, agent, msgs.Location{Flow: f})
 	if _, tried := q.tries[agent]; tried {
 		return // it has the packet
 	}
 	m := q.carry
 	m.Packet = q.packet
-	m.Named = true
+	m.ToOwner = true
 	a.forward(agent, m)
 }
 
@@ -219,7 +219,7 @@
 }
 
 // triedAt takes an agent's word on whether its server holds a flow.
-func (a *Agent) triedAt(now time.Time, from netip.Addr, m msgs.Tried) {
+func (a *Agent) triedAt(now time.Time, from netip.Addr, m msgs.ProbeResult) {
 	q := a.searches[m.Flow]
 	if q == nil || !q.ended.IsZero() {
 		return
@@ -252,15 +252,15 @@
 		a.Events.Flow(event.Failure, "unfound", f).Str("why", "no answer").Int("agents", q.absent).Send()
 		return
 	}
-	age, known := a.Ctrl.Age(now)
-	if !known || age > a.Bound {
+	age, known := a.Control.Age(now)
+	if !known || age > a.PropagationBound {
 		a.Events.Flow(event.Failure, "unfound", f).Str("why", "belief too old").Dur("age", age).Send()
 		return
 	}
 	delete(a.searches, f)
 	searchTime.Update(now.Sub(q.began).Seconds())
 	a.reset(now, &s, "unheld")
-	a.tellOwner(q.carry.Origin, msgs.Owner{Flow: f, Gone: true})
+	a.tellOwner(q.carry.Origin, msgs.Owner{Flow: f, NoOwner: true})
 }
 
 // tickSearches repeats what had no answer, and forgets what is over.
--- a/internal/node/local/search_test.go
+++ b/internal/node/local/search_test.go
@@ -15,7 +15,7 @@
 
 // All processes of a hundred instances have been killed. Each caller's packet went to fifty servers on average before its own had it, and
 // half a day's bytes between failure domains were spent in four seconds.
-func TestNearServersAreTriedFirst(t *testing.T) {
+func TestNearServersAreProbedFirst(t *testing.T) {
 	log := belief.New()
 	change := belief.Change{To: 10, Full: true}
 	var agents []netip.Addr
--- a/internal/node/local/server.go
+++ b/internal/node/local/server.go
@@ -47,7 +47,7 @@
 		learned.Inc()
 		if p, tried := a.probes[s.Flow]; tried {
 			delete(a.probes, s.Flow)
-			a.tellTried(now, p.home, msgs.Tried{Flow: s.Flow, Held: true})
+			a.tellTried(now, p.home, msgs.ProbeResult{Flow: s.Flow, Held: true})
 		}
 		a.Events.Flow(event.Ordinary, "learned", s.Flow).Stringer("revision", a.Log.Revision()).Send()
 	}
@@ -70,26 +70,26 @@
 }
 
 // accept notes that the server holds a flow.
-func (a *Agent) accept(now time.Time, o *owner.Own, s *segs.Segment) {
+func (a *Agent) accept(now time.Time, o *owner.Flow, s *segs.Segment) {
 	if !s.Accepting() {
 		a.flows.Learn(o, s.Seq-learnedBack) // in its middle, after the agent's own restart
 		return
 	}
 	a.flows.Accept(now, o, s.Seq)
-	openTime.Update(now.Sub(o.Began).Seconds())
+	openTime.Update(now.Sub(o.Created).Seconds())
 }
 
 // announce tells the flow's home, and the entry, that the agent owns it.
-func (a *Agent) announce(now time.Time, o *owner.Own, s *segs.Segment) {
+func (a *Agent) announce(now time.Time, o *owner.Flow, s *segs.Segment) {
 	a.registerOne(now, o, s.Flow)
 	if !o.Origin.IsValid() {
 		return
 	}
-	m := msgs.Opened{Head: a.head(), Flow: s.Flow, Seq: o.Seq, Load: a.flows.Load(now)}
+	m := msgs.Opened{Header: a.head(), Flow: s.Flow, Seq: o.Seq, Load: a.flows.Load(now)}
 	a.buf = m.AppendTo(a.buf[:0])
 	a.Wire.ToPeer(o.Origin, a.buf)
 	a.Events.Flow(event.Ordinary, "opened", s.Flow).Stringer("entry", o.Origin).Uint16("busy", m.Load.Busy).
-		Uint16("flows", m.Load.Flows).Dur("took", now.Sub(o.Began)).Send()
+		Uint16("flows", m.Load.Flows).Dur("took", now.Sub(o.Created)).Send()
 }
 
 // returned takes a caller's packet that the server handed back. The datagram is again what
@@ -100,15 +100,15 @@
 	case s.Opening():
 		if o != nil && !o.Accepted {
 			a.flows.Delete(s.Flow)
-			a.handBack(now, o.Origin, s, datagram, msgs.WhyServer)
+			a.handBack(now, o.Origin, s, datagram, msgs.ReasonServer)
 		}
 	case a.probed(now, s):
-	case o != nil && o.Over():
+	case o != nil && o.Closed():
 		dropped("over")
-	case o != nil && !o.Proved:
+	case o != nil && !o.Established:
 		// The server accepted the flow and so did another one, which the caller chose.
 		a.flows.Delete(s.Flow)
-		a.passOn(now, msgs.Carry{Origin: o.Origin, Packet: datagram}, s)
+		a.passOn(now, msgs.Forward{Origin: o.Origin, Packet: datagram}, s)
 	case o != nil:
 		// The server held the flow and doesn't any more: it was started anew, or has
 		// let go of an old flow. Nobody else can hold it, so the caller waits for nothing.
@@ -119,12 +119,12 @@
 }
 
 // end forgets a flow that nobody holds and tells the caller, who may try again at once.
-func (a *Agent) end(now time.Time, o *owner.Own, s *segs.Segment, why string) {
+func (a *Agent) end(now time.Time, o *owner.Flow, s *segs.Segment, why string) {
 	a.flows.Delete(s.Flow)
 	a.home.Delete(s.Flow, a.Self)
 	a.reset(now, s, why)
 	if o.Origin.IsValid() {
-		a.tellOwner(o.Origin, msgs.Owner{Flow: s.Flow, Gone: true})
+		a.tellOwner(o.Origin, msgs.Owner{Flow: s.Flow, NoOwner: true})
 	}
 }
 
@@ -132,6 +132,6 @@
 	a.packet = a.Codec.Reset(a.packet[:0], *s)
 	a.Wire.ToCaller(s.Flow.Caller, a.packet)
 	resets(why)
-	age, _ := a.Ctrl.Age(now)
+	age, _ := a.Control.Age(now)
 	a.Events.Flow(event.Failure, "reset", s.Flow).Str("why", why).Stringer("revision", a.Log.Revision()).Dur("age", age).Send()
 }
--- a/internal/node/opaque/agent.go
+++ b/internal/node/opaque/agent.go
@@ -29,24 +29,24 @@
 		return err
 	}
 	g = local.New(local.Config{
-		Self:    s.Link.Addr(),
-		Domain:  s.Process.Domain,
-		Service: s.Agent.Service,
-		Backend: s.Agent.Backend,
-		Log:     p.log,
-		Ctrl:    p.follow,
-		Vouch:   p.vouch,
-		Codec:   a.Codec,
-		Callers: a.Callers,
-		Wire:    p.sockets,
-		Events:  p.events,
-		Bound:   s.Bounds.Change,
-		Life:    s.Bounds.Life,
-		Started: p.started,
-		Rand:    newRand(),
-		Off:     s.Without,
+		Self:             s.Link.Addr(),
+		Domain:           s.Process.Domain,
+		Service:          s.Agent.Service,
+		Backend:          s.Agent.Backend,
+		Log:              p.log,
+		Control:          p.follow,
+		Prober:           p.vouch,
+		Codec:            a.Codec,
+		Callers:          a.Callers,
+		Wire:             p.sockets,
+		Events:           p.events,
+		PropagationBound: s.Bounds.Change,
+		MaxLife:          s.Bounds.Life,
+		Started:          p.started,
+		Rand:             newRand(),
+		Off:              s.Without,
 	})
-	p.vouch.OnAlive, p.vouch.OnAnswer = g.Heard, g.Answered
+	p.vouch.OnAlive, p.vouch.OnAnswer = g.MarkAlive, g.ProbeAnswered
 	p.admin.Section("belief", func() any { return p.belief() })
 	p.admin.Section("load", func() any { return g.Load(time.Now()) })
 	staying := p.admin.Condition("staying")
--- a/internal/node/opaque/entry.go
+++ b/internal/node/opaque/entry.go
@@ -31,7 +31,7 @@
 		return errors.New("the settings have no section entry")
 	}
 	var e *edge.Entry
-	p, err := newProcess(ctx, s, a, msgs.Entry, out, func() { e.Changed(time.Now()) })
+	p, err := newProcess(ctx, s, a, msgs.Entry, out, func() { e.ViewChanged(time.Now()) })
 	if err != nil {
 		return err
 	}
@@ -40,7 +40,7 @@
 		Domain:  s.Process.Domain,
 		Log:     p.log,
 		Ctrl:    p.follow,
-		Vouch:   p.vouch,
+		Prober:  p.vouch,
 		Codec:   a.Codec,
 		Callers: a.Callers,
 		Rate:    s.Rate,
@@ -53,7 +53,7 @@
 	})
 	p.admin.Section("belief", func() any { return p.belief() })
 	p.admin.Section("flows", func() any { return e.Len() })
-	p.vouch.OnAlive, p.vouch.OnAnswer = e.Heard, e.Answered
+	p.vouch.OnAlive, p.vouch.OnAnswer = e.ProcessAlive, e.ProbeAnswered
 	staying, known, reaching := p.admin.Condition("staying"), p.admin.Condition("configuration"), p.admin.Condition("reach")
 	staying.Set(true, "")
 	reaching.Set(true, "")
@@ -65,7 +65,7 @@
 			if v := p.log.View(); v.Config != nil && len(v.Homes.Agents()) > 0 {
 				known.Set(true, "")
 			}
-			reaching.Set(e.Reaches(), "no agent answers")
+			reaching.Set(e.ReachesAgents(), "no agent answers")
 		},
 		func(*carry.Settings) {},
 		func() {
--- a/internal/node/opaque/messages.go
+++ b/internal/node/opaque/messages.go
@@ -23,13 +23,13 @@
 const sayBadEvery = time.Second
 
 // flowMessages takes the messages about flows that one role gets. It says whether the message was one.
-type flowMessages func(now time.Time, from netip.Addr, h msgs.Head, rest []byte) bool
+type flowMessages func(now time.Time, from netip.Addr, h msgs.Header, rest []byte) bool
 
 // messages returns the reader of other processes' messages. Those about flows go to take.
 func (p *process) messages(take flowMessages) func() error {
 	var said time.Time
 	return func() error {
-		return p.sockets.readMessages(func(now time.Time, from netip.Addr, h msgs.Head, rest []byte) {
+		return p.sockets.readMessages(func(now time.Time, from netip.Addr, h msgs.Header, rest []byte) {
 			if err := p.took(now, from, h, rest, take); err != nil {
 				unreadable.Inc()
 				if now.Sub(said) < sayBadEvery {
@@ -43,8 +43,8 @@
 }
 
 // took handles one message.
-func (p *process) took(now time.Time, from netip.Addr, h msgs.Head, rest []byte, take flowMessages) error {
-	p.vouch.Heard(now, from)
+func (p *process) took(now time.Time, from netip.Addr, h msgs.Header, rest []byte, take flowMessages) error {
+	p.vouch.MarkAlive(now, from)
 	switch h.Kind {
 	case msgs.KindBeacon:
 		m, err := msgs.ReadBeacon(h, rest)
@@ -53,7 +53,7 @@
 		}
 		p.follow.HandleBeacon(now, from, m)
 		return nil
-	case msgs.KindNews:
+	case msgs.KindUpdate:
 		c, err := follow.DecodeUpdate(rest)
 		if err != nil {
 			return err
@@ -63,10 +63,10 @@
 	}
 	p.follow.ObserveRevision(from, h.Revision)
 	switch h.Kind {
-	case msgs.KindAsk:
-		return msgs.Take(h, rest, msgs.ReadAsk, func(m msgs.Ask) { p.vouch.Asked(from, m) })
-	case msgs.KindAlive:
-		return msgs.Take(h, rest, msgs.ReadAlive, func(m msgs.Alive) { p.vouch.Alive(now, m) })
+	case msgs.KindPing:
+		return msgs.Handle(h, rest, msgs.ReadPing, func(m msgs.Ping) { p.vouch.HandleProbe(from, m) })
+	case msgs.KindPingAck:
+		return msgs.Handle(h, rest, msgs.ReadPingAck, func(m msgs.PingAck) { p.vouch.HandleAck(now, m) })
 	}
 	if !take(now, from, h, rest) {
 		return errKind
--- a/internal/node/opaque/opaque.go
+++ b/internal/node/opaque/opaque.go
@@ -39,7 +39,7 @@
 // Adapter is what the process needs of the platform.
 type Adapter struct {
 	Codec   segs.Codec
-	Callers segs.Callers
+	Callers segs.CallerTiming
 	Source  follow.Source
 	Reload  func() (*carry.Settings, error) // reads the settings again
 }
--- a/internal/node/opaque/sockets.go
+++ b/internal/node/opaque/sockets.go
@@ -31,22 +31,22 @@
 
 func openSockets(ctx context.Context, s *carry.Settings) (k *sockets, err error) {
 	k = &sockets{port: s.Link.Port()}
-	if k.link, err = sock.UDP(ctx, s.LinkBind, sock.Alone); err != nil {
+	if k.link, err = sock.UDP(ctx, s.LinkBind, sock.Exclusive); err != nil {
 		return nil, err
 	}
-	if k.fetches, err = sock.TCP(ctx, s.LinkBind, sock.Alone); err != nil {
+	if k.fetches, err = sock.TCP(ctx, s.LinkBind, sock.Exclusive); err != nil {
 		return nil, err
 	}
 	if s.Entry != nil {
 		k.answerTo = s.Entry.Bind.Port()
-		k.callers, err = sock.UDP(ctx, s.Entry.Bind, sock.Alone)
+		k.callers, err = sock.UDP(ctx, s.Entry.Bind, sock.Exclusive)
 		return k, err
 	}
 	k.answerTo = s.Agent.Caller.Port()
-	if k.callers, err = sock.UDP(ctx, s.Agent.Caller, sock.Alone); err != nil {
+	if k.callers, err = sock.UDP(ctx, s.Agent.Caller, sock.Exclusive); err != nil {
 		return nil, err
 	}
-	if k.servers, err = sock.UDP(ctx, s.Agent.Listen, sock.Alone); err != nil {
+	if k.servers, err = sock.UDP(ctx, s.Agent.Listen, sock.Exclusive); err != nil {
 		return nil, err
 	}
 	k.backend, err = net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(s.Agent.Backend))
@@ -82,7 +82,7 @@
 }
 
 // sentBytes are the bytes of messages to other processes, by kind.
-var sentBytes = func() (counters [msgs.Kinds]*metrics.Counter) {
+var sentBytes = func() (counters [msgs.NumKinds]*metrics.Counter) {
 	for k := range counters {
 		counters[k] = metrics.NewCounter(`mangowinch_message_bytes_total{kind="` + msgs.Kind(k).String() + `"}`)
 	}
@@ -143,9 +143,9 @@
 }
 
 // readMessages hands each message of other processes to take.
-func (k *sockets) readMessages(take func(now time.Time, from netip.Addr, h msgs.Head, rest []byte)) error {
+func (k *sockets) readMessages(take func(now time.Time, from netip.Addr, h msgs.Header, rest []byte)) error {
 	return read(k.link, func(now time.Time, from netip.Addr, datagram []byte) {
-		h, rest, err := msgs.ReadHead(datagram)
+		h, rest, err := msgs.ReadHeader(datagram)
 		if err != nil {
 			metrics.GetOrCreateCounter(`mangowinch_foreign_messages_total`).Inc()
 			return
--- a/internal/node/opaque/traffic.go
+++ b/internal/node/opaque/traffic.go
@@ -18,7 +18,7 @@
 )
 
 // kindBytes are bytes sent to other processes, by kind of message.
-type kindBytes [msgs.Kinds]uint64
+type kindBytes [msgs.NumKinds]uint64
 
 // sentSoFar reads the counters.
 func sentSoFar() (sent kindBytes) {
--- a/internal/node/sock/sock.go
+++ b/internal/node/sock/sock.go
@@ -26,8 +26,8 @@
 
 // The uses.
 const (
-	Alone  Use = false
-	Shared Use = true // every process that opens it must say so
+	Exclusive Use = false
+	Shared    Use = true // every process that opens it must say so
 )
 
 // buffer is asked of the kernel for each UDP socket, in bytes, so that a burst
@@ -56,7 +56,7 @@
 }
 
 func config(use Use) net.ListenConfig {
-	if use == Alone {
+	if use == Exclusive {
 		return net.ListenConfig{}
 	}
 	return net.ListenConfig{Control: share}
--- a/internal/node/start/relayentry.go
+++ b/internal/node/start/relayentry.go
@@ -27,14 +27,16 @@
 		Self: peers.Member{Role: peers.Entry, Address: p.settings.Entry.Link},
 	})
 	e.SetHooks(entry.Hooks{
-		Newer:   func(link netip.AddrPort, service string, revision order.Revision) { c.Heard(service, revision, link) },
+		NewerDocument: func(link netip.AddrPort, service string, revision order.Revision) {
+			c.Observe(service, revision, link)
+		},
 		Refresh: c.Refresh,
 	})
 	mux := drpcmux.New()
 	if err := c.Register(mux); err != nil {
 		return nil, err
 	}
-	l, err := sock.TCP(ctx, p.settings.Entry.Link, sock.Alone)
+	l, err := sock.TCP(ctx, p.settings.Entry.Link, sock.Exclusive)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/node/vouch/vouch.go
+++ b/internal/node/vouch/vouch.go
@@ -39,9 +39,9 @@
 	return &Node{self: self, send: send}
 }
 
-// Ask asks a process whether it is alive, directly and by way of helpers. Its answer names the round.
-func (n *Node) Ask(target netip.Addr, helpers []netip.Addr, round uint32) {
-	m := msgs.Ask{Target: target, Origin: n.self, Round: round}
+// Probe asks a process whether it is alive, directly and by way of helpers. Its answer names the round.
+func (n *Node) Probe(target netip.Addr, helpers []netip.Addr, round uint32) {
+	m := msgs.Ping{Target: target, Origin: n.self, Round: round}
 	message := m.AppendTo(nil)
 	n.send(target, message)
 	for _, h := range helpers {
@@ -49,11 +49,11 @@
 	}
 }
 
-// Asked takes a question: it is answered, or handed on to the one whom it is about.
-func (n *Node) Asked(from netip.Addr, m msgs.Ask) {
+// HandleProbe takes a question: it is answered, or handed on to the one whom it is about.
+func (n *Node) HandleProbe(from netip.Addr, m msgs.Ping) {
 	switch {
 	case m.Target == n.self:
-		answer := msgs.Alive{Target: n.self, Origin: m.Origin, Round: m.Round}
+		answer := msgs.PingAck{Target: n.self, Origin: m.Origin, Round: m.Round}
 		n.send(from, answer.AppendTo(nil))
 	case !m.Relayed:
 		m.Relayed = true
@@ -61,20 +61,20 @@
 	}
 }
 
-// Alive takes an answer: it is for this process, or handed on to who wants to know.
-func (n *Node) Alive(now time.Time, m msgs.Alive) {
+// HandleAck takes an answer: it is for this process, or handed on to who wants to know.
+func (n *Node) HandleAck(now time.Time, m msgs.PingAck) {
 	if m.Origin != n.self {
 		n.send(m.Origin, m.AppendTo(nil))
 		return
 	}
-	n.Heard(now, m.Target)
+	n.MarkAlive(now, m.Target)
 	if n.OnAnswer != nil {
 		n.OnAnswer(now, m.Target, m.Round)
 	}
 }
 
-// Heard notes that a process is alive.
-func (n *Node) Heard(now time.Time, process netip.Addr) {
+// MarkAlive notes that a process is alive.
+func (n *Node) MarkAlive(now time.Time, process netip.Addr) {
 	if n.OnAlive != nil {
 		n.OnAlive(now, process)
 	}
--- a/internal/node/vouch/vouch_test.go
+++ b/internal/node/vouch/vouch_test.go
@@ -34,24 +34,24 @@
 	if n == nil || w.cut[[2]netip.Addr{from, to}] || w.cut[[2]netip.Addr{to, from}] {
 		return
 	}
-	h, rest, err := msgs.ReadHead(message)
+	h, rest, err := msgs.ReadHeader(message)
 	if err != nil {
 		panic(err)
 	}
 	switch h.Kind {
-	case msgs.KindAsk:
-		m, _ := msgs.ReadAsk(h, rest)
-		n.Asked(from, m)
-	case msgs.KindAlive:
-		m, _ := msgs.ReadAlive(h, rest)
-		n.Alive(time.Time{}, m)
+	case msgs.KindPing:
+		m, _ := msgs.ReadPing(h, rest)
+		n.HandleProbe(from, m)
+	case msgs.KindPingAck:
+		m, _ := msgs.ReadPingAck(h, rest)
+		n.HandleAck(time.Time{}, m)
 	}
 }
 
 // ask returns whether node 0 hears that a process is alive.
 func (w *network) ask(target netip.Addr, helpers ...netip.Addr) (alive bool) {
 	w.nodes[addr(0)].OnAlive = func(_ time.Time, process netip.Addr) { alive = alive || process == target }
-	w.nodes[addr(0)].Ask(target, helpers, 0)
+	w.nodes[addr(0)].Probe(target, helpers, 0)
 	return alive
 }
 
--- a/internal/work/hand/codec.go
+++ b/internal/work/hand/codec.go
@@ -50,7 +50,7 @@
 	return &wire.Load{
 		Running: uint32(max(h.Running, 0)),
 		Waiting: uint32(max(h.Waiting, 0)),
-		Busy:    uint32(1000 * max(h.Busy, 0)),
+		Busy:    uint32(1000 * max(h.Utilization, 0)),
 		Service: uint64(max(h.Service, 0).Microseconds()),
 		Leaving: h.Leaving,
 	}
@@ -58,11 +58,11 @@
 
 func decodeLoad(l *wire.Load) place.Hint {
 	return place.Hint{
-		Running: int(l.Running),
-		Waiting: int(l.Waiting),
-		Busy:    min(float64(l.Busy)/1000, 1),
-		Service: micros(l.Service),
-		Leaving: l.Leaving,
+		Running:     int(l.Running),
+		Waiting:     int(l.Waiting),
+		Utilization: min(float64(l.Busy)/1000, 1),
+		Service:     micros(l.Service),
+		Leaving:     l.Leaving,
 	}
 }
 
--- a/internal/work/spread/spread.go
+++ b/internal/work/spread/spread.go
@@ -162,7 +162,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.placer.Choose(time.Now(), hint, tried)
-	s.count("placed", string(c.Why))
+	s.count("placed", string(c.Reason))
 	if c.Server != 0 {
 		s.placer.Sent(c.Server)
 	}
@@ -180,18 +180,18 @@
 
 // howEnded says what an end tells of the server. A server that fails each request within a
 // millisecond gives whole answers and looks idle; its status says that they are failures.
-func howEnded(end result.Result, status int32) place.End {
+func howEnded(end result.Result, status int32) place.Outcome {
 	switch {
 	case end.Reason == result.Gone:
-		return place.Good // the caller's doing; the time it took is a lower bound
+		return place.Answered // the caller's doing; the time it took is a lower bound
 	case end.Outcome == result.NotRun && (end.Reason == result.PeerLost || end.Reason == result.ServerDown):
-		return place.Missed
+		return place.Unreachable
 	case end.Outcome == result.NotRun:
 		return place.Shed
 	case end.Outcome != result.Ran || status >= http.StatusInternalServerError:
 		return place.Failed
 	}
-	return place.Good
+	return place.Answered
 }
 
 // again decides whether one more try is made.
@@ -211,17 +211,17 @@
 	// placing it is no repeated load and not what the budget is for. Each server gives
 	// it back once.
 	if end.Outcome == result.NotRun && end.Reason == result.LeavingServer {
-		s.count("retries", string(retry.Left))
+		s.count("retries", string(retry.ServerLeaving))
 		return true
 	}
 	v := s.budget.Decide(time.Now(), retry.Attempt{
-		Result:     end,
-		Idempotent: t.request.Idempotent,
-		Tries:      len(t.tried),
-		Deadline:   t.request.Deadline,
-		Service:    hand.HopMargin,
+		Result:      end,
+		Idempotent:  t.request.Idempotent,
+		Tries:       len(t.tried),
+		Deadline:    t.request.Deadline,
+		ServiceTime: hand.HopMargin,
 	})
-	s.count("retries", string(v.Why))
+	s.count("retries", string(v.Reason))
 	return v.Retry
 }
 
