--- a/internal/ctrl/budget/budget_test.go
+++ b/internal/ctrl/budget/budget_test.go
@@ -12,15 +12,15 @@
 	"mangowinch/internal/ctrl/budget"
 )
 
-// A team's document of a megabyte is asked for by many peers at once. Exchanges
-// and traffic would wait behind it: what control sends stays within its budget
-// in every minute, and who would wait long is told to ask somebody else.
+// Guards against delays of exchanges and customer traffic when many peers request a document of a
+// megabyte at once. The texts of any minute must stay within the budget, and a request that would
+// wait long must be refused, so that the requester turns to another peer.
 func TestTextsStayWithinTheBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := budget.New()
 		start, sent, refused := time.Now(), 0, 0
 		for time.Since(start) < time.Minute {
-			if m.Spend(t.Context(), 16_000) {
+			if m.Acquire(t.Context(), 16_000) {
 				sent += 16_000
 				continue
 			}
@@ -33,7 +33,7 @@
 	})
 }
 
-func TestUsageCountsBytesAndWork(t *testing.T) {
+func TestUsageCountsBytesAndCPUTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := budget.New()
 		a, b := net.Pipe()
@@ -42,7 +42,7 @@
 		m.Sample(time.Now())
 		_, err := c.Write(make([]byte, 2_000_000))
 		assert.NilError(t, err)
-		m.Work(func() {
+		m.TimeCPU(func() {
 			for n := range 200_000_000 {
 				_ = n
 			}
--- a/internal/ctrl/digest/digest_test.go
+++ b/internal/ctrl/digest/digest_test.go
@@ -25,23 +25,23 @@
 	return v
 }
 
-// Whatever two processes know, the parts that differ name every document that
-// one of them lacks, and equal knowledge gives equal digests in any order.
-func TestDifferFindsEveryDifference(t *testing.T) {
+// Guards against differences that the digests miss: any document that differs between two processes
+// must be in a differing bucket, and equal sets must have equal digests, in whatever order.
+func TestDifferingBucketsFindEveryDifference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sets := rapid.MapOf(rapid.StringMatching("[a-z]{1,3}"), rapid.Uint64Range(3, 20))
 		a, b := view(sets.Draw(t, "a")), view(sets.Draw(t, "b"))
 		x, y := digest.Of(a), digest.Of(b)
 		found := map[int]bool{}
-		for _, n := range x.Differ(y.Buckets[:]) {
+		for _, n := range x.DifferingBuckets(y.Buckets[:]) {
 			found[n] = true
 		}
 		same := true
 		for _, v := range []*store.View{a, b} {
 			for name := range v.Entries {
-				if digest.Know(a, name) != digest.Know(b, name) {
+				if digest.ItemOf(a, name) != digest.ItemOf(b, name) {
 					same = false
-					assert.Assert(t, found[digest.Part(name)], "%s is not found", name)
+					assert.Assert(t, found[digest.BucketOf(name)], "%s is not found", name)
 				}
 			}
 		}
@@ -50,8 +50,8 @@
 	})
 }
 
-// One change among the documents of the planned size must not cost the whole list.
-func TestOneChangeIsOnePart(t *testing.T) {
+// Guards against sending all items of 1,300 documents for the change of one.
+func TestOneChangeIsOneBucket(t *testing.T) {
 	revisions := map[string]uint64{}
 	for n := range 1300 {
 		revisions[fmt.Sprint("service-", n)] = 3
@@ -59,7 +59,7 @@
 	a := digest.Of(view(revisions))
 	revisions["service-77"]++
 	b := digest.Of(view(revisions))
-	parts := a.Differ(b.Buckets[:])
-	assert.DeepEqual(t, parts, []int{digest.Part("service-77")})
+	parts := a.DifferingBuckets(b.Buckets[:])
+	assert.DeepEqual(t, parts, []int{digest.BucketOf("service-77")})
 	assert.Assert(t, len(a.Items[parts[0]]) < 50)
 }
--- a/internal/ctrl/follow/fetch.go
+++ b/internal/ctrl/follow/fetch.go
@@ -19,25 +19,27 @@
 )
 
 const (
-	// method is the one call between processes.
+	// method is the only RPC method between processes.
 	method = "/follow/Since"
-	// fetchTime bounds a fetch from a peer; a peer that needs longer is slow or gone, and another tells.
-	fetchTime = 600 * time.Millisecond
-	// fetchPause spaces fetches, so that a row of changes is fetched together.
+	// fetchTimeout bounds a fetch from a peer. A peer that takes longer is slow or down, and the next beacon of
+	// another peer starts a new fetch.
+	fetchTimeout = 600 * time.Millisecond
+	// fetchPause is the pause after each fetch, so that several changes in quick succession are fetched together.
 	fetchPause = 20 * time.Millisecond
-	// nearPause is how long a process waits for news under way before it fetches a change: within a failure domain they
-	// take a few milliseconds. farPause is how long it leaves that to its domain before it asks a peer of another one.
-	nearPause = 20 * time.Millisecond
-	farPause  = 100 * time.Millisecond
-	// mostGiven is how many peers a process gives changes to at a time. After a restart of all, the first to know
-	// anything was asked by hundreds at once, and none of them got an answer in time.
-	mostGiven = 16
+	// nearDelay is how long a process waits for an update in transit before it fetches the change from a peer of its
+	// own failure domain, within which an update takes a few milliseconds. farDelay is how long it waits for a peer of
+	// its own domain before it fetches from another domain.
+	nearDelay = 20 * time.Millisecond
+	farDelay  = 100 * time.Millisecond
+	// maxServed bounds the fetches that a process serves at a time. After a restart of the whole fleet, hundreds of
+	// peers fetch from the first process that has a belief, and without the bound none of them gets its response in time.
+	maxServed = 16
 )
 
-// since asks for what is newer than a revision.
-type since struct{ Revision order.Revision }
+// sinceRequest requests the changes after a revision.
+type sinceRequest struct{ Revision order.Revision }
 
-// Dial is the Fetch of a Config: it calls a peer that runs Serve at the given port.
+// Dial returns a function for Config.Fetch, which calls peers that run Serve at the given port.
 func Dial(port uint16) func(ctx context.Context, peer netip.Addr, revision order.Revision) (belief.Change, error) {
 	return func(ctx context.Context, peer netip.Addr, revision order.Revision) (c belief.Change, err error) {
 		defer func() { err = errors.Wrapf(err, "fetch changes from %s", peer) }()
@@ -48,98 +50,99 @@
 		}
 		call := drpcconn.New(conn)
 		defer func() { err = errors.CombineErrors(err, call.Close()) }()
-		err = call.Invoke(ctx, method, encoding{}, &since{Revision: revision}, &c)
+		err = call.Invoke(ctx, method, encoding{}, &sinceRequest{Revision: revision}, &c)
 		return c, err
 	}
 }
 
-// Serve answers peers' fetches until ctx ends.
+// Serve serves fetches of peers until ctx ends.
 func Serve(ctx context.Context, l net.Listener, log *belief.Log) error {
-	return drpcserver.New(handler{log, make(chan struct{}, mostGiven)}).Serve(ctx, l)
+	return drpcserver.New(handler{log, make(chan struct{}, maxServed)}).Serve(ctx, l)
 }
 
 type handler struct {
-	log   *belief.Log
-	given chan struct{} // holds one for each fetch under way
+	log      *belief.Log
+	inFlight chan struct{} // one element for each fetch in progress
 }
 
-// errBusy says that enough peers are being given changes. Others know them too by the time that this one is asked again.
-var errBusy = errors.New("enough fetches under way")
+// errBusy is returned when maxServed fetches are in progress. By the time of a retry, other peers have the changes too.
+var errBusy = errors.New("too many concurrent fetches")
 
-// HandleRPC answers one call.
+// HandleRPC serves one call.
 func (h handler) HandleRPC(s drpc.Stream, rpc string) error {
 	if rpc != method {
-		return errors.Newf("unknown call %q", rpc)
+		return errors.Newf("unknown RPC method %q", rpc)
 	}
-	var in since
+	var in sinceRequest
 	if err := s.MsgRecv(&in, encoding{}); err != nil {
 		return err
 	}
 	select {
-	case h.given <- struct{}{}:
-		defer func() { <-h.given }()
+	case h.inFlight <- struct{}{}:
+		defer func() { <-h.inFlight }()
 	default:
 		return errBusy
 	}
 	out := h.log.Since(in.Revision)
-	return s.MsgSend(&out, counting{})
+	return s.MsgSend(&out, countingEncoding{})
 }
 
-// ahead is a peer that knows more than this process.
-type ahead struct {
-	peer     netip.Addr
-	revision order.Revision // 0: nobody
-	asOf     time.Time      // its belief is known to be complete as of then; zero: not known
-	near     bool           // it is in this process's failure domain
-	of       int            // peers among which it was drawn
+// fetchPeer is a peer whose belief has a higher revision than this process's.
+type fetchPeer struct {
+	addr       netip.Addr
+	revision   order.Revision // 0: no peer
+	asOf       time.Time      // when the peer's belief was last confirmed as complete; zero if unknown
+	sameDomain bool           // the peer is in this process's failure domain
+	candidates int            // number of equally good peers among which it was drawn
 }
 
-// Noticed says that a peer is complete up to a revision, as every message tells.
-func (n *Node) Noticed(from netip.Addr, revision order.Revision) {
-	n.noticed(ahead{peer: from, revision: revision})
+// ObserveRevision records that a peer's belief is complete up to a revision, which every message states.
+func (n *Node) ObserveRevision(from netip.Addr, revision order.Revision) {
+	n.observe(fetchPeer{addr: from, revision: revision})
 }
 
-// noticed takes a peer into account that may be ahead.
-func (n *Node) noticed(a ahead) {
+// observe considers a peer as a source for the next fetch if its revision is higher than this process's.
+func (n *Node) observe(a fetchPeer) {
 	known := n.Log.Revision()
 	if a.revision <= known {
 		return
 	}
 	n.mu.Lock()
-	if known == 0 && n.offered.IsZero() {
-		n.offered = time.Now()
+	if known == 0 && n.firstOffer.IsZero() {
+		n.firstOffer = time.Now()
 	}
-	a.near = n.near(a.peer)
-	n.ahead.consider(a)
+	a.sameDomain = n.sameDomain(a.addr)
+	n.fetchFrom.consider(a)
 	n.mu.Unlock()
-	wake(n.behind)
+	wake(n.startFetching)
 }
 
-// consider takes a peer that is ahead into account: near ones go before others, and of equals one is drawn. The first to be
-// heard are the same for all when all start at once, and would have to give everything to everybody.
-func (a *ahead) consider(other ahead) {
+// consider replaces the chosen peer by another one if that is preferred: a peer of the same failure domain is preferred
+// to others, and among equal ones the choice is random. When the whole fleet starts, all processes receive beacons from
+// the same few peers first, which would otherwise have to serve everyone.
+func (a *fetchPeer) consider(other fetchPeer) {
 	switch {
-	case a.revision == 0 || other.near && !a.near:
+	case a.revision == 0 || other.sameDomain && !a.sameDomain:
 		*a = other
-		a.of = 1
-	case other.near == a.near:
-		a.of++
-		if rand.IntN(a.of) == 0 {
-			other.of = a.of
+		a.candidates = 1
+	case other.sameDomain == a.sameDomain:
+		a.candidates++
+		if rand.IntN(a.candidates) == 0 {
+			other.candidates = a.candidates
 			*a = other
 		}
 	}
 }
 
-// fetchLoop asks peers that know more, one at a time.
+// fetchLoop fetches changes from peers with higher revisions, one peer at a time.
 func (n *Node) fetchLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.behind:
-			sleep(ctx, n.pause())
-			if from, ok := n.takeAhead(); ok {
+		case <-n.startFetching:
+			sleep(ctx, n.fetchDelay())
+			if from, ok := n.takeFetchPeer(); ok {
 				n.fetch(ctx, from)
 				sleep(ctx, fetchPause)
 			}
@@ -147,46 +150,47 @@
 	}
 }
 
-// pause is how long news are waited for. An entry that knows nothing waits for nobody; an agent carries packets without
-// knowing anything, and hears of more peers to choose from meanwhile.
-func (n *Node) pause() time.Duration {
+// fetchDelay returns how long to wait for an update in transit before fetching. An entry without a belief fetches at
+// once. An agent forwards packets without a belief; while it waits, it receives beacons from more peers to choose from.
+func (n *Node) fetchDelay() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	switch {
 	case n.Log.Revision() == 0 && n.Role == msgs.Entry:
 		return 0
-	case n.ahead.near || n.Log.Revision() == 0:
-		return nearPause
+	case n.fetchFrom.sameDomain || n.Log.Revision() == 0:
+		return nearDelay
 	default:
-		return farPause
+		return farDelay
 	}
 }
 
-// takeAhead returns whom to ask, if anybody still knows more.
-func (n *Node) takeAhead() (a ahead, ok bool) {
+// takeFetchPeer returns the peer to fetch from, if its revision is still higher than this process's, and resets it.
+func (n *Node) takeFetchPeer() (a fetchPeer, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	a, n.ahead = n.ahead, ahead{}
+	a, n.fetchFrom = n.fetchFrom, fetchPeer{}
 	return a, a.revision > n.Log.Revision()
 }
 
-func (n *Node) fetch(ctx context.Context, from ahead) {
-	ctx, cancel := context.WithTimeout(ctx, fetchTime)
+// fetch fetches the missing changes from a peer and applies them.
+func (n *Node) fetch(ctx context.Context, from fetchPeer) {
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	revision := n.Log.Revision()
-	c, err := n.Fetch(ctx, from.peer, revision)
+	c, err := n.Fetch(ctx, from.addr, revision)
 	if err != nil {
 		metrics.GetOrCreateCounter(`mangowinch_fetches_total{result="failed"}`).Inc()
-		n.Events.State("fetch-failed").Stringer("peer", from.peer).Stringer("revision", revision).Err(err).Send()
+		n.Events.State("fetch-failed").Stringer("peer", from.addr).Stringer("revision", revision).Err(err).Send()
 		return
 	}
 	metrics.GetOrCreateCounter(`mangowinch_fetches_total{result="ok"}`).Inc()
-	n.Learn(time.Now(), from.peer, c)
-	n.fresh(from)
+	n.HandleChange(time.Now(), from.addr, c)
+	n.confirmFetched(from)
 }
 
-// fresh makes the belief as fresh as that of a peer from which it was fetched.
-func (n *Node) fresh(from ahead) {
+// confirmFetched takes over the confirmation time of a peer from which the belief was fetched.
+func (n *Node) confirmFetched(from fetchPeer) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if covers(n.Log.Revision(), from.revision) && from.asOf.After(n.asOf) {
--- a/internal/ctrl/follow/wire_test.go
+++ b/internal/ctrl/follow/wire_test.go
@@ -16,15 +16,15 @@
 // sent are the messages that processes encode for each other.
 var sent = map[string]any{
 	"change.golden": belief.Change{}, // in news, and the answer to a fetch
-	"since.golden":  since{},         // the question of a fetch
+	"since.golden":  sinceRequest{},  // the question of a fetch
 }
 
 // plain returns the JSON of a message as it is sent, on lines of its own.
 func plain(t *testing.T, m any) string {
 	t.Helper()
-	b, err := counting{}.Marshal(m)
+	b, err := countingEncoding{}.Marshal(m)
 	assert.NilError(t, err)
-	text, err := unpacker.DecodeAll(b, nil)
+	text, err := decoder.DecodeAll(b, nil)
 	assert.NilError(t, err)
 	var lines bytes.Buffer
 	assert.NilError(t, json.Indent(&lines, text, "", "  "))
@@ -49,7 +49,7 @@
 		t.Run(name, func(t *testing.T) {
 			text := golden.Get(t, name)
 			v := reflect.New(reflect.TypeOf(m))
-			assert.NilError(t, encoding{}.Unmarshal(packer.EncodeAll(text, nil), v.Interface()))
+			assert.NilError(t, encoding{}.Unmarshal(encoder.EncodeAll(text, nil), v.Interface()))
 			missing := filled.Unset(v.Elem().Interface())
 			assert.Equal(t, len(missing), 0, "%v", missing)
 			assert.Equal(t, plain(t, v.Interface()), string(text))
--- a/internal/ctrl/relay/attend.go
+++ b/internal/ctrl/relay/attend.go
@@ -29,7 +29,7 @@
 		return
 	}
 	n.mu.Lock()
-	start := duty.Start(peers.Entry, n.Rand)
+	start := duty.StartDelay(peers.Entry, n.Rand)
 	n.mu.Unlock()
 	if !sleep(ctx, start) || !n.awaitMembers(ctx) {
 		return
@@ -38,17 +38,17 @@
 	defer running.Wait()
 	stop := func() {}
 	defer func() { stop() }()
-	for nextProbe := time.Now().Add(duty.Tick); ctx.Err() == nil; sleep(ctx, n.jitter(dutyPeriod)) {
+	for nextProbe := time.Now().Add(duty.ProbeInterval); ctx.Err() == nil; sleep(ctx, n.jitter(dutyPeriod)) {
 		n.mu.Lock()
 		live := n.table.Live(peers.Entries)
-		watch := duty.Watches(n.table.Self(), live)
+		watch := duty.IsWatcher(n.table.Self(), live)
 		age := time.Since(n.lastContact)
-		probeDue := !watch && time.Now().After(nextProbe) && duty.Probes(age, len(live), n.Rand)
+		probeDue := !watch && time.Now().After(nextProbe) && duty.ShouldProbe(age, len(live), n.Rand)
 		changed := watch != n.watching
 		n.watching = watch
 		n.mu.Unlock()
 		if time.Now().After(nextProbe) {
-			nextProbe = time.Now().Add(n.jitter(duty.Tick))
+			nextProbe = time.Now().Add(n.jitter(duty.ProbeInterval))
 		}
 		switch {
 		case changed && watch:
--- a/internal/ctrl/relay/beat.go
+++ b/internal/ctrl/relay/beat.go
@@ -118,7 +118,7 @@
 
 // Beat replies to a heartbeat of another agent of the service with a heartbeat of this agent.
 func (n *Node) Beat(_ context.Context, in *wire.Pulse) (out *wire.Pulse, err error) {
-	defer func() { n.Meter.Answered(proto.Size(in), proto.Size(out)) }()
+	defer func() { n.Meter.CountAnswered(proto.Size(in), proto.Size(out)) }()
 	if n.Service == "" || in.GetService() != n.Service {
 		// The address now belongs to another service: the sender's document is outdated.
 		countRefused("service")
@@ -157,7 +157,7 @@
 // newHeartbeat returns a heartbeat with the current state of this agent.
 func (n *Node) newHeartbeat() *wire.Pulse {
 	view := n.Store.View()
-	own := digest.Know(view, n.Service)
+	own := digest.ItemOf(view, n.Service)
 	p := &wire.Pulse{Service: n.Service, Revision: uint64(own.Revision), Newest: uint64(own.Newest)}
 	if e := view.Entries[n.Service]; e != nil {
 		for _, s := range e.Service.Servers {
--- a/internal/ctrl/relay/give.go
+++ b/internal/ctrl/relay/give.go
@@ -24,16 +24,16 @@
 
 // Pull returns texts that the caller lacks, as many as the budget allows.
 func (n *Node) Pull(ctx context.Context, in *wire.Wants) (out *wire.Texts, err error) {
-	defer func() { n.Meter.Answered(proto.Size(in), proto.Size(out)) }()
+	defer func() { n.Meter.CountAnswered(proto.Size(in), proto.Size(out)) }()
 	if !n.answerLimiter.Allow() {
 		countRefused("rate")
 		return nil, ErrBusy
 	}
-	n.Meter.Work(func() { out, err = n.packTexts(in) })
+	n.Meter.TimeCPU(func() { out, err = n.packTexts(in) })
 	if err != nil {
 		return nil, err
 	}
-	if !n.Meter.Spend(ctx, len(out.GetDeflated())) {
+	if !n.Meter.Acquire(ctx, len(out.GetDeflated())) {
 		countRefused("budget")
 		return nil, ErrBusy
 	}
@@ -43,7 +43,7 @@
 // packTexts compresses texts, in pieces if necessary, up to the size of one answer.
 func (n *Node) packTexts(in *wire.Wants) (*wire.Texts, error) {
 	left := smallAnswer
-	if n.Meter.Room() > largeAnswer {
+	if n.Meter.Available() > largeAnswer {
 		left = largeAnswer
 	}
 	view := n.Store.View()
--- a/internal/ctrl/relay/poll.go
+++ b/internal/ctrl/relay/poll.go
@@ -59,7 +59,7 @@
 // pollEntry compares the agent's document with an entry's.
 func (n *Node) pollEntry(ctx context.Context, m peers.Member) bool {
 	out := n.summary()
-	out.Items = append(out.Items, itemToWire(digest.Know(n.Store.View(), n.Service)))
+	out.Items = append(out.Items, itemToWire(digest.ItemOf(n.Store.View(), n.Service)))
 	_, ok := n.exchange(ctx, m, out)
 	if ok {
 		n.mu.Lock()
@@ -73,7 +73,7 @@
 // occasionally when no entry answers.
 func (n *Node) agentPlatformLoop(ctx context.Context) {
 	n.mu.Lock()
-	start := duty.Start(peers.Agent, n.Rand)
+	start := duty.StartDelay(peers.Agent, n.Rand)
 	n.mu.Unlock()
 	failures := 0
 	for delay := start; sleep(ctx, delay); {
--- a/internal/ctrl/relay/pull.go
+++ b/internal/ctrl/relay/pull.go
@@ -188,7 +188,7 @@
 			continue
 		}
 		w.inFlight = false
-		own := digest.Know(view, name)
+		own := digest.ItemOf(view, name)
 		if !w.item.Newer(own) {
 			delete(n.pull.wants, name)
 			delete(n.pull.useless, name)
@@ -230,7 +230,7 @@
 	in := &wire.Wants{From: memberToWire(n.Self)}
 	n.mu.Lock()
 	for name := range batch {
-		own := digest.Know(view, name)
+		own := digest.ItemOf(view, name)
 		w := &wire.Want{Name: name, Revision: uint64(own.Revision), Newest: uint64(own.Newest)}
 		if p := n.pull.partials[name]; p != nil {
 			w.Partial, w.Offset = p.revision, uint64(len(p.text))
@@ -246,7 +246,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n.Meter.Work(func() { parts, err = inflate(out.GetDeflated()) })
+	n.Meter.TimeCPU(func() { parts, err = inflate(out.GetDeflated()) })
 	n.Meter.Charge(ctx, len(out.GetDeflated()))
 	return parts, err
 }
--- a/internal/ctrl/relay/take.go
+++ b/internal/ctrl/relay/take.go
@@ -27,7 +27,7 @@
 	case !complete:
 		return partProgress
 	}
-	before := digest.Know(n.Store.View(), p.GetName())
+	before := digest.ItemOf(n.Store.View(), p.GetName())
 	revision := order.Revision(p.GetRevision())
 	accepted, err := n.Store.Offer(p.GetName(), revision, text, link.String())
 	if err != nil {
@@ -36,7 +36,7 @@
 	if accepted {
 		n.Log.Info().Str("document", p.GetName()).Stringer("revision", revision).Stringer("from", link).Msg("document accepted")
 	}
-	if digest.Know(n.Store.View(), p.GetName()) == before {
+	if digest.ItemOf(n.Store.View(), p.GetName()) == before {
 		return partUseless
 	}
 	return partProgress
--- a/internal/ctrl/relay/tell.go
+++ b/internal/ctrl/relay/tell.go
@@ -118,12 +118,12 @@
 	}
 	for name, e := range after.Entries {
 		if before.Entries[name] != e {
-			items = append(items, digest.Know(after, name))
+			items = append(items, digest.ItemOf(after, name))
 		}
 	}
 	for name, f := range after.Faults {
 		if before.Faults[name] != f && before.Entries[name] == after.Entries[name] {
-			items = append(items, digest.Know(after, name))
+			items = append(items, digest.ItemOf(after, name))
 		}
 	}
 	return items
--- a/internal/ctrl/scale/network.go
+++ b/internal/ctrl/scale/network.go
@@ -89,7 +89,7 @@
 	if err != nil {
 		return none, err
 	}
-	r.from.Meter.Answered(proto.Size(out), proto.Size(in))
+	r.from.Meter.CountAnswered(proto.Size(out), proto.Size(in))
 	return out, nil
 }
 
--- a/internal/node/edge/bench_test.go
+++ b/internal/node/edge/bench_test.go
@@ -23,7 +23,7 @@
 }
 func (stubCodec) Restore([]byte)                                {}
 func (stubCodec) Reset(b []byte, _ segs.Segment) []byte         { return b }
-func (stubCodec) Noticed(netip.Addr, order.Revision)            {}
+func (stubCodec) ObserveRevision(netip.Addr, order.Revision)    {}
 func (stubCodec) Leaving(netip.Addr) bool                       { return false }
 func (stubCodec) Age(time.Time) (age time.Duration, known bool) { return 0, true }
 
--- a/internal/node/opaque/messages.go
+++ b/internal/node/opaque/messages.go
@@ -53,17 +53,17 @@
 		if err != nil {
 			return err
 		}
-		p.follow.Heard(now, from, m)
+		p.follow.HandleBeacon(now, from, m)
 		return nil
 	case msgs.KindUpdate:
-		c, err := follow.DecodeNews(rest)
+		c, err := follow.DecodeUpdate(rest)
 		if err != nil {
 			return err
 		}
-		p.follow.Learn(now, from, c)
+		p.follow.HandleChange(now, from, c)
 		return nil
 	}
-	p.follow.Noticed(from, h.Revision)
+	p.follow.ObserveRevision(from, h.Revision)
 	switch h.Kind {
 	case msgs.KindPing:
 		return msgs.Handle(h, rest, msgs.ReadPing, func(m msgs.Ping) { p.prober.HandleProbe(from, m) })
