--- a/internal/oper/pages/pages_test.go
+++ b/internal/oper/pages/pages_test.go
@@ -75,8 +75,8 @@
 func TestReasonsPage(t *testing.T) {
 	for heading, source := range map[string][2]string{
 		"Requests": {"internal/work/result", "Reason"},
-		"Retries":  {"internal/load/retry", "Why"},
-		"Placing":  {"internal/load/place", "Why"},
+		"Retries":  {"internal/load/retry", "Reason"},
+		"Placing":  {"internal/load/place", "Reason"},
 		"Leaving":  {"internal/node/agent", "cause"},
 	} {
 		want, got := constants(t, source[0], source[1]), rows(t, "docs/operate/reasons.md", heading)
