--- a/internal/oper/event/event.go
+++ b/internal/oper/event/event.go
@@ -1,16 +1,17 @@
-// Package event writes the lines that explain afterwards what a process did with a
-// flow and why it believed what it did.
+// Package event writes structured log lines about flows and changes of state, from which operators can reconstruct
+// what a process did with a flow and on what information.
 //
 // A line is one JSON object with the time, the process, the kind of event, and for a flow its
-// addresses, printed alike everywhere. Volume is bounded: each class of
-// events has a budget of lines a second, so that a flood of ordinary events can't push out
-// the ones that explain failures, and ordinary ones are written only for flows picked by their
-// hash, which picks the same flows in every process. What was left out is counted and said.
+// addresses, in the same format in all processes. Volume is bounded: each class of
+// events has a budget of lines per second, so that a flood of ordinary events can't displace
+// the ones that explain failures. Ordinary events are written only for flows sampled by their
+// hash, so that every process samples the same flows. Omitted lines are counted, and a log-dropped line reports
+// their number.
 //
-// Writing never blocks: lines go through a bounded queue to one goroutine, and when whoever reads
-// the output doesn't, lines are dropped and counted.
+// Writing never blocks: lines go through a bounded queue to one goroutine; when the output is not
+// read, lines are dropped and counted.
 //
-// The package doesn't decide what is worth a line.
+// The package doesn't decide which events are logged.
 //
 // # Usage
 //
@@ -32,80 +33,81 @@
 	"mangowinch/internal/flow/segs"
 )
 
-// Class is a class of events with a budget of its own.
+// Class is a class of events with its own line budget.
 type Class int
 
 // The classes of flow events. Ordinary ones are sampled.
 const (
 	Ordinary Class = iota
 	Failure
-	classes
+	numClasses
 )
 
 const (
-	// linesPerSecond bounds each class: 100 lines of some 200 bytes are 20 KB/s.
+	// linesPerSecond is the budget of each class: 100 lines of about 200 bytes are 20 KB/s.
 	linesPerSecond = 100
-	// sampled is how many flows share one whose ordinary events are written.
-	sampled = 16
-	// queued is how many lines may wait for the writer: two seconds of all budgets.
-	queued = 512
-	// gather is how long lines are collected for one write.
-	gather = 50 * time.Millisecond
+	// sampleInterval selects one flow in that many, whose ordinary events are written.
+	sampleInterval = 16
+	// queueSize is how many lines may wait for the writing goroutine: at least two seconds of all budgets.
+	queueSize = 512
+	// batchDelay is how long lines are collected into one write.
+	batchDelay = 50 * time.Millisecond
 )
 
 // Log writes events. Its methods may be called from any goroutine.
 type Log struct {
-	log     zerolog.Logger
-	lines   chan []byte
-	closing chan struct{}
-	done    chan struct{}
-	buckets [classes]bucket
-	full    atomic.Uint64 // lines dropped since the last that said so
-	dropped *metrics.Counter
-	skipped *metrics.Counter
-	now     func() time.Time
+	log        zerolog.Logger
+	lines      chan []byte
+	closing    chan struct{}
+	done       chan struct{}
+	buckets    [numClasses]bucket
+	overflowed atomic.Uint64 // lines dropped because the queue was full, since the last log-dropped line
+	dropped    *metrics.Counter
+	skipped    *metrics.Counter
+	now        func() time.Time
 }
 
-// bucket counts the lines of one second.
+// bucket counts the lines of a class in the current second.
 type bucket struct {
 	second atomic.Int64
 	lines  atomic.Int64
-	over   atomic.Int64
+	excess atomic.Int64
 }
 
-// New returns a log of a process that writes to w until Close.
+// New returns the log of a process. It writes to w until Close.
 func New(w io.Writer, role, name string) *Log {
 	l := &Log{
-		lines:   make(chan []byte, queued),
+		lines:   make(chan []byte, queueSize),
 		closing: make(chan struct{}),
 		done:    make(chan struct{}),
 		now:     time.Now,
 		dropped: metrics.GetOrCreateCounter(`mangowinch_log_lines_dropped_total{reason="queue"}`),
 		skipped: metrics.GetOrCreateCounter(`mangowinch_log_lines_dropped_total{reason="budget"}`),
 	}
-	l.log = zerolog.New((*queue)(l)).With().Str("role", role).Str("process", name).Logger()
+	l.log = zerolog.New((*queueWriter)(l)).With().Str("role", role).Str("process", name).Logger()
 	go l.write(w)
 	return l
 }
 
-// SetClock makes lines carry the time of stand-ins that have a clock of their own. It is to be called before the first line.
+// SetClock replaces the clock that gives the time of lines; simulated processes have a clock of their own. It must be
+// called before the first line.
 func (l *Log) SetClock(now func() time.Time) { l.now = now }
 
-// queue is the way of a finished line to the writing goroutine.
-type queue Log
+// queueWriter is the io.Writer that passes finished lines to the writing goroutine.
+type queueWriter Log
 
-// Write queues a copy of a line or drops it; it never blocks.
-func (q *queue) Write(line []byte) (int, error) {
+// Write queues a copy of a line, or drops the line if the queue is full. It never blocks.
+func (q *queueWriter) Write(line []byte) (int, error) {
 	select {
 	case q.lines <- append([]byte(nil), line...):
 	default:
-		q.full.Add(1)
+		q.overflowed.Add(1)
 		q.dropped.Inc()
 	}
 	return len(line), nil
 }
 
-// write is the goroutine that may block on w.
+// write runs in the writing goroutine, the only one that may block on w.
 func (l *Log) write(w io.Writer) {
 	defer close(l.done)
 	for {
@@ -116,20 +118,20 @@
 			l.flush(w, l.collect(nil, nil))
 			return
 		}
-		b = l.collect(b, time.After(gather))
-		if n := l.full.Swap(0); n > 0 {
+		b = l.collect(b, time.After(batchDelay))
+		if n := l.overflowed.Swap(0); n > 0 {
 			b = append(b, fmt.Sprintf(`{"event":"log-dropped","reason":"queue","lines":%d}`+"\n", n)...)
 		}
 		l.flush(w, b)
 	}
 }
 
-// mostAtOnce bounds one write in bytes.
-const mostAtOnce = 1 << 15
+// maxBatch bounds one write in bytes.
+const maxBatch = 1 << 15
 
-// collect appends the lines that come until end to b; with no end, those that are there.
+// collect appends the lines that arrive until end fires to b; if end is nil, only the lines that are already queued.
 func (l *Log) collect(b []byte, end <-chan time.Time) []byte {
-	for len(b) < mostAtOnce {
+	for len(b) < maxBatch {
 		if end == nil && len(l.lines) == 0 {
 			return b
 		}
@@ -151,26 +153,26 @@
 	}
 }
 
-// closeWait bounds Close when nobody reads the output.
-const closeWait = 200 * time.Millisecond
+// closeTimeout bounds the time that Close waits when the output is not read.
+const closeTimeout = 200 * time.Millisecond
 
-// Close writes what is queued. What is logged later is dropped: goroutines that are ending may still log.
+// Close writes the queued lines. Lines logged later are dropped: goroutines may still log while they end.
 func (l *Log) Close() {
 	close(l.closing)
 	select {
 	case <-l.done:
-	case <-time.After(closeWait):
+	case <-time.After(closeTimeout):
 	}
 }
 
-// State begins a line on a change of what the process is or believes. Such lines
-// are few by their nature, and are not limited.
+// State starts a line about a change of the process's state or of its view of the system. Such lines
+// are rare and have no budget.
 func (l *Log) State(name string) *zerolog.Event { return l.line(name) }
 
-// Flow begins a line on a decision about a flow; it is nil, which drops all that is
-// added to it, when the line is sampled out or over its budget.
+// Flow starts a line about a decision on a flow. It returns nil, a valid event that writes nothing, when the flow
+// is not sampled or the budget of the class is exhausted.
 func (l *Log) Flow(c Class, name string, f segs.Flow) *zerolog.Event {
-	if c == Ordinary && f.Hash()%sampled != 0 {
+	if c == Ordinary && f.Hash()%sampleInterval != 0 {
 		return nil
 	}
 	if !l.allow(c, l.now().Unix()) {
@@ -184,22 +186,22 @@
 	return l.log.Log().Str("time", l.now().UTC().Format("2006-01-02T15:04:05.000Z")).Str("event", name)
 }
 
-// allow counts a line against its class. Two goroutines may both begin a second, which lets a
-// line too many through.
+// allow counts a line against the budget of its class and reports whether it may be written. Two goroutines may both
+// start a new second, which can let one line too many through.
 func (l *Log) allow(c Class, second int64) bool {
 	b := &l.buckets[c]
 	if b.second.Swap(second) != second {
 		b.lines.Store(0)
-		if over := b.over.Swap(0); over > 0 {
+		if over := b.excess.Swap(0); over > 0 {
 			l.line("log-dropped").Str("reason", "budget").Int64("lines", over).Send()
 		}
 	}
 	if b.lines.Add(1) <= linesPerSecond {
 		return true
 	}
-	b.over.Add(1)
+	b.excess.Add(1)
 	return false
 }
 
-// Logger is for parts that write lines of their own on changes of state.
+// Logger returns the underlying logger, for packages that write their own lines about changes of state.
 func (l *Log) Logger() zerolog.Logger { return l.log }
--- a/internal/oper/event/event_test.go
+++ b/internal/oper/event/event_test.go
@@ -30,7 +30,7 @@
 	})
 }
 
-// All processes must write the same flows, or a flow's way can't be followed.
+// Guards against processes that sample different flows: the path of a flow could then not be followed across processes.
 func TestSamplingIsByTheFlow(t *testing.T) {
 	a, b := New(io.Discard, "entry", "e1"), New(io.Discard, "agent", "a1")
 	defer a.Close()
@@ -46,7 +46,7 @@
 	assert.Assert(t, kept > 25 && kept < 80, kept)
 }
 
-// A flood of refusals must not become a flood of lines, and what was left out is said.
+// Guards against a flood of refusals that becomes a flood of lines, and against omitted lines that are not reported.
 func TestLinesAreBoundedAndTheRestIsSaid(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
@@ -62,31 +62,32 @@
 	})
 }
 
-// stuck is an output that nobody reads.
-type stuck struct{ free chan struct{} }
+// blockedWriter is an output whose writes block until unblock is closed.
+type blockedWriter struct{ unblock chan struct{} }
 
-func (s stuck) Write(b []byte) (int, error) {
-	<-s.free
+func (s blockedWriter) Write(b []byte) (int, error) {
+	<-s.unblock
 	return len(b), nil
 }
 
-// Whoever reads the process's output hangs. Packets must go on all the same.
+// Guards against logging that blocks the handling of packets: the reader of the process's output hangs, and its writes
+// block.
 func TestStuckOutputBlocksNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := stuck{make(chan struct{})}
-		l := New(s, "entry", "e1")
+		w := blockedWriter{make(chan struct{})}
+		l := New(w, "entry", "e1")
 		began := time.Now()
-		for range 5 * queued {
+		for range 5 * queueSize {
 			l.State("belief").Send()
 		}
 		assert.Equal(t, time.Since(began), time.Duration(0))
 		l.Close()
-		assert.Equal(t, time.Since(began), closeWait)
-		close(s.free)
+		assert.Equal(t, time.Since(began), closeTimeout)
+		close(w.unblock)
 	})
 }
 
-// BenchmarkLine measures one line of a flow: 1.5 us beside a busy machine.
+// BenchmarkLine logs one line about a flow, which takes about 1.5 us on a busy machine.
 func BenchmarkLine(b *testing.B) {
 	l := New(io.Discard, "entry", "e1")
 	defer l.Close()
--- a/internal/oper/event/names_test.go
+++ b/internal/oper/event/names_test.go
@@ -9,7 +9,8 @@
 	"gotest.tools/v3/golden"
 )
 
-// Guards against changed names in the lines that this package writes itself; lines of old and new processes are read together.
+// Guards against changed names in the log-dropped lines that this package writes: lines of old and new processes are read
+// together.
 func TestNamesOfDroppedLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
@@ -18,9 +19,9 @@
 			l.Flow(Failure, "refused", flow(n))
 		}
 		time.Sleep(time.Second)
-		l.Flow(Failure, "refused", flow(1)).Send() // says first what its budget left out
+		l.Flow(Failure, "refused", flow(1)).Send() // is preceded by the line that reports the omitted ones
 		time.Sleep(time.Second)
-		l.full.Store(5)
+		l.overflowed.Store(5)
 		l.State("stop").Send()
 		time.Sleep(time.Second)
 		l.Close()
--- a/internal/oper/pages/names_test.go
+++ b/internal/oper/pages/names_test.go
@@ -16,8 +16,8 @@
 	"gotest.tools/v3/golden"
 )
 
-// parsed returns the files of each folder but for tests and generated code.
-func parsed(t *testing.T) map[string][]*ast.File {
+// parseFolders returns the parsed files of each folder, except tests and generated code.
+func parseFolders(t *testing.T) map[string][]*ast.File {
 	t.Helper()
 	folders := map[string][]*ast.File{}
 	for _, top := range []string{"internal", "cmd", "platform"} {
@@ -35,8 +35,8 @@
 	return folders
 }
 
-// text returns the value of a string literal.
-func text(n ast.Node) (value string, ok bool) {
+// stringLiteral returns the value of a node that is a string literal.
+func stringLiteral(n ast.Node) (value string, ok bool) {
 	l, ok := n.(*ast.BasicLit)
 	if !ok || l.Kind != token.STRING {
 		return "", false
@@ -45,8 +45,8 @@
 	return value, err == nil
 }
 
-// called returns the name of the function or method that is called.
-func called(c *ast.CallExpr) string {
+// calleeName returns the name of the called function or method.
+func calleeName(c *ast.CallExpr) string {
 	switch f := c.Fun.(type) {
 	case *ast.SelectorExpr:
 		return f.Sel.Name
@@ -57,31 +57,32 @@
 	}
 }
 
-// fieldMethods are zerolog's methods that add a field to a line.
+// fieldMethods are the methods of zerolog that add a field to a line.
 var fieldMethods = []string{"Str", "Strs", "Stringer", "Stringers", "Int", "Ints", "Int64", "Uint8", "Uint16", "Uint32", "Uint64", "Float64",
 	"Bool", "Dur", "Time", "Hex", "Bytes", "Interface", "Any", "RawJSON", "AnErr", "IPAddr"}
 
-// field returns the line and the field that a call adds to it; the line is "*" if the call doesn't tell.
-func field(c *ast.CallExpr) (name string, ok bool) {
+// logField returns the kind of a log line and the field that a call adds to it. The kind is "*" if the call's chain does not
+// contain the start of the line.
+func logField(c *ast.CallExpr) (name string, ok bool) {
 	switch {
-	case called(c) == "Msg" && len(c.Args) == 1:
-		message, ok := text(c.Args[0])
+	case calleeName(c) == "Msg" && len(c.Args) == 1:
+		message, ok := stringLiteral(c.Args[0])
 		return "message " + message, ok
-	case called(c) == "Err" && len(c.Args) == 1:
+	case calleeName(c) == "Err" && len(c.Args) == 1:
 		name = "error"
-	case slices.Contains(fieldMethods, called(c)) && len(c.Args) == 2:
-		if name, ok = text(c.Args[0]); !ok {
+	case slices.Contains(fieldMethods, calleeName(c)) && len(c.Args) == 2:
+		if name, ok = stringLiteral(c.Args[0]); !ok {
 			return "", false
 		}
 	default:
 		return "", false
 	}
-	kind := kindOf(c)
+	kind := lineKind(c)
 	return kind + " " + name, name != "error" || kind != "*"
 }
 
-// kindOf follows a chain of calls to the one that begins the line, and returns the text that this one is given.
-func kindOf(c *ast.CallExpr) string {
+// lineKind follows a chain of calls back to the one that starts the line, and returns that call's first string literal.
+func lineKind(c *ast.CallExpr) string {
 	for {
 		s, ok := c.Fun.(*ast.SelectorExpr)
 		if !ok {
@@ -93,18 +94,18 @@
 		}
 		c = before
 	}
-	if called(c) == "Err" || slices.Contains(fieldMethods, called(c)) {
-		return "*" // the line began elsewhere
+	if calleeName(c) == "Err" || slices.Contains(fieldMethods, calleeName(c)) {
+		return "*" // the line was started elsewhere
 	}
 	for _, a := range c.Args {
-		if kind, ok := text(a); ok {
+		if kind, ok := stringLiteral(a); ok {
 			return kind
 		}
 	}
 	return "*"
 }
 
-// eachCall calls do for each call in the files.
+// eachCall calls do for each call expression in the files.
 func eachCall(files []*ast.File, do func(c *ast.CallExpr)) {
 	for _, f := range files {
 		ast.Inspect(f, func(n ast.Node) bool {
@@ -116,61 +117,62 @@
 	}
 }
 
-// sorted writes lines in order, each once.
-func sorted(lines []string) string {
+// sortedLines returns the lines in sorted order without duplicates.
+func sortedLines(lines []string) string {
 	slices.Sort(lines)
 	return strings.Join(slices.Compact(lines), "\n") + "\n"
 }
 
-// Guards against fields and kinds of log lines that change: scripts and the verb that tells a flow's story read lines of old
-// and new processes together.
+// Guards against changed fields and kinds of log lines: scripts and the explain command read the lines of old and new
+// processes together.
 func TestNamesOfLogLines(t *testing.T) {
 	var lines []string
-	for _, files := range parsed(t) {
+	for _, files := range parseFolders(t) {
 		eachCall(files, func(c *ast.CallExpr) {
-			if f, ok := field(c); ok {
+			if f, ok := logField(c); ok {
 				lines = append(lines, f)
 			}
 		})
 	}
-	golden.Assert(t, sorted(lines), "lines.golden")
+	golden.Assert(t, sortedLines(lines), "lines.golden")
 }
 
-// namesOfMetrics are the texts with names of metrics, and with each the words that its functions are given.
-func namesOfMetrics(files []*ast.File) (lines []string) {
-	makers := map[string][]string{} // by name of the function, the metrics that it counts
-	for name, bodies := range functions(files) {
+// metricNames returns the string literals that contain metric names, and for each the words that complete it: the string
+// arguments of the functions that contain the literal.
+func metricNames(files []*ast.File) (lines []string) {
+	metricsByFunc := map[string][]string{} // function name to the metrics that it counts
+	for name, bodies := range declsByFunc(files) {
 		for _, d := range bodies {
 			findMetrics(d, name, func(maker, metric string) {
 				lines = append(lines, metric)
-				makers[maker] = append(makers[maker], metric)
+				metricsByFunc[maker] = append(metricsByFunc[maker], metric)
 			})
 		}
 	}
-	delete(makers, "") // of no function
-	passOn(files, makers)
-	tell := func(metrics []string, found []string) {
+	delete(metricsByFunc, "") // literals outside of functions
+	addForwarders(files, metricsByFunc)
+	addWords := func(metrics []string, found []string) {
 		for _, metric := range metrics {
 			for _, word := range found {
 				lines = append(lines, fmt.Sprintf("%s word %q", metric, word))
 			}
 		}
 	}
-	for name, metrics := range makers {
-		for _, d := range functions(files)[name] {
-			tell(metrics, assigned(d))
+	for name, metrics := range metricsByFunc {
+		for _, d := range declsByFunc(files)[name] {
+			addWords(metrics, assignedStrings(d))
 		}
 	}
 	eachCall(files, func(c *ast.CallExpr) {
-		if metrics := makers[called(c)]; len(metrics) > 0 {
-			tell(metrics, given(files, c))
+		if metrics := metricsByFunc[calleeName(c)]; len(metrics) > 0 {
+			addWords(metrics, argumentStrings(files, c))
 		}
 	})
 	return lines
 }
 
-// functions returns the declarations of the files by the name of the function or method, others under no name.
-func functions(files []*ast.File) map[string][]ast.Decl {
+// declsByFunc returns the declarations by the name of the function or method; other declarations are under the empty name.
+func declsByFunc(files []*ast.File) map[string][]ast.Decl {
 	byName := map[string][]ast.Decl{}
 	for _, f := range files {
 		for _, d := range f.Decls {
@@ -184,8 +186,8 @@
 	return byName
 }
 
-// passOn adds the functions that hand a parameter of their own on to one that counts.
-func passOn(files []*ast.File, makers map[string][]string) {
+// addForwarders adds the functions that pass a parameter of their own to a function that counts, directly or indirectly.
+func addForwarders(files []*ast.File, metricsByFunc map[string][]string) {
 	for added := true; added; {
 		added = false
 		for _, f := range files {
@@ -194,9 +196,9 @@
 				if !ok || fn.Body == nil {
 					continue
 				}
-				for _, metric := range handedOn(fn, makers) {
-					if !slices.Contains(makers[fn.Name.Name], metric) {
-						makers[fn.Name.Name], added = append(makers[fn.Name.Name], metric), true
+				for _, metric := range forwardedMetrics(fn, metricsByFunc) {
+					if !slices.Contains(metricsByFunc[fn.Name.Name], metric) {
+						metricsByFunc[fn.Name.Name], added = append(metricsByFunc[fn.Name.Name], metric), true
 					}
 				}
 			}
@@ -204,8 +206,8 @@
 	}
 }
 
-// handedOn returns the metrics of functions that get a text parameter of fn.
-func handedOn(fn *ast.FuncDecl, makers map[string][]string) (metrics []string) {
+// forwardedMetrics returns the metrics of the functions to which fn passes one of its string parameters.
+func forwardedMetrics(fn *ast.FuncDecl, metricsByFunc map[string][]string) (metrics []string) {
 	var parameters []string
 	for _, p := range fn.Type.Params.List {
 		if t, ok := p.Type.(*ast.Ident); ok && t.Name == "string" {
@@ -218,7 +220,7 @@
 		if c, ok := n.(*ast.CallExpr); ok {
 			for _, a := range c.Args {
 				if i, ok := a.(*ast.Ident); ok && slices.Contains(parameters, i.Name) {
-					metrics = append(metrics, makers[called(c)]...)
+					metrics = append(metrics, metricsByFunc[calleeName(c)]...)
 				}
 			}
 		}
@@ -227,12 +229,12 @@
 	return metrics
 }
 
-// assigned returns the texts that a function gives to variables.
-func assigned(d ast.Decl) (found []string) {
+// assignedStrings returns the string literals that a function assigns to variables.
+func assignedStrings(d ast.Decl) (found []string) {
 	ast.Inspect(d, func(n ast.Node) bool {
 		if a, ok := n.(*ast.AssignStmt); ok {
 			for _, v := range a.Rhs {
-				if word, ok := text(v); ok {
+				if word, ok := stringLiteral(v); ok {
 					found = append(found, word)
 				}
 			}
@@ -242,20 +244,21 @@
 	return found
 }
 
-// given returns the texts that a call is given: as they stand, or as what a function of the folder returns.
-func given(files []*ast.File, c *ast.CallExpr) (found []string) {
+// argumentStrings returns the string arguments of a call: literals, and literals returned by functions of the same folder that are
+// called in the argument list.
+func argumentStrings(files []*ast.File, c *ast.CallExpr) (found []string) {
 	for _, a := range c.Args {
-		if word, ok := text(a); ok {
+		if word, ok := stringLiteral(a); ok {
 			found = append(found, word)
 		}
 		inner, ok := a.(*ast.CallExpr)
 		if !ok {
 			continue
 		}
-		for _, d := range functions(files)[called(inner)] {
+		for _, d := range declsByFunc(files)[calleeName(inner)] {
 			ast.Inspect(d, func(n ast.Node) bool {
 				if r, ok := n.(*ast.ReturnStmt); ok && len(r.Results) > 0 {
-					if word, ok := text(r.Results[0]); ok {
+					if word, ok := stringLiteral(r.Results[0]); ok {
 						found = append(found, word)
 					}
 				}
@@ -266,35 +269,36 @@
 	return found
 }
 
-// findMetrics tells each text with the name of a metric, and the innermost function with a name that holds it.
-func findMetrics(n ast.Node, maker string, tell func(maker, metric string)) {
+// findMetrics reports each string literal that begins with the metric prefix, with the innermost named function around it.
+func findMetrics(n ast.Node, function string, report func(function, metric string)) {
 	ast.Inspect(n, func(inner ast.Node) bool {
 		if a, ok := inner.(*ast.AssignStmt); ok && inner != n && len(a.Lhs) == 1 && len(a.Rhs) == 1 {
 			name, isName := a.Lhs[0].(*ast.Ident)
 			fn, isFunction := a.Rhs[0].(*ast.FuncLit)
 			if isName && isFunction {
-				findMetrics(fn.Body, name.Name, tell)
+				findMetrics(fn.Body, name.Name, report)
 				return false
 			}
 		}
-		if metric, ok := text(inner); ok && strings.HasPrefix(metric, "mangowinch_") {
-			tell(maker, metric)
+		if metric, ok := stringLiteral(inner); ok && strings.HasPrefix(metric, "mangowinch_") {
+			report(function, metric)
 		}
 		return true
 	})
 }
 
-// Guards against names, labels and reasons of metrics that change: operators' queries and alarms add up old and new processes.
+// Guards against changed names, labels and reasons of metrics: operators' queries and alerts aggregate over old and new
+// processes.
 func TestNamesOfMetrics(t *testing.T) {
 	var lines []string
-	for _, files := range parsed(t) {
-		lines = append(lines, namesOfMetrics(files)...)
+	for _, files := range parseFolders(t) {
+		lines = append(lines, metricNames(files)...)
 	}
-	golden.Assert(t, sorted(lines), "metrics.golden")
+	golden.Assert(t, sortedLines(lines), "metrics.golden")
 }
 
-// words returns the values of a folder's string constants that have a type, a line for each type.
-func words(files []*ast.File) (lines []string) {
+// typedConstants returns the values of a folder's string constants of named types, one line per type.
+func typedConstants(files []*ast.File) (lines []string) {
 	types := map[string][]string{}
 	for _, f := range files {
 		ast.Inspect(f, func(n ast.Node) bool {
@@ -303,7 +307,7 @@
 				return true
 			}
 			typeName, isNamed := v.Type.(*ast.Ident)
-			if word, ok := text(v.Values[0]); ok && isNamed && typeName.Name != "string" {
+			if word, ok := stringLiteral(v.Values[0]); ok && isNamed && typeName.Name != "string" {
 				types[typeName.Name] = append(types[typeName.Name], strconv.Quote(word))
 			}
 			return true
@@ -316,12 +320,12 @@
 	return lines
 }
 
-// Guards against states, roles, reasons and outcomes that change their words: they are in messages, log lines, metrics and
-// settings. The list names no types, since those may be renamed.
+// Guards against changed values of states, roles, reasons and outcomes, which are used in messages, log lines, metrics and
+// settings. The golden file does not contain the type names, since types may be renamed.
 func TestNamesOfStates(t *testing.T) {
 	var lines []string
-	for _, files := range parsed(t) {
-		lines = append(lines, words(files)...)
+	for _, files := range parseFolders(t) {
+		lines = append(lines, typedConstants(files)...)
 	}
-	golden.Assert(t, sorted(lines), "words.golden")
+	golden.Assert(t, sortedLines(lines), "words.golden")
 }
--- a/internal/oper/pages/pages_test.go
+++ b/internal/oper/pages/pages_test.go
@@ -1,5 +1,5 @@
-// Package pages checks the pages for people against the code: an operator who looks
-// up a reason or a counter at night must find it, and find it true.
+// Package pages checks the documentation for operators against the code, so that every reason, counter, log line
+// and key is documented, and nothing is documented that the code does not have. It has tests only.
 package pages
 
 import (
@@ -20,29 +20,29 @@
 
 const root = "../../.."
 
-// row is the first cell of a table's row, in code marks.
-var row = regexp.MustCompile("(?m)^\\| `([^`]+)` \\|")
+// firstCell matches a table row whose first cell is a code span.
+var firstCell = regexp.MustCompile("(?m)^\\| `([^`]+)` \\|")
 
-func read(t *testing.T, path string) string {
+func readFile(t *testing.T, path string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(root, path))
 	assert.NilError(t, err)
 	return string(text)
 }
 
-// rows returns the first cells of the tables under a heading.
-func rows(t *testing.T, path, heading string) (names []string) {
+// firstCells returns the first cells of all table rows under a heading.
+func firstCells(t *testing.T, path, heading string) (names []string) {
 	t.Helper()
-	_, section, ok := strings.Cut(read(t, path), "\n## "+heading+"\n")
+	_, section, ok := strings.Cut(readFile(t, path), "\n## "+heading+"\n")
 	assert.Assert(t, ok, "%s has no heading %q", path, heading)
 	section, _, _ = strings.Cut(section, "\n## ")
-	for _, m := range row.FindAllStringSubmatch(section, -1) {
+	for _, m := range firstCell.FindAllStringSubmatch(section, -1) {
 		names = append(names, m[1])
 	}
 	return names
 }
 
-// constants returns the texts of a type's constants in a package, but for the empty one.
+// constants returns the non-empty values of the string constants of a type in a package.
 func constants(t *testing.T, directory, typeName string) (texts []string) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(root, directory, "*.go"))
@@ -70,8 +70,8 @@
 	return texts
 }
 
-// A caller is refused with a reason that the page does not have, because somebody
-// added it to the code only; or the page sends the operator after one that is long gone.
+// Guards against a reason that was added to the code but not to the page, and against one that was removed from the
+// code and is still documented.
 func TestReasonsPage(t *testing.T) {
 	for heading, source := range map[string][2]string{
 		"Requests": {"internal/work/result", "Reason"},
@@ -79,9 +79,9 @@
 		"Placing":  {"internal/load/place", "Reason"},
 		"Leaving":  {"internal/node/agent", "cause"},
 	} {
-		want, got := constants(t, source[0], source[1]), rows(t, "docs/operate/reasons.md", heading)
+		want, got := constants(t, source[0], source[1]), firstCells(t, "docs/operate/reasons.md", heading)
 		if heading == "Retries" {
-			want = append(want, "consumed") // decided by package spread
+			want = append(want, "consumed") // assigned by package spread
 		}
 		slices.Sort(want)
 		slices.Sort(got)
@@ -89,24 +89,24 @@
 	}
 }
 
-var dropped = regexp.MustCompile(`dropped\("([a-z]+)"\)`)
+var dropReason = regexp.MustCompile(`dropped\("([a-z]+)"\)`)
 
-// A datagram is dropped at night by the thousand, and its reason is all there is.
+// Guards against drop reasons that the page lacks: the reason is the only information about a dropped datagram.
 func TestDropsPage(t *testing.T) {
 	for heading, source := range map[string]string{
 		"Datagrams dropped by an entry": "internal/node/entry/counts.go",
 		"Datagrams dropped by an agent": "internal/node/agent/counts.go",
 	} {
 		var want []string
-		for _, m := range dropped.FindAllStringSubmatch(read(t, source), -1) {
+		for _, m := range dropReason.FindAllStringSubmatch(readFile(t, source), -1) {
 			want = append(want, m[1])
 		}
 		if strings.HasPrefix(source, "internal/node/agent/") {
 			want = append(want, constants(t, "internal/flow/table", "Reason")...)
 		} else {
-			want = append(want, "service") // of the whole entry, not of a service
+			want = append(want, "service") // counted for the whole entry, not per service
 		}
-		got := rows(t, "docs/operate/counters.md", heading)
+		got := firstCells(t, "docs/operate/counters.md", heading)
 		slices.Sort(want)
 		slices.Sort(got)
 		assert.DeepEqual(t, got, want)
@@ -114,23 +114,23 @@
 }
 
 var (
-	counter = regexp.MustCompile("`mangowinch_([a-z_%]+)[{`]")
-	joined  = regexp.MustCompile(`"mangowinch_([a-z]+_)" \+ name`)
-	event   = regexp.MustCompile(`\b(?:event|count)\("([a-z]+)"`)
+	counterName   = regexp.MustCompile("`mangowinch_([a-z_%]+)[{`]")
+	joinedCounter = regexp.MustCompile(`"mangowinch_([a-z]+_)" \+ name`)
+	counterCall   = regexp.MustCompile(`\b(?:event|count)\("([a-z]+)"`)
 )
 
-// counters returns the names of all counters in the code. A name with %s is made by a
-// function event or count of its package, from the word it is called with.
+// counters returns the names of all counters in the code. A name that contains %s is completed with the first
+// argument of the calls to the function event or count of the same package.
 func counters(t *testing.T) (names []string) {
 	t.Helper()
 	for directory, code := range sources(t) {
-		code = joined.ReplaceAllString(code, "`mangowinch_${1}%s_total`")
-		for _, m := range counter.FindAllStringSubmatch(code, -1) {
+		code = joinedCounter.ReplaceAllString(code, "`mangowinch_${1}%s_total`")
+		for _, m := range counterName.FindAllStringSubmatch(code, -1) {
 			if !strings.Contains(m[1], "%s") {
 				names = append(names, "mangowinch_"+m[1])
 				continue
 			}
-			words := event.FindAllStringSubmatch(code, -1)
+			words := counterCall.FindAllStringSubmatch(code, -1)
 			assert.Assert(t, len(words) > 0, "%s: no words for %s", directory, m[1])
 			for _, w := range words {
 				names = append(names, "mangowinch_"+strings.Replace(m[1], "%s", w[1], 1))
@@ -140,7 +140,7 @@
 	return names
 }
 
-// sources returns the text of all Go files but tests, by directory.
+// sources returns the text of all Go files except tests, by directory.
 func sources(t *testing.T) map[string]string {
 	t.Helper()
 	code := map[string]string{}
@@ -158,21 +158,21 @@
 	return code
 }
 
-var line = regexp.MustCompile(`(?:State\(|Flow\([\w.]+, )"([a-z-]+)"`)
+var eventCall = regexp.MustCompile(`(?:State\(|Flow\([\w.]+, )"([a-z-]+)"`)
 
-// A line in a log at night has to be on the page, with what to do.
+// Guards against events in the log that the operations page does not explain.
 func TestLogLinesPage(t *testing.T) {
 	var want []string
 	for directory, code := range sources(t) {
 		if strings.Contains(directory, "/oper/story") {
 			continue
 		}
-		for _, m := range line.FindAllStringSubmatch(code, -1) {
+		for _, m := range eventCall.FindAllStringSubmatch(code, -1) {
 			want = append(want, m[1])
 		}
 	}
 	want = append(want, "log-dropped")
-	_, section, ok := strings.Cut(read(t, "docs/OPERATIONS.md"), "\n## Log lines\n")
+	_, section, ok := strings.Cut(readFile(t, "docs/OPERATIONS.md"), "\n## Log lines\n")
 	assert.Assert(t, ok)
 	section, _, _ = strings.Cut(section, "\n## ")
 	var got []string
@@ -188,39 +188,37 @@
 	assert.DeepEqual(t, got, slices.Compact(want))
 }
 
-// Counters are the first thing an operator reads. One that the page does not explain
-// is noise, and one that the code does not have sends people looking for nothing.
+// Guards against counters that the page does not explain, and against documented counters that no longer exist.
 func TestCountersPage(t *testing.T) {
-	want, got := counters(t), rows(t, "docs/operate/counters.md", "All counters")
+	want, got := counters(t), firstCells(t, "docs/operate/counters.md", "All counters")
 	slices.Sort(want)
 	slices.Sort(got)
 	assert.DeepEqual(t, got, slices.Compact(want))
 }
 
 var (
-	opened = regexp.MustCompile(`\.(?:One|Maybe|Each)\("[a-z]+"\)`) // a section, not a key
-	asked  = regexp.MustCompile(`(?:\.[A-Z]\w+\(|read[A-Z]\w*\(\w+, )"([a-z]+)"`)
-	keys   = regexp.MustCompile(`(?m)^\| [^|]*\| ([^|]+) \|`)
-	mark   = regexp.MustCompile("`([a-z]+)`")
+	sectionCall = regexp.MustCompile(`\.(?:One|Maybe|Each)\("[a-z]+"\)`) // opens a section; its argument is not a key
+	keyCall     = regexp.MustCompile(`(?:\.[A-Z]\w+\(|read[A-Z]\w*\(\w+, )"([a-z]+)"`)
+	keyColumn   = regexp.MustCompile(`(?m)^\| [^|]*\| ([^|]+) \|`)
+	codeSpan    = regexp.MustCompile("`([a-z]+)`")
 )
 
-// A key that the program reads and the page does not have is found by nobody; one that
-// only the page has is refused, with the page in the reader's hand.
+// Guards against keys that the program reads and the page lacks, and against documented keys that the program rejects.
 func TestSettingsPage(t *testing.T) {
 	for heading, file := range map[string]string{
 		"Settings":          "internal/conf/prefs/load.go",
 		"Service documents": "internal/conf/docs/parse.go",
 	} {
-		_, section, ok := strings.Cut(read(t, "docs/operate/run.md"), "\n## "+heading+"\n")
+		_, section, ok := strings.Cut(readFile(t, "docs/operate/run.md"), "\n## "+heading+"\n")
 		assert.Assert(t, ok, heading)
 		section, _, _ = strings.Cut(section, "\n## ")
 		var got, want []string
-		for _, cell := range keys.FindAllStringSubmatch(section, -1) {
-			for _, m := range mark.FindAllStringSubmatch(cell[1], -1) {
+		for _, cell := range keyColumn.FindAllStringSubmatch(section, -1) {
+			for _, m := range codeSpan.FindAllStringSubmatch(cell[1], -1) {
 				got = append(got, m[1])
 			}
 		}
-		for _, m := range asked.FindAllStringSubmatch(opened.ReplaceAllString(read(t, file), ""), -1) {
+		for _, m := range keyCall.FindAllStringSubmatch(sectionCall.ReplaceAllString(readFile(t, file), ""), -1) {
 			want = append(want, m[1])
 		}
 		slices.Sort(got)
@@ -231,7 +229,7 @@
 
 var link = regexp.MustCompile(`\]\(([^)#]+)(#[^)]*)?\)`)
 
-// Every page is reached by links, and a link to nowhere loses the reader.
+// Guards against links between pages whose target does not exist.
 func TestLinks(t *testing.T) {
 	pages, err := filepath.Glob(filepath.Join(root, "*.md"))
 	assert.NilError(t, err)
--- a/internal/oper/story/story.go
+++ b/internal/oper/story/story.go
@@ -1,12 +1,14 @@
-// Package story tells from collected log lines what the system did with one flow.
+// Package story reconstructs from collected log lines what the system did with one flow.
 //
-// Each process writes its decisions about a flow with the flow's addresses (package event).
-// Put in order of time over all processes, with what each process believed then, they say why a request was
-// refused, got no answer, or broke. What the lines cannot tell is said too: lines that were left out
-// for their budget, and events that should be there and aren't.
+// Each process logs its decisions about a flow with the flow's addresses (package event).
+// Sorted by time over all processes, together with the belief of each process at that time, these lines explain why a
+// request was refused, was not answered, or was reset. The output also lists what is missing: lines that were
+// omitted because a budget was exhausted, and expected events that are absent.
 //
-// Lines that are no events are skipped, as is whatever stands before the first brace, so that
-// collectors may put their own words in front.
+// The package reads only the lines that it is given; it queries no process.
+//
+// Lines that are not events are skipped, and so is any text before the first brace of a line, since log
+// collectors may add a prefix.
 //
 // # Usage
 //
@@ -29,37 +31,37 @@
 	"mangowinch/internal/flow/segs"
 )
 
-// maxLine bounds a line in bytes; events are some 300.
+// maxLine is the maximum length of a line in bytes; events have about 300.
 const maxLine = 1 << 20
 
-// Event is one line.
+// Event is one parsed log line.
 type Event struct {
 	Time    string
 	Process string
 	Role    string
 	Name    string
-	Fields  map[string]any // all others
+	Fields  map[string]any // all other fields
 }
 
-// Story is what was read of one flow.
-type Story struct {
-	Flow    segs.Flow
-	Events  []Event          // of the flow, in order of time
-	Beliefs map[string]Event // by process, the last change of belief before its last event of the flow
-	Lost    map[string]int   // by process, lines left out
-	Lines   int              // events read, of any flow
-	beliefs map[string][]Event
+// Timeline holds the events of one flow and the beliefs of the processes that logged them.
+type Timeline struct {
+	Flow          segs.Flow
+	Events        []Event          // of the flow, sorted by time
+	Beliefs       map[string]Event // by process, its last change of belief before its last event of the flow
+	Dropped       map[string]int   // by process, number of omitted lines
+	Lines         int              // events read, of any flow
+	beliefChanges map[string][]Event
 }
 
 // Read collects the events of a flow from logs.
-func Read(f segs.Flow, logs ...io.Reader) (s *Story, err error) {
+func Read(f segs.Flow, logs ...io.Reader) (s *Timeline, err error) {
 	defer func() { err = errors.Wrap(err, "read log lines") }()
-	s = &Story{Flow: f, Beliefs: map[string]Event{}, Lost: map[string]int{}, beliefs: map[string][]Event{}}
+	s = &Timeline{Flow: f, Beliefs: map[string]Event{}, Dropped: map[string]int{}, beliefChanges: map[string][]Event{}}
 	for _, r := range logs {
 		lines := bufio.NewScanner(r)
 		lines.Buffer(nil, maxLine)
 		for lines.Scan() {
-			s.take(lines.Bytes())
+			s.addLine(lines.Bytes())
 		}
 		if err := lines.Err(); err != nil {
 			return nil, err
@@ -67,7 +69,7 @@
 	}
 	slices.SortStableFunc(s.Events, func(a, b Event) int { return strings.Compare(a.Time, b.Time) })
 	for _, e := range s.Events {
-		for _, b := range s.beliefs[e.Process] {
+		for _, b := range s.beliefChanges[e.Process] {
 			if b.Time <= e.Time {
 				s.Beliefs[e.Process] = b
 			}
@@ -76,12 +78,12 @@
 	return s, nil
 }
 
-func (s *Story) take(line []byte) {
+func (s *Timeline) addLine(line []byte) {
 	at := bytes.IndexByte(line, '{')
 	if at < 0 {
 		return
 	}
-	e, ok := parse(line[at:])
+	e, ok := parseEvent(line[at:])
 	if !ok {
 		return
 	}
@@ -91,14 +93,14 @@
 		delete(e.Fields, "flow")
 		s.Events = append(s.Events, e)
 	case e.Name == "belief":
-		s.beliefs[e.Process] = append(s.beliefs[e.Process], e)
+		s.beliefChanges[e.Process] = append(s.beliefChanges[e.Process], e)
 	case e.Name == "log-dropped":
 		count, _ := e.Fields["lines"].(float64)
-		s.Lost[e.Process] += int(count)
+		s.Dropped[e.Process] += int(count)
 	}
 }
 
-func parse(line []byte) (e Event, ok bool) {
+func parseEvent(line []byte) (e Event, ok bool) {
 	fields := map[string]any{}
 	if json.Unmarshal(line, &fields) != nil {
 		return Event{}, false
@@ -112,23 +114,23 @@
 	return e, e.Name != ""
 }
 
-// Print tells the story.
-func (s *Story) Print(w io.Writer) {
+// Print writes the events, the beliefs, what is missing, and the outcome of the flow.
+func (s *Timeline) Print(w io.Writer) {
 	fmt.Fprintf(w, "flow %s: %d events in %d lines\n", s.Flow, len(s.Events), s.Lines)
 	for _, e := range s.Events {
-		fmt.Fprintf(w, "%s  %-20s %-12s %s\n", e.Time, e.Process, e.Name, details(e.Fields))
+		fmt.Fprintf(w, "%s  %-20s %-12s %s\n", e.Time, e.Process, e.Name, formatFields(e.Fields))
 	}
 	for _, p := range slices.Sorted(maps.Keys(s.Beliefs)) {
 		b := s.Beliefs[p]
-		fmt.Fprintf(w, "believed by %s since %s: %s\n", p, b.Time, details(b.Fields))
+		fmt.Fprintf(w, "believed by %s since %s: %s\n", p, b.Time, formatFields(b.Fields))
 	}
 	for _, m := range s.missing() {
 		fmt.Fprintf(w, "missing: %s\n", m)
 	}
-	fmt.Fprintf(w, "end: %s\n", s.end())
+	fmt.Fprintf(w, "end: %s\n", s.outcome())
 }
 
-func details(fields map[string]any) string {
+func formatFields(fields map[string]any) string {
 	var parts []string
 	for _, k := range slices.Sorted(maps.Keys(fields)) {
 		parts = append(parts, fmt.Sprintf("%s=%v", k, fields[k]))
@@ -136,41 +138,41 @@
 	return strings.Join(parts, " ")
 }
 
-// ends says what the last event of a flow means for its caller.
-var ends = map[string]string{
+// outcomes maps the name of a flow's last event to what it means for the caller.
+var outcomes = map[string]string{
 	"refused":     "refused: reset before it was open, so no server has run anything",
 	"reset":       "reset by an agent: no server holds it any more, or its server fails (why); what ran before is not known here",
 	"owner-lost":  "reset by an entry: the agent that owns it answers nobody; what ran before is not known here",
-	"handed-back": "handed back by an agent and not placed again in these lines",
+	"handed-back": "returned by an agent and not placed again in these lines",
 	"unanswered":  "no server has answered its opening packet",
 	"unfound":     "nobody was found who holds it, and not all could be asked; nothing was said to the caller",
 	"unheard":     "being searched for; an agent whose server may hold it has not answered yet, so nothing was said to the caller",
-	"search":      "being searched for; the answer is not in these lines",
-	"opened":      "open at a server; what became of its requests only the server and the caller know",
-	"told":        "its packets go to the agent that owns it",
+	"search":      "the owner is being looked up; the answer is not in these lines",
+	"opened":      "open at a server; the outcome of its requests is known only to the server and the caller",
+	"told":        "its packets are forwarded to the agent that owns it",
 	"learned":     "held by a server whose agent has restarted",
 	"waits":       "waiting at an agent for a slot of its server; whether it got one is not in these lines",
 	"link-waits":  "waiting at an entry for its turn at the entry's link; whether it got one is not in these lines",
-	"offered":     "passed on to another agent, whose lines aren't here",
-	"turned-back": "handed back by an agent to its entry and not placed again in these lines",
+	"offered":     "offered to another agent, whose lines are not among those read",
+	"turned-back": "returned by an agent to its entry and not placed again in these lines",
 	"placed":      "sent to an agent; whether its server accepted is not in these lines",
-	"asked":       "its home was asked for the owner; the answer is not in these lines",
-	"circled":     "passed on too often and dropped: lists of agents differ between processes",
+	"asked":       "its home was queried for the owner; the answer is not in these lines",
+	"circled":     "forwarded too often and dropped: the lists of agents differ between processes",
 }
 
-func (s *Story) end() string {
+func (s *Timeline) outcome() string {
 	if len(s.Events) == 0 {
 		return "unknown"
 	}
 	last := s.Events[len(s.Events)-1].Name
-	if text := ends[last]; text != "" {
+	if text := outcomes[last]; text != "" {
 		return text
 	}
 	return last
 }
 
-// missing says what these lines can't tell.
-func (s *Story) missing() (list []string) {
+// missing lists the information that is absent from the lines that were read.
+func (s *Timeline) missing() (list []string) {
 	if len(s.Events) == 0 {
 		list = append(list, "any event of this flow: it is none of those whose ordinary events are written (one in sixteen), and nothing failed; "+
 			"or the lines of the process that took it aren't here")
@@ -179,10 +181,10 @@
 		return slices.ContainsFunc(s.Events, func(e Event) bool { return e.Name == name })
 	}
 	if has("opened") && !has("placed") {
-		list = append(list, "placed: the entry's lines aren't here, or it was killed before they were written")
+		list = append(list, "placed: the entry's lines are not among those read, or the entry was killed before it wrote them")
 	}
-	for _, p := range slices.Sorted(maps.Keys(s.Lost)) {
-		list = append(list, fmt.Sprintf("%d lines of %s, left out for its budget", s.Lost[p], p))
+	for _, p := range slices.Sorted(maps.Keys(s.Dropped)) {
+		list = append(list, fmt.Sprintf("%d lines of %s, left out for its budget", s.Dropped[p], p))
 	}
 	return list
 }
--- a/internal/oper/story/story_test.go
+++ b/internal/oper/story/story_test.go
@@ -11,8 +11,8 @@
 	"mangowinch/internal/flow/segs"
 )
 
-// tell prints the story of a flow in the lines of testdata.
-func tell(t *testing.T, text string) string {
+// printTimeline returns the printed timeline of a flow from the lines in testdata.
+func printTimeline(t *testing.T, text string) string {
 	t.Helper()
 	f, err := segs.ParseFlow(text)
 	assert.NilError(t, err)
@@ -26,21 +26,21 @@
 	return out.String()
 }
 
-// A caller complains that it was refused. Its agent had too many flows waiting.
+// A flow is refused because too many flows wait at its agent.
 func TestRefusedFlow(t *testing.T) {
-	golden.Assert(t, tell(t, "100.64.0.12:1083>198.18.0.1:8443"), "refused.golden")
+	golden.Assert(t, printTimeline(t, "100.64.0.12:1083>198.18.0.1:8443"), "refused.golden")
 }
 
-// A caller's request got no answer until its deadline: an agent was down, so nobody could say who held the flow.
+// A request is not answered before its deadline: an agent is down, so the owner of the flow cannot be found.
 func TestSilentFlow(t *testing.T) {
-	golden.Assert(t, tell(t, "100.64.0.13:1027>198.18.0.1:8443"), "silent.golden")
+	golden.Assert(t, printTimeline(t, "100.64.0.13:1027>198.18.0.1:8443"), "silent.golden")
 }
 
-// A caller's open flow was reset: its server had crashed.
+// An open flow is reset because its server has crashed.
 func TestBrokenFlow(t *testing.T) {
-	golden.Assert(t, tell(t, "100.64.0.12:1029>198.18.0.1:8443"), "broken.golden")
+	golden.Assert(t, printTimeline(t, "100.64.0.12:1029>198.18.0.1:8443"), "broken.golden")
 }
 
 func TestUnknownFlow(t *testing.T) {
-	golden.Assert(t, tell(t, "100.66.0.99:1>198.18.0.1:8443"), "unknown.golden")
+	golden.Assert(t, printTimeline(t, "100.66.0.99:1>198.18.0.1:8443"), "unknown.golden")
 }
