--- a/internal/oper/admin/admin.go
+++ b/internal/oper/admin/admin.go
@@ -1,10 +1,10 @@
 // Package admin is the operators' HTTP server that every process runs: /metrics
-// for counters, /healthz for readiness, /status for what the process knows and
-// why it decided as it did.
+// for counters, /healthz for readiness, /status for the state of the process and
+// the reasons for its decisions.
 //
-// It is no part of the path of requests and shares nothing with it, so that a
-// process that drowns in traffic can still be asked why. It cannot change anything:
-// operators drive the fleet by documents only.
+// It is not on the request path and shares no resources with it, so that an overloaded
+// process can still be inspected. It is read-only: operators control the
+// system only by documents.
 //
 // # Usage
 //
@@ -34,8 +34,8 @@
 	"golang.org/x/net/netutil"
 )
 
-// Limits of the server. An operator's tools need few connections and little time;
-// whatever else finds the port must not be able to hold the process's memory.
+// Limits of the server. Operators' tools need few connections and little time;
+// other clients that reach the port must not be able to exhaust the process's memory.
 const (
 	maxConnections = 32
 	maxHeader      = 8 << 10 // bytes
@@ -45,7 +45,7 @@
 	stopTimeout    = 2 * time.Second
 )
 
-// Report is the answer to /status.
+// Report is the response to /status.
 type Report struct {
 	Ready      bool           `json:"ready"`
 	Conditions []State        `json:"conditions"`
@@ -63,27 +63,27 @@
 	sections   map[string]func() any
 }
 
-// New returns a server that listens on address once it is opened. Its /status has one
-// section from the start: reasons, the counters that say why something was refused,
-// dropped or tried again.
+// New returns a server that listens on address after Open. Its /status has one
+// section from the start: reasons, the counters of refusals, drops and retries by their
+// reason.
 func New(address netip.AddrPort, logger zerolog.Logger) *Server {
 	s := &Server{address: address, logger: logger, sections: map[string]func() any{}}
 	s.Section("reasons", func() any { return reasons() })
 	return s
 }
 
-// Section adds a part to /status. Get is called for each request, from any
-// goroutine; what it returns is written as JSON and must not change afterwards.
-// A second section of a name takes the place of the first.
+// Section adds a section to /status. The function get is called for each request, from any
+// goroutine; its result is encoded as JSON and must not change afterwards.
+// A second section with the same name replaces the first.
 func (s *Server) Section(name string, get func() any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sections[name] = get
 }
 
-// Open opens the address. A process does so before anything else: one that nobody
-// can ask must not begin, and a second one of the same settings fails here before
-// it takes any traffic.
+// Open starts to listen. A process does so before anything else: a process that cannot be
+// inspected must not start, and a second process with the same settings fails here before
+// it accepts any traffic.
 func (s *Server) Open() (err error) {
 	defer func() { err = errors.Wrap(err, "operators' HTTP") }()
 
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// Run serves at the opened address until the context is done, then lets requests in
-// progress finish for two seconds. The error is nil after a stop by the context.
+// Run serves on the opened address until the context is done, then gives requests in
+// progress two seconds to finish. The error is nil if the context ended the server.
 func (s *Server) Run(ctx context.Context) (err error) {
 	defer func() { err = errors.Wrap(err, "operators' HTTP") }()
 
@@ -113,23 +113,23 @@
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeader,
 	}
-	stopped := make(chan error, 1)
-	release := context.AfterFunc(ctx, func() {
-		late, cancel := context.WithTimeout(context.Background(), stopTimeout)
+	shutdownErr := make(chan error, 1)
+	stop := context.AfterFunc(ctx, func() {
+		shutdownCtx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 		defer cancel()
-		stopped <- server.Shutdown(late)
+		shutdownErr <- server.Shutdown(shutdownCtx)
 	})
 	err = server.Serve(listener)
-	if release() {
-		return err // Serve ended by itself
+	if stop() {
+		return err // Serve failed before the context was done
 	}
-	if <-stopped != nil {
-		_ = server.Close() // a request that outlives the grace is cut; it changes nothing
+	if <-shutdownErr != nil {
+		_ = server.Close() // requests that exceed stopTimeout are cut off; the server is read-only
 	}
 	return nil
 }
 
-// Handler returns the three pages.
+// Handler returns the handler of /metrics, /healthz and /status.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
@@ -163,11 +163,11 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(append(text, '\n')) // the reader is gone if this fails
+	_, _ = w.Write(append(text, '\n')) // fails only if the client has disconnected
 }
 
-// report calls the sections without the lock, since one may take long or register
-// another.
+// report calls the sections' functions without holding the lock, since they may be slow or register
+// another section.
 func (s *Server) report() Report {
 	s.mu.Lock()
 	sections := make(map[string]func() any, len(s.sections))
--- a/internal/oper/admin/admin_test.go
+++ b/internal/oper/admin/admin_test.go
@@ -21,13 +21,13 @@
 	return w
 }
 
-// An entry starts while the platform is down. Told to be ready it would be sent
-// packets that it can forward nowhere; so it stays unready and says which
-// condition it waits for, until the document arrives by a peer.
+// Guards against an entry that reports ready without a document, because it started while the platform is down: it
+// would receive packets that it cannot forward. It stays unready and reports the
+// unmet condition until it receives the document from a peer.
 func TestHealthz(t *testing.T) {
 	var lines bytes.Buffer
 	s := New(netip.AddrPort{}, zerolog.New(&lines))
-	assert.Equal(t, get(s, "/healthz").Code, http.StatusServiceUnavailable) // nothing said yet
+	assert.Equal(t, get(s, "/healthz").Code, http.StatusServiceUnavailable) // no condition is registered yet
 
 	documents := s.Condition("documents")
 	s.Condition("sockets").Set(true, "")
@@ -40,7 +40,7 @@
 	w = get(s, "/healthz")
 	assert.Equal(t, w.Code, http.StatusOK)
 	assert.Equal(t, w.Body.String(), "ready\n")
-	assert.Equal(t, strings.Count(lines.String(), "\n"), 2) // one line a change, none for the new reason
+	assert.Equal(t, strings.Count(lines.String(), "\n"), 2) // one line per change, none for the new reason
 }
 
 func TestStatus(t *testing.T) {
@@ -60,8 +60,8 @@
 		`mangowinch_refused_total{service="x",reason="queue"} 1`))
 }
 
-// An operator asks why requests are refused. The counters that moved have to come
-// first and in words; those of other kinds and those at zero would only hide them.
+// Guards against counters without a reason and counters at zero in the list of reasons, and against a wrong order: the
+// largest counters come first.
 func TestReasons(t *testing.T) {
 	assert.DeepEqual(t, parseReasons(`mangowinch_forwarded_total{service="a"} 9
 mangowinch_requests_total{service="a",outcome="not-run",reason="queue"} 3
@@ -89,6 +89,6 @@
 	cancel()
 	assert.NilError(t, s.Run(ctx))
 
-	s = New(netip.MustParseAddrPort("192.0.2.1:1"), zerolog.Nop()) // no address of this machine
+	s = New(netip.MustParseAddrPort("192.0.2.1:1"), zerolog.Nop()) // not an address of this machine
 	assert.ErrorContains(t, s.Open(), "operators' HTTP")
 }
--- a/internal/oper/admin/names_test.go
+++ b/internal/oper/admin/names_test.go
@@ -6,8 +6,8 @@
 	"mangowinch/internal/stand/filled"
 )
 
-// Guards against names in /status that change: operators' tools read them, and the tools of one version ask processes of
-// another during an update.
+// Guards against changed names in /status: operators' tools read them, and during an update the tools of one version query
+// processes of another.
 func TestNames(t *testing.T) {
 	filled.Names(t, "names.golden", map[string]any{"report": &Report{}, "reason": &Reason{}})
 }
--- a/internal/oper/admin/ready.go
+++ b/internal/oper/admin/ready.go
@@ -9,7 +9,7 @@
 	"github.com/rs/zerolog"
 )
 
-// State is what is known of one condition.
+// State is the state of one condition.
 type State struct {
 	Name   string    `json:"name"`
 	Met    bool      `json:"met"`
@@ -17,7 +17,7 @@
 	Since  time.Time `json:"since"`
 }
 
-// Condition is one thing that must hold before the process is ready.
+// Condition is one requirement that must be met for the process to be ready.
 type Condition struct {
 	logger zerolog.Logger
 
@@ -25,7 +25,7 @@
 	state State
 }
 
-// Set says whether the condition is met, and if not, why. A line is logged when
+// Set records whether the condition is met, and if not, the reason. It logs a line when
 // met changes.
 func (c *Condition) Set(met bool, reason string) {
 	if met {
@@ -44,14 +44,14 @@
 	}
 }
 
-// State returns a copy.
+// State returns a copy of the condition's state.
 func (c *Condition) State() State {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.state
 }
 
-// Condition returns the condition with the given name. A new one is not met.
+// Condition returns the condition with the given name. It creates the condition, which is then not met, if there is none.
 func (s *Server) Condition(name string) *Condition {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,9 +68,9 @@
 	return c
 }
 
-// states returns the conditions by name, and whether all are met. A process
-// without any is not ready: one that has not got so far as to say what it needs
-// must get no work.
+// states returns the states of the conditions, sorted by name, and whether all are met. A process
+// without conditions is not ready: it has not yet registered what it requires and
+// must receive no traffic.
 func (s *Server) states() (states []State, ready bool) {
 	s.mu.Lock()
 	conditions := slices.Clone(s.conditions)
--- a/internal/oper/admin/reasons.go
+++ b/internal/oper/admin/reasons.go
@@ -12,29 +12,29 @@
 )
 
 const (
-	// reasonLabel is the label by which counters of refusals, drops and retries say why.
+	// reasonLabel is the label that holds the reason in counters of refusals, drops and retries.
 	reasonLabel = "reason"
-	// noReason is what some of them say of an end that needs no reason.
+	// noReason is the value of the label in counters of ends that have no reason.
 	noReason = "none"
 )
 
-// Reason is one counter that says why something was refused, dropped or tried again.
+// Reason is one counter of refusals, drops or retries, with its reason.
 type Reason struct {
 	Counter string `json:"counter"`
 	Service string `json:"service,omitempty"`
 	Reason  string `json:"reason"`
-	Other   string `json:"other,omitempty"` // its further labels
+	Other   string `json:"other,omitempty"` // the other labels
 	Count   uint64 `json:"count"`
 }
 
 var (
 	counterLine = regexp.MustCompile(`^mangowinch_(\w+)\{(.*)\} (\d+)$`)
-	label       = regexp.MustCompile(`(\w+)="((?:[^"\\]|\\.)*)"`)
+	labelPair   = regexp.MustCompile(`(\w+)="((?:[^"\\]|\\.)*)"`)
 )
 
-// reasons lists the counters with a reason that are not zero, the largest first. They
-// are read from the text of /metrics, so that /status cannot say anything else and no
-// package has to register its counters a second time.
+// reasons lists the non-zero counters that have a reason, the largest first. They
+// are parsed from the text of /metrics, so that /status cannot differ from it and
+// packages do not have to register their counters twice.
 func reasons() []Reason {
 	var text bytes.Buffer
 	metrics.WritePrometheus(&text, false)
@@ -57,9 +57,9 @@
 		return Reason{}, false
 	}
 	r.Counter = part[1]
-	r.Count, _ = strconv.ParseUint(part[3], 10, 64) // too many digits give the largest number
+	r.Count, _ = strconv.ParseUint(part[3], 10, 64) // the maximum uint64 on overflow
 	var other []string
-	for _, l := range label.FindAllStringSubmatch(part[2], -1) {
+	for _, l := range labelPair.FindAllStringSubmatch(part[2], -1) {
 		switch l[1] {
 		case "service":
 			r.Service = l[2]
--- a/internal/oper/build/build.go
+++ b/internal/oper/build/build.go
@@ -1,5 +1,5 @@
-// Package build says which version of the program a process runs, from what the Go
-// tool writes into it; nothing has to be set when it is built.
+// Package build returns the version of the running program, from the build information that the Go
+// tool embeds; no linker flags are needed.
 //
 // # Usage
 //
@@ -8,10 +8,10 @@
 
 import "runtime/debug"
 
-// short is how many digits of a commit people compare.
-const short = 12
+// commitDigits is the length of the abbreviated commit hash.
+const commitDigits = 12
 
-// Version returns the module's version, or the commit it was built from.
+// Version returns the version of the main module, or the commit from which the program was built.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -32,7 +32,7 @@
 	if commit == "" {
 		return "devel"
 	}
-	text := "devel " + commit[:min(short, len(commit))]
+	text := "devel " + commit[:min(commitDigits, len(commit))]
 	if settings["vcs.modified"] == "true" {
 		text += " modified"
 	}
--- a/internal/oper/known/known.go
+++ b/internal/oper/known/known.go
@@ -1,11 +1,11 @@
-// Package known judges a run of the tests against the list of those that are known to
-// fail, so that CI passes over just these and nothing else.
+// Package known evaluates a test run against the list of tests that are known to
+// fail, so that CI ignores exactly these failures. It does not run the tests.
 //
-// The way in for a fault is whatever a known failure may hide: a package that does not
-// build, a panic that ends a package before its other tests ran, a test that was
-// renamed and is no longer run. Each of these fails the run. A known test that passes
-// does not, because it may be one that fails at times, but it is reported, so that its
-// line goes.
+// A known failure must not hide other faults: a package that does not
+// build, a panic that ends a package before its other tests have run, a listed test that was
+// renamed and is no longer run. Each of these fails the run. A listed test that passes
+// does not fail the run, because the test may be flaky, but it is reported, so that its
+// line is removed from the list.
 //
 // # Usage
 //
@@ -28,23 +28,23 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Verdict is what came out of a run.
+// Verdict is the result of a test run.
 type Verdict struct {
-	Passed, Failed int      // tests, subtests not counted
-	Faults         []string // why the run does not pass
-	Red            []Red    // known, and failed
-	Healed         []Red    // known, and passed
+	Passed, Failed int       // top-level tests, subtests not counted
+	Faults         []string  // reasons why the run does not pass
+	Known          []Failure // listed tests that failed
+	Passing        []Failure // listed tests that passed
 }
 
-// Pass says whether nothing failed but what is known to.
+// Pass reports whether the run has no failures other than the listed ones.
 func (v *Verdict) Pass() bool { return len(v.Faults) == 0 }
 
-// Print writes the verdict; its last line counts the tests.
+// Print writes the verdict. The last line is the count of tests.
 func (v *Verdict) Print(w io.Writer) {
-	for _, r := range v.Red {
-		fmt.Fprintf(w, "known to fail: %s %s | %s | %s | %s\n", r.Test, r.Package, r.Command, r.Seen, r.Issue)
+	for _, r := range v.Known {
+		fmt.Fprintf(w, "known to fail: %s %s | %s | %s | %s\n", r.Test, r.Package, r.Command, r.Observed, r.Issue)
 	}
-	for _, r := range v.Healed {
+	for _, r := range v.Passing {
 		fmt.Fprintf(w, "passed though known to fail, so remove its line: %s %s\n", r.Test, r.Package)
 	}
 	for _, f := range v.Faults {
@@ -53,7 +53,7 @@
 	fmt.Fprintf(w, "%d passed, %d failed\n", v.Passed, v.Failed)
 }
 
-// event is one line of go test -json.
+// event is one line of the output of go test -json.
 type event struct {
 	Action      string
 	Package     string
@@ -63,8 +63,8 @@
 	FailedBuild string
 }
 
-// each calls f for every event.
-func each(events io.Reader, f func(e event)) error {
+// eachEvent calls f for every event.
+func eachEvent(events io.Reader, f func(e event)) error {
 	d := json.NewDecoder(events)
 	for {
 		var e event
@@ -79,29 +79,29 @@
 	}
 }
 
-// unit is one package during the run.
-type unit struct {
-	tests   map[string]string // action that ended the test, "" while it runs
+// packageRun is the state of one package's tests during the run.
+type packageRun struct {
+	tests   map[string]string // test name to the action that ended it, "" while it runs
 	crashed bool
-	ended   string
+	result  string
 }
 
-// Judge reads the output of go test -json. Status is the exit code of go test. The
-// error is of the reading; faults of the run are in the verdict.
-func Judge(events io.Reader, status int, list []Red) (v *Verdict, err error) {
+// Judge reads the output of go test -json and evaluates it. The status is the exit code of go test. An
+// error means that the output could not be read; faults of the run are in the verdict.
+func Judge(events io.Reader, status int, list []Failure) (v *Verdict, err error) {
 	defer func() { err = errors.Wrap(err, "read test events") }()
 
 	v = &Verdict{}
-	units := map[string]*unit{}
-	if err := each(events, func(e event) { v.take(units, e) }); err != nil {
+	packages := map[string]*packageRun{}
+	if err := eachEvent(events, func(e event) { v.addEvent(packages, e) }); err != nil {
 		return nil, err
 	}
-	for _, name := range sorted(units) {
-		v.judge(name, units[name], list)
+	for _, name := range sortedKeys(packages) {
+		v.judgePackage(name, packages[name], list)
 	}
-	v.missing(units, list)
-	if status != 0 && len(v.Red) == 0 && v.Pass() {
-		v.fault("go test ended with %d and no test says why", status)
+	v.checkListed(packages, list)
+	if status != 0 && len(v.Known) == 0 && v.Pass() {
+		v.fault("go test exited with status %d but no test failed", status)
 	}
 	if v.Passed == 0 {
 		v.fault("no test passed")
@@ -109,37 +109,37 @@
 	return v, nil
 }
 
-func (v *Verdict) take(units map[string]*unit, e event) {
+func (v *Verdict) addEvent(packages map[string]*packageRun, e event) {
 	if e.Action == "build-fail" {
 		v.fault("%s does not build", e.ImportPath)
 	}
 	if e.Package == "" {
 		return
 	}
-	u := units[e.Package]
-	if u == nil {
-		u = &unit{tests: map[string]string{}}
-		units[e.Package] = u
+	p := packages[e.Package]
+	if p == nil {
+		p = &packageRun{tests: map[string]string{}}
+		packages[e.Package] = p
 	}
 	switch e.Action {
 	case "run":
-		u.tests[e.Test] = ""
+		p.tests[e.Test] = ""
 	case "output":
-		u.crashed = u.crashed || strings.HasPrefix(e.Output, "panic: ") || strings.HasPrefix(e.Output, "fatal error: ")
+		p.crashed = p.crashed || strings.HasPrefix(e.Output, "panic: ") || strings.HasPrefix(e.Output, "fatal error: ")
 	case "pass", "fail", "skip":
 		if e.Test == "" {
-			u.ended = e.Action
+			p.result = e.Action
 		} else {
-			u.tests[e.Test] = e.Action
+			p.tests[e.Test] = e.Action
 		}
 	}
 }
 
-// judge counts the tests of one package and finds its faults.
-func (v *Verdict) judge(name string, u *unit, list []Red) {
-	explained := false // the package failed because of a known test
-	for _, test := range sorted(u.tests) {
-		action := u.tests[test]
+// judgePackage counts the tests of one package and records its faults.
+func (v *Verdict) judgePackage(name string, p *packageRun, list []Failure) {
+	explained := false // a listed test failed, which explains the failure of the package
+	for _, test := range sortedKeys(p.tests) {
+		action := p.tests[test]
 		v.count(test, action)
 		switch {
 		case action == "skip":
@@ -147,16 +147,16 @@
 		case action == "":
 			v.fault("%s %s did not end", name, test)
 		case action != "fail":
-		case u.isKnown(name, test, list):
+		case p.isKnown(name, test, list):
 			explained = true
 		default:
 			v.fault("%s %s failed", name, test)
 		}
 	}
-	if u.crashed && u.ended != "pass" {
+	if p.crashed && p.result != "pass" {
 		v.fault("%s crashed, so tests after that did not run", name)
 	}
-	if u.ended != "pass" && u.ended != "skip" && !explained {
+	if p.result != "pass" && p.result != "skip" && !explained {
 		v.fault("%s failed", name)
 	}
 }
@@ -171,20 +171,20 @@
 	}
 }
 
-// isKnown says whether a failure is known: the test is listed, or is a subtest of a
-// listed one, or failed only because subtests did that are known.
-func (u *unit) isKnown(name, test string, list []Red) bool {
-	if slices.ContainsFunc(list, func(r Red) bool {
+// isKnown reports whether a failure is known: the test is listed, or it is a subtest of a
+// listed one, or all of its failed subtests are known.
+func (p *packageRun) isKnown(name, test string, list []Failure) bool {
+	if slices.ContainsFunc(list, func(r Failure) bool {
 		return r.Package == name && (r.Test == test || strings.HasPrefix(test, r.Test+"/"))
 	}) {
 		return true
 	}
 	found := false
-	for sub, action := range u.tests {
+	for sub, action := range p.tests {
 		if action != "fail" || !strings.HasPrefix(sub, test+"/") {
 			continue
 		}
-		if !u.isKnown(name, sub, list) {
+		if !p.isKnown(name, sub, list) {
 			return false
 		}
 		found = true
@@ -192,20 +192,20 @@
 	return found
 }
 
-// missing sorts the known tests into those that failed and those that passed, and
-// reports the rest, which a change of name would hide.
-func (v *Verdict) missing(units map[string]*unit, list []Red) {
+// checkListed records which listed tests failed and which passed. A listed test that was not run, for example because
+// it was renamed, is a fault.
+func (v *Verdict) checkListed(packages map[string]*packageRun, list []Failure) {
 	for _, r := range list {
-		u := units[r.Package]
-		if u == nil {
-			u = &unit{}
+		p := packages[r.Package]
+		if p == nil {
+			p = &packageRun{}
 		}
-		action, ran := u.tests[r.Test]
+		action, ran := p.tests[r.Test]
 		switch {
 		case action == "fail":
-			v.Red = append(v.Red, r)
+			v.Known = append(v.Known, r)
 		case action == "pass":
-			v.Healed = append(v.Healed, r)
+			v.Passing = append(v.Passing, r)
 		case !ran:
 			v.fault("%s %s is known to fail and was not run", r.Package, r.Test)
 		}
@@ -216,6 +216,6 @@
 	v.Faults = append(v.Faults, fmt.Sprintf(format, args...))
 }
 
-func sorted[T any](m map[string]T) []string {
+func sortedKeys[T any](m map[string]T) []string {
 	return slices.Sorted(maps.Keys(m))
 }
--- a/internal/oper/known/known_test.go
+++ b/internal/oper/known/known_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// run writes events as go test -json does, from lines such as "fail p TestA" or
-// "output p panic: x". Each line "start p TestA" stands for a test's begin.
+// run returns events in the format of go test -json, from lines such as "fail p TestA",
+// "output p panic: x", or "run p TestA" for the start of a test.
 func run(lines ...string) *strings.Reader {
 	var b strings.Builder
 	for _, line := range lines {
@@ -34,8 +34,8 @@
 
 const listed = "TestA p | go test -run TestA ./p, seed 7 | a feed lost 3 bytes | 12\n"
 
-// Whatever a known failure could hide must not pass with it: another test, a package
-// that ends early or does not build, a known test that nobody runs any more.
+// Guards against other faults that pass together with a known failure: another failed test, a package
+// that crashes or does not build, a listed test that is no longer run.
 func TestJudge(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -60,7 +60,7 @@
 		{"does not build", "", 1, run("pass p TestB", "pass p", "build-fail q", "fail q"), []string{"q does not build", "q failed"}},
 		{"package without a failed test", "", 1, run("pass p TestB", "fail p"), []string{"p failed"}},
 		{"skipped", "", 0, run("pass p TestB", "skip p TestA", "pass p"), []string{"p TestA was skipped"}},
-		{"exit code alone", "", 2, run("pass p TestB", "pass p"), []string{"go test ended with 2 and no test says why"}},
+		{"exit code alone", "", 2, run("pass p TestB", "pass p"), []string{"go test exited with status 2 but no test failed"}},
 		{"nothing ran", "", 0, run(), []string{"no test passed"}},
 	} {
 		list, err := Parse(c.list)
--- a/internal/oper/known/show.go
+++ b/internal/oper/known/show.go
@@ -8,13 +8,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Show writes what packages say for themselves and the output of tests that failed,
-// from the output of go test -json.
+// Show reads the output of go test -json and writes the output of packages and of failed tests. The output of
+// passed and skipped tests is left out.
 func Show(events io.Reader, w io.Writer) (err error) {
 	defer func() { err = errors.Wrap(err, "show test output") }()
 
-	output := map[string]string{} // of tests that have not ended yet, by package and name
-	err = each(events, func(e event) {
+	output := map[string]string{} // output of tests that have not ended, by package and name
+	err = eachEvent(events, func(e event) {
 		key := e.Package + " " + e.Test
 		switch {
 		case e.Action == "build-output":
@@ -35,7 +35,7 @@
 	if err != nil {
 		return err
 	}
-	for _, key := range sorted(output) {
+	for _, key := range sortedKeys(output) {
 		fmt.Fprintf(w, "%s did not end:\n%s", key, output[key])
 	}
 	return nil
--- a/internal/oper/pages/names_test.go
+++ b/internal/oper/pages/names_test.go
@@ -244,8 +244,8 @@
 	return found
 }
 
-// argumentStrings returns the string arguments of a call: literals, and literals returned by functions of the same folder that are
-// called in the argument list.
+// argumentStrings returns the string arguments of a call: literals, and literals returned by functions of the
+// same folder that are called in the argument list.
 func argumentStrings(files []*ast.File, c *ast.CallExpr) (found []string) {
 	for _, a := range c.Args {
 		if word, ok := stringLiteral(a); ok {
--- a/internal/oper/story/story.go
+++ b/internal/oper/story/story.go
@@ -54,31 +54,31 @@
 }
 
 // Read collects the events of a flow from logs.
-func Read(f segs.Flow, logs ...io.Reader) (s *Timeline, err error) {
+func Read(f segs.Flow, logs ...io.Reader) (t *Timeline, err error) {
 	defer func() { err = errors.Wrap(err, "read log lines") }()
-	s = &Timeline{Flow: f, Beliefs: map[string]Event{}, Dropped: map[string]int{}, beliefChanges: map[string][]Event{}}
+	t = &Timeline{Flow: f, Beliefs: map[string]Event{}, Dropped: map[string]int{}, beliefChanges: map[string][]Event{}}
 	for _, r := range logs {
 		lines := bufio.NewScanner(r)
 		lines.Buffer(nil, maxLine)
 		for lines.Scan() {
-			s.addLine(lines.Bytes())
+			t.addLine(lines.Bytes())
 		}
 		if err := lines.Err(); err != nil {
 			return nil, err
 		}
 	}
-	slices.SortStableFunc(s.Events, func(a, b Event) int { return strings.Compare(a.Time, b.Time) })
-	for _, e := range s.Events {
-		for _, b := range s.beliefChanges[e.Process] {
+	slices.SortStableFunc(t.Events, func(a, b Event) int { return strings.Compare(a.Time, b.Time) })
+	for _, e := range t.Events {
+		for _, b := range t.beliefChanges[e.Process] {
 			if b.Time <= e.Time {
-				s.Beliefs[e.Process] = b
+				t.Beliefs[e.Process] = b
 			}
 		}
 	}
-	return s, nil
+	return t, nil
 }
 
-func (s *Timeline) addLine(line []byte) {
+func (t *Timeline) addLine(line []byte) {
 	at := bytes.IndexByte(line, '{')
 	if at < 0 {
 		return
@@ -87,16 +87,16 @@
 	if !ok {
 		return
 	}
-	s.Lines++
+	t.Lines++
 	switch {
-	case e.Fields["flow"] == s.Flow.String():
+	case e.Fields["flow"] == t.Flow.String():
 		delete(e.Fields, "flow")
-		s.Events = append(s.Events, e)
+		t.Events = append(t.Events, e)
 	case e.Name == "belief":
-		s.beliefChanges[e.Process] = append(s.beliefChanges[e.Process], e)
+		t.beliefChanges[e.Process] = append(t.beliefChanges[e.Process], e)
 	case e.Name == "log-dropped":
 		count, _ := e.Fields["lines"].(float64)
-		s.Dropped[e.Process] += int(count)
+		t.Dropped[e.Process] += int(count)
 	}
 }
 
@@ -115,19 +115,19 @@
 }
 
 // Print writes the events, the beliefs, what is missing, and the outcome of the flow.
-func (s *Timeline) Print(w io.Writer) {
-	fmt.Fprintf(w, "flow %s: %d events in %d lines\n", s.Flow, len(s.Events), s.Lines)
-	for _, e := range s.Events {
+func (t *Timeline) Print(w io.Writer) {
+	fmt.Fprintf(w, "flow %s: %d events in %d lines\n", t.Flow, len(t.Events), t.Lines)
+	for _, e := range t.Events {
 		fmt.Fprintf(w, "%s  %-20s %-12s %s\n", e.Time, e.Process, e.Name, formatFields(e.Fields))
 	}
-	for _, p := range slices.Sorted(maps.Keys(s.Beliefs)) {
-		b := s.Beliefs[p]
+	for _, p := range slices.Sorted(maps.Keys(t.Beliefs)) {
+		b := t.Beliefs[p]
 		fmt.Fprintf(w, "believed by %s since %s: %s\n", p, b.Time, formatFields(b.Fields))
 	}
-	for _, m := range s.missing() {
+	for _, m := range t.missing() {
 		fmt.Fprintf(w, "missing: %s\n", m)
 	}
-	fmt.Fprintf(w, "end: %s\n", s.outcome())
+	fmt.Fprintf(w, "end: %s\n", t.outcome())
 }
 
 func formatFields(fields map[string]any) string {
@@ -160,11 +160,11 @@
 	"circled":     "forwarded too often and dropped: the lists of agents differ between processes",
 }
 
-func (s *Timeline) outcome() string {
-	if len(s.Events) == 0 {
+func (t *Timeline) outcome() string {
+	if len(t.Events) == 0 {
 		return "unknown"
 	}
-	last := s.Events[len(s.Events)-1].Name
+	last := t.Events[len(t.Events)-1].Name
 	if text := outcomes[last]; text != "" {
 		return text
 	}
@@ -172,19 +172,19 @@
 }
 
 // missing lists the information that is absent from the lines that were read.
-func (s *Timeline) missing() (list []string) {
-	if len(s.Events) == 0 {
+func (t *Timeline) missing() (list []string) {
+	if len(t.Events) == 0 {
 		list = append(list, "any event of this flow: it is none of those whose ordinary events are written (one in sixteen), and nothing failed; "+
 			"or the lines of the process that took it aren't here")
 	}
 	has := func(name string) bool {
-		return slices.ContainsFunc(s.Events, func(e Event) bool { return e.Name == name })
+		return slices.ContainsFunc(t.Events, func(e Event) bool { return e.Name == name })
 	}
 	if has("opened") && !has("placed") {
 		list = append(list, "placed: the entry's lines are not among those read, or the entry was killed before it wrote them")
 	}
-	for _, p := range slices.Sorted(maps.Keys(s.Dropped)) {
-		list = append(list, fmt.Sprintf("%d lines of %s, left out for its budget", s.Dropped[p], p))
+	for _, p := range slices.Sorted(maps.Keys(t.Dropped)) {
+		list = append(list, fmt.Sprintf("%d lines of %s, left out for its budget", t.Dropped[p], p))
 	}
 	return list
 }
--- a/internal/oper/verbs/agent.go
+++ b/internal/oper/verbs/agent.go
@@ -14,17 +14,17 @@
 	Settings string `required:"" type:"path" help:"Settings file with an [agent] section."`
 }
 
-// Help is shown under the verb's own --help.
+// Help returns the text that the command's --help shows below the usage line.
 func (*AgentCmd) Help() string { return roleHelp }
 
-// Run runs the agent until it is told to stop.
+// Run runs the agent until ctx is done.
 func (c *AgentCmd) Run(ctx context.Context) error {
 	s, err := prefs.Load(c.Settings)
 	if err == nil && s.Agent == nil {
 		err = errors.Newf("%s: [agent]: missing", c.Settings)
 	}
 	if err != nil {
-		return fail(exitUse, err)
+		return withExitCode(exitUsage, err)
 	}
-	return fail(exitFault, start.Agent(ctx, s))
+	return withExitCode(exitFailure, start.Agent(ctx, s))
 }
--- a/internal/oper/verbs/call.go
+++ b/internal/oper/verbs/call.go
@@ -16,7 +16,7 @@
 	"mangowinch/internal/work/result"
 )
 
-// Headers between callers and agents.
+// Headers of requests and responses between callers and agents.
 const (
 	headerOutcome = "Outcome"
 	headerReason  = "Reason"
@@ -24,17 +24,17 @@
 	headerKey     = "Request-Key"
 )
 
-// keyPath is where an agent gives a request key before the first request.
+// keyPath is the path from which a caller can get a request key before its first request.
 const keyPath = "/.well-known/request-key"
 
-// CallCmd is a caller for people.
+// CallCmd sends single requests as a caller, for manual use.
 type CallCmd struct {
 	Lookup LookupCmd `cmd:"" help:"A short request: GET, or POST if it has a body."`
 	Feed   FeedCmd   `cmd:"" help:"A feed: GET whose answer is printed as it comes, until it ends or is interrupted."`
 	Upload UploadCmd `cmd:"" help:"A long body: POST of a file."`
 }
 
-// Help is shown under the verb's own --help.
+// Help returns the text that the command's --help shows below the usage line.
 func (*CallCmd) Help() string {
 	return `The answer's body goes to standard output, what became of the request to standard error.
 
@@ -42,7 +42,7 @@
 did not run either); 3 unknown: it may or may not have run, or the answer was cut.`
 }
 
-// callFlags is what every call takes.
+// callFlags are the flags and arguments that all kinds of call have.
 type callFlags struct {
 	URL       string        `arg:"" name:"url" help:"Such as https://127.0.10.1:4433/lookup/7."`
 	CA        string        `name:"ca" type:"existingfile" help:"PEM file of certificates to trust in place of the system's."`
@@ -79,140 +79,140 @@
 	return c.call(ctx, o, method, body)
 }
 
-// Run opens the feed and prints it.
+// Run opens the feed and writes it to the output until the feed ends.
 func (c *FeedCmd) Run(ctx context.Context, o *console) error {
 	return c.call(ctx, o, http.MethodGet, nil)
 }
 
-// Run sends the file.
+// Run uploads the file.
 func (c *UploadCmd) Run(ctx context.Context, o *console) error {
 	if c.File == "-" {
 		return c.call(ctx, o, http.MethodPost, o.in)
 	}
 	f, err := os.Open(c.File)
 	if err != nil {
-		return fail(exitUse, err)
+		return withExitCode(exitUsage, err)
 	}
 	defer f.Close()
 	return c.call(ctx, o, http.MethodPost, f)
 }
 
-// ending is what became of one call.
-type ending struct {
-	status  string
-	outcome string // as the answer said, or as it follows from how the call broke off
-	reason  string
-	after   string
-	sent    string // key that the request was sent with
-	key     string // fresh key for another request
-	bytes   int64
-	took    time.Duration
-	cause   error
+// callResult is the result of one call.
+type callResult struct {
+	status     string
+	outcome    string // from the response, or derived from how the call failed
+	reason     string
+	retryAfter string
+	sentKey    string // key with which the request was sent
+	freshKey   string // unused key for another request, from the response
+	bytes      int64
+	elapsed    time.Duration
+	err        error
 }
 
 func (c *callFlags) call(ctx context.Context, o *console, method string, body io.Reader) error {
 	client, err := c.client()
 	if err != nil {
-		return fail(exitUse, err)
+		return withExitCode(exitUsage, err)
 	}
 	defer client.close()
 	request, err := http.NewRequestWithContext(ctx, method, c.URL, body)
 	if err != nil {
-		return fail(exitUse, err)
+		return withExitCode(exitUsage, err)
 	}
 	if request.URL.Scheme != "https" {
-		return fail(exitUse, errors.Newf("%s: only https can be called", c.URL))
+		return withExitCode(exitUsage, errors.Newf("%s: only https URLs are supported", c.URL))
 	}
 	key := c.RepeatKey
 	if c.FreshKey {
 		if key, err = client.freshKey(ctx, request.URL); err != nil {
-			return fail(exitUse, err)
+			return withExitCode(exitUsage, err)
 		}
 	}
 	if key != "" {
 		request.Header.Set(headerKey, key)
 	}
 	start := time.Now()
-	e := c.send(client, request, o.out)
-	e.sent = key
-	e.took = time.Since(start)
-	e.print(o.err)
-	return fail(e.code(client.connected.Load()), e.failure())
+	r := c.send(client, request, o.out)
+	r.sentKey = key
+	r.elapsed = time.Since(start)
+	r.print(o.err)
+	return withExitCode(r.exitCode(client.connected.Load()), r.failure())
 }
 
-// send sends the request and copies the answer's body to out.
-func (c *callFlags) send(client *client, request *http.Request, out io.Writer) (e ending) {
+// send sends the request and copies the body of the response to out.
+func (c *callFlags) send(client *client, request *http.Request, out io.Writer) (r callResult) {
 	ctx, cancel := context.WithCancel(request.Context())
 	defer cancel()
 	if c.Timeout > 0 {
-		// Only until the answer begins: a feed may then stay open for hours.
+		// The timeout ends when the response begins: a feed may then stay open for hours.
 		timer := time.AfterFunc(c.Timeout, cancel)
 		defer timer.Stop()
-		client.answered = func() { timer.Stop() }
+		client.onResponse = func() { timer.Stop() }
 	}
 	response, err := client.transport.RoundTrip(request.WithContext(ctx))
 	if err != nil {
 		outcome := result.Unknown
 		if !client.connected.Load() {
-			outcome = result.NotRun // not a byte of the request was sent
+			outcome = result.NotRun // no byte of the request was sent
 		}
-		return ending{outcome: outcome.String(), cause: err}
+		return callResult{outcome: outcome.String(), err: err}
 	}
-	client.answered()
+	client.onResponse()
 	defer response.Body.Close()
-	e = ending{
-		status:  response.Status,
-		outcome: response.Header.Get(headerOutcome),
-		reason:  response.Header.Get(headerReason),
-		after:   response.Header.Get(headerAfter),
-		key:     response.Header.Get(headerKey),
+	r = callResult{
+		status:     response.Status,
+		outcome:    response.Header.Get(headerOutcome),
+		reason:     response.Header.Get(headerReason),
+		retryAfter: response.Header.Get(headerAfter),
+		freshKey:   response.Header.Get(headerKey),
 	}
-	e.bytes, e.cause = io.Copy(out, response.Body)
-	return e
+	r.bytes, r.err = io.Copy(out, response.Body)
+	return r
 }
 
-// code returns the exit code.
-func (e *ending) code(connected bool) int {
+// exitCode returns the exit code of the program for the result.
+func (r *callResult) exitCode(connected bool) int {
 	switch {
 	case !connected:
-		return exitUse
-	case e.outcome == result.NotRun.String():
-		return exitFault
-	case e.outcome == result.Ran.String() && e.cause == nil:
-		return exitDone
+		return exitUsage
+	case r.outcome == result.NotRun.String():
+		return exitFailure
+	case r.outcome == result.Ran.String() && r.err == nil:
+		return exitOK
 	}
 	return exitUnknown
 }
 
-// failure returns nil if the request ran and its answer is whole.
-func (e *ending) failure() error {
+// failure returns an error that describes why the call failed, or nil if the request ran and its response is complete.
+func (r *callResult) failure() error {
 	switch {
-	case e.cause != nil && e.status != "":
-		return errors.Wrapf(e.cause, "answer cut after %d bytes", e.bytes)
-	case e.cause != nil:
-		return e.cause
-	case e.outcome == "":
-		return errors.New("the answer does not say what became of the request")
-	case e.outcome != result.Ran.String():
-		return errors.Newf("%s: %s", e.outcome, e.reason)
+	case r.err != nil && r.status != "":
+		return errors.Wrapf(r.err, "response truncated after %d bytes", r.bytes)
+	case r.err != nil:
+		return r.err
+	case r.outcome == "":
+		return errors.New("the response has no Outcome header")
+	case r.outcome != result.Ran.String():
+		return errors.Newf("%s: %s", r.outcome, r.reason)
 	}
 	return nil
 }
 
-func (e *ending) print(w io.Writer) {
+func (r *callResult) print(w io.Writer) {
 	show := func(name, value string) {
 		if value != "" {
 			fmt.Fprintf(w, "%-12s %s\n", name, value)
 		}
 	}
-	show("status", e.status)
-	show("outcome", e.outcome)
-	show("reason", e.reason)
-	if e.after != "" {
-		show("retry-after", e.after+" s")
+	show("status", r.status)
+	show("outcome", r.outcome)
+	show("reason", r.reason)
+	if r.retryAfter != "" {
+		show("retry-after", r.retryAfter+" s")
 	}
-	show("sent-key", e.sent)
-	show("fresh-key", e.key)
-	show("bytes", strconv.FormatInt(e.bytes, 10))
-	show("took", e.took.Round(time.Millisecond).String())
+	show("sent-key", r.sentKey)
+	show("fresh-key", r.freshKey)
+	show("bytes", strconv.FormatInt(r.bytes, 10))
+	show("took", r.elapsed.Round(time.Millisecond).String())
 }
--- a/internal/oper/verbs/check.go
+++ b/internal/oper/verbs/check.go
@@ -11,12 +11,12 @@
 	"mangowinch/internal/conf/strict"
 )
 
-// CheckCmd checks settings and documents.
+// CheckCmd validates settings files and service documents.
 type CheckCmd struct {
 	Files []string `arg:"" name:"file" help:"Settings files and service documents; a file with [service] is a document."`
 }
 
-// Help is shown under the verb's own --help.
+// Help returns the text that the command's --help shows below the usage line.
 func (*CheckCmd) Help() string {
 	return `Files are checked one by one and then against each other: addresses that two documents claim,
 an agent's settings against the server section of its document, keys that a document names.
@@ -24,46 +24,46 @@
 Exit codes: 0 no fault; 1 faults, one line each with file, section and key; 2 a file could not be read.`
 }
 
-// checked is what came out of the files that have no fault of their own.
-type checked struct {
-	documents []document
-	settings  []setting
+// fileSet holds the parsed files that have no fault of their own.
+type fileSet struct {
+	documents []documentFile
+	settings  []settingsFile
 }
 
-type document struct {
+type documentFile struct {
 	file    string
 	service *docs.Service
 }
 
-type setting struct {
+type settingsFile struct {
 	file string
 	*prefs.Settings
 }
 
-// Run checks the files.
+// Run checks each file by itself and then the files against each other.
 func (c *CheckCmd) Run(o *console) error {
-	var all checked
+	var all fileSet
 	var faults strict.Faults
 	for _, file := range c.Files {
 		err := all.load(file)
 		var found strict.Faults
 		if err != nil && !errors.As(err, &found) {
-			return fail(exitUse, err)
+			return withExitCode(exitUsage, err)
 		}
 		faults = append(faults, found...)
 	}
-	faults = append(faults, all.cross()...)
+	faults = append(faults, all.crossCheck()...)
 	for _, f := range faults {
 		fmt.Fprintln(o.out, f.Error())
 	}
 	if len(faults) > 0 {
-		return fail(exitFault, errors.Newf("%d faults in %d files", len(faults), len(c.Files)))
+		return withExitCode(exitFailure, errors.Newf("%d faults in %d files", len(faults), len(c.Files)))
 	}
 	fmt.Fprintf(o.out, "%d files, no fault\n", len(c.Files))
 	return nil
 }
 
-func (a *checked) load(file string) error {
+func (fs *fileSet) load(file string) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return err
@@ -73,13 +73,13 @@
 		if err != nil {
 			return err
 		}
-		a.documents = append(a.documents, document{file, s})
+		fs.documents = append(fs.documents, documentFile{file, s})
 		return nil
 	}
 	s, err := prefs.Load(file)
 	if err != nil {
 		return err
 	}
-	a.settings = append(a.settings, setting{file, s})
+	fs.settings = append(fs.settings, settingsFile{file, s})
 	return nil
 }
--- a/internal/oper/verbs/client.go
+++ b/internal/oper/verbs/client.go
@@ -16,23 +16,23 @@
 	"github.com/quic-go/quic-go/http3"
 )
 
-// A feed may say nothing for long, so the connection is kept alive; one that is
-// silent for callIdle is given up.
+// A feed may send nothing for a long time, so the connection is kept alive. A connection on which nothing is
+// received for callIdleTimeout is closed.
 const (
-	callKeepAlive = 5 * time.Second
-	callIdle      = 60 * time.Second
+	callKeepAlive   = 5 * time.Second
+	callIdleTimeout = 60 * time.Second
 )
 
-// client is one HTTP/3 connection from a socket of its own.
+// client is an HTTP/3 connection with its own UDP socket.
 type client struct {
-	transport *http3.Transport
-	socket    *net.UDPConn
-	quic      *quic.Transport
-	connected atomic.Bool // the handshake was done, so a request may have been sent
-	answered  func()
+	transport  *http3.Transport
+	socket     *net.UDPConn
+	quic       *quic.Transport
+	connected  atomic.Bool // the handshake is complete, so a request may have been sent
+	onResponse func()
 }
 
-func (c *callFlags) client() (made *client, err error) {
+func (c *callFlags) client() (cl *client, err error) {
 	config := &tls.Config{NextProtos: []string{http3.NextProtoH3}, InsecureSkipVerify: c.Insecure}
 	if c.CA != "" {
 		if config.RootCAs, err = loadPool(c.CA); err != nil {
@@ -43,13 +43,13 @@
 	if err != nil {
 		return nil, err
 	}
-	made = &client{socket: socket, quic: &quic.Transport{Conn: socket}, answered: func() {}}
-	made.transport = &http3.Transport{
+	cl = &client{socket: socket, quic: &quic.Transport{Conn: socket}, onResponse: func() {}}
+	cl.transport = &http3.Transport{
 		TLSClientConfig: config,
-		QUICConfig:      &quic.Config{KeepAlivePeriod: callKeepAlive, MaxIdleTimeout: callIdle},
-		Dial:            made.dial,
+		QUICConfig:      &quic.Config{KeepAlivePeriod: callKeepAlive, MaxIdleTimeout: callIdleTimeout},
+		Dial:            cl.dial,
 	}
-	return made, nil
+	return cl, nil
 }
 
 func (c *client) dial(ctx context.Context, address string, config *tls.Config, settings *quic.Config) (*quic.Conn, error) {
@@ -64,11 +64,11 @@
 	return conn, err
 }
 
-// keyTimeout bounds the question for a key.
+// keyTimeout bounds the request for a key.
 const keyTimeout = 10 * time.Second
 
-// freshKey asks the agent that the connection reaches for a request key. That agent
-// owns it: it decides about the request and every repeat of it.
+// freshKey gets a request key from the agent that the connection reaches. That agent
+// owns the key: it decides on the request and on every repetition of it.
 func (c *client) freshKey(ctx context.Context, of *url.URL) (key string, err error) {
 	defer func() { err = errors.Wrap(err, "get a request key") }()
 
@@ -86,13 +86,13 @@
 	defer response.Body.Close()
 	key = response.Header.Get(headerKey)
 	if key == "" {
-		return "", errors.Newf("answer %s without a key", response.Status)
+		return "", errors.Newf("response %s has no Request-Key header", response.Status)
 	}
 	return key, nil
 }
 
 func (c *client) close() {
-	_ = c.transport.Close() // the call is over; what it says now changes nothing
+	_ = c.transport.Close() // the call is over, so the error doesn't matter
 	_ = c.quic.Close()
 	_ = c.socket.Close()
 }
@@ -104,7 +104,7 @@
 	}
 	pool = x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(text) {
-		return nil, errors.Newf("%s holds no certificate", file)
+		return nil, errors.Newf("%s contains no PEM certificate", file)
 	}
 	return pool, nil
 }
--- a/internal/oper/verbs/compare.go
+++ b/internal/oper/verbs/compare.go
@@ -18,15 +18,15 @@
 	"mangowinch/internal/oper/admin"
 )
 
-// maxAsked is how many processes are asked at a time.
-const maxAsked = 16
+// maxConcurrent is how many processes are queried at a time.
+const maxConcurrent = 16
 
-// CompareCmd asks several processes.
+// CompareCmd compares the readiness and the document revisions of several processes.
 type CompareCmd struct {
 	Addresses []netip.AddrPort `arg:"" name:"address" help:"Operators' addresses of processes."`
 }
 
-// Help is shown under the verb's own --help.
+// Help returns the text that the command's --help shows below the usage line.
 func (*CompareCmd) Help() string {
 	return `Shows which processes are ready, which version they run, and the revisions of documents that are not the same
 everywhere. After a document was published, or before a key is put to use, this says whether all have it.
@@ -34,7 +34,7 @@
 Exit codes: 0 all answer, are ready and have the same revisions; 1 not so; 2 wrong use.`
 }
 
-// answer is what compare reads of one /status.
+// answer is the part of a /status response that compare reads.
 type answer struct {
 	Ready      bool          `json:"ready"`
 	Conditions []admin.State `json:"conditions"`
@@ -43,39 +43,39 @@
 		Documents []start.Document `json:"documents"`
 	} `json:"sections"`
 
-	failed error
+	err error
 }
 
-// Run asks and prints.
+// Run queries the processes and prints a table of them and the differences.
 func (c *CompareCmd) Run(ctx context.Context, o *console) error {
 	answers := make([]answer, len(c.Addresses))
 	var g errgroup.Group
-	g.SetLimit(maxAsked)
+	g.SetLimit(maxConcurrent)
 	for i, a := range c.Addresses {
 		g.Go(func() error {
-			answers[i] = askStatus(ctx, a)
+			answers[i] = fetchStatus(ctx, a)
 			return nil
 		})
 	}
-	_ = g.Wait() // each answer holds its own failure
+	_ = g.Wait() // each answer holds its own error
 	printAnswers(o.out, c.Addresses, answers)
-	differing := differ(answers)
+	differing := differences(answers)
 	for _, d := range differing {
 		fmt.Fprintln(o.out, d)
 	}
-	unready := slices.ContainsFunc(answers, func(a answer) bool { return a.failed != nil || !a.Ready })
+	unready := slices.ContainsFunc(answers, func(a answer) bool { return a.err != nil || !a.Ready })
 	if unready || len(differing) > 0 {
-		return fail(exitFault, errors.New("not all are ready with the same documents"))
+		return withExitCode(exitFailure, errors.New("not all processes are ready with the same document revisions"))
 	}
 	return nil
 }
 
-func askStatus(ctx context.Context, address netip.AddrPort) (a answer) {
-	text, err := ask(ctx, "http://"+address.String()+"/status")
+func fetchStatus(ctx context.Context, address netip.AddrPort) (a answer) {
+	text, err := fetch(ctx, "http://"+address.String()+"/status")
 	if err == nil {
 		err = json.Unmarshal(text, &a)
 	}
-	a.failed = err
+	a.err = err
 	return a
 }
 
@@ -87,13 +87,13 @@
 		p := a.Sections.Process
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\n", addresses[i], p.Name, p.Role, p.Domain, p.Version, len(a.Sections.Documents), a.state())
 	}
-	_ = w.Flush() // as in tree
+	_ = w.Flush() // see printTable
 }
 
-// state is ready, or why not.
+// state returns "ready", or the reasons why the process is not.
 func (a *answer) state() string {
 	switch {
-	case a.failed != nil:
+	case a.err != nil:
 		return "does not answer"
 	case a.Ready:
 		return "ready"
@@ -107,11 +107,11 @@
 	return strings.Join(reasons, "; ")
 }
 
-// differ lists the documents that processes hold in different revisions, and those of
-// which one holds a newer revision that it cannot use. A process that does not hold a
-// document at all is no difference: agents hold their own service's only.
-func differ(answers []answer) (lines []string) {
-	holders := map[string]map[order.Revision][]string{} // document, revision, names of processes
+// differences lists the documents of which processes hold different revisions, and those of which a
+// process has received a newer revision that it cannot use. A process without a
+// document is not a difference: agents hold only the document of their own service.
+func differences(answers []answer) (lines []string) {
+	holders := map[string]map[order.Revision][]string{} // document to revision to names of processes
 	for i := range answers {
 		s := &answers[i].Sections
 		for _, d := range s.Documents {
--- a/internal/oper/verbs/cross.go
+++ b/internal/oper/verbs/cross.go
@@ -9,31 +9,31 @@
 	"mangowinch/internal/conf/strict"
 )
 
-// cross checks files that are each without fault against each other.
-func (a *checked) cross() (faults strict.Faults) {
-	faults = append(faults, a.crossDocuments()...)
-	for _, s := range a.settings {
-		faults = append(faults, s.crossKeys(a.documents)...)
+// crossCheck checks the files against each other. Each of them is valid by itself.
+func (fs *fileSet) crossCheck() (faults strict.Faults) {
+	faults = append(faults, fs.checkDocuments()...)
+	for _, s := range fs.settings {
+		faults = append(faults, s.checkKeys(fs.documents)...)
 		if s.Agent != nil {
-			faults = append(faults, s.crossAgent(a.documents)...)
+			faults = append(faults, s.checkAgent(fs.documents)...)
 		}
 	}
 	return faults
 }
 
-// crossDocuments reports names and addresses that two documents claim. An address
-// gives the service that a packet is meant for, so one address in two documents
-// would send the packets of one service to the other's servers.
-func (a *checked) crossDocuments() (faults strict.Faults) {
+// checkDocuments reports names and addresses that two documents claim. The destination address
+// determines the service of a packet, so with one address in two documents
+// packets of one service would be sent to the servers of the other.
+func (fs *fileSet) checkDocuments() (faults strict.Faults) {
 	names := map[string]string{}
 	addresses := map[netip.AddrPort]string{}
-	claim := func(d document, section, key string, address netip.AddrPort) {
+	claim := func(d documentFile, section, key string, address netip.AddrPort) {
 		if file, ok := addresses[address]; ok {
 			faults = append(faults, fault(d.file, section, key, strict.Duplicate, fmt.Sprintf("%s is claimed by %s", address, file)))
 		}
 		addresses[address] = d.file
 	}
-	for _, d := range a.documents {
+	for _, d := range fs.documents {
 		if file, ok := names[d.service.Name]; ok {
 			faults = append(faults, fault(d.file, "service", "name", strict.Duplicate, fmt.Sprintf("%s is the service of %s", d.service.Name, file)))
 		}
@@ -46,9 +46,9 @@
 	return faults
 }
 
-// crossKeys reports keys that documents name and the process does not have. An
-// entry routes every service; an agent needs the keys of its own only.
-func (s setting) crossKeys(documents []document) (faults strict.Faults) {
+// checkKeys reports keys that documents name and the process does not have. An
+// entry routes all services; an agent needs only the keys of its own service.
+func (s settingsFile) checkKeys(documents []documentFile) (faults strict.Faults) {
 	for _, d := range documents {
 		if s.Agent != nil && s.Agent.Service != d.service.Name {
 			continue
@@ -62,9 +62,9 @@
 	return faults
 }
 
-// crossAgent compares an agent with the server section it stands for.
-func (s setting) crossAgent(documents []document) (faults strict.Faults) {
-	i := slices.IndexFunc(documents, func(d document) bool { return d.service.Name == s.Agent.Service })
+// checkAgent compares the settings of an agent with the server section that the agent belongs to.
+func (s settingsFile) checkAgent(documents []documentFile) (faults strict.Faults) {
+	i := slices.IndexFunc(documents, func(d documentFile) bool { return d.service.Name == s.Agent.Service })
 	if i < 0 {
 		return nil // its document is not among the files
 	}
--- a/internal/oper/verbs/entry.go
+++ b/internal/oper/verbs/entry.go
@@ -19,17 +19,17 @@
 	Settings string `required:"" type:"path" help:"Settings file with an [entry] section."`
 }
 
-// Help is shown under the verb's own --help.
+// Help returns the text that the command's --help shows below the usage line.
 func (*EntryCmd) Help() string { return roleHelp }
 
-// Run runs the entry until it is told to stop.
+// Run runs the entry until ctx is done.
 func (c *EntryCmd) Run(ctx context.Context) error {
 	s, err := prefs.Load(c.Settings)
 	if err == nil && s.Entry == nil {
 		err = errors.Newf("%s: [entry]: missing", c.Settings)
 	}
 	if err != nil {
-		return fail(exitUse, err)
+		return withExitCode(exitUsage, err)
 	}
-	return fail(exitFault, start.Entry(ctx, s))
+	return withExitCode(exitFailure, start.Entry(ctx, s))
 }
--- a/internal/oper/verbs/names_test.go
+++ b/internal/oper/verbs/names_test.go
@@ -6,7 +6,8 @@
 	"mangowinch/internal/stand/filled"
 )
 
-// Guards against names of /status that are no longer read: the verbs of one version ask processes of another during an update.
+// Guards against fields of /status that compare no longer reads: during an update, the program of one version queries
+// processes of another.
 func TestNames(t *testing.T) {
 	filled.Names(t, "names.golden", map[string]any{"answer": &answer{}})
 }
--- a/internal/oper/verbs/tree.go
+++ b/internal/oper/verbs/tree.go
@@ -9,82 +9,82 @@
 	"text/tabwriter"
 )
 
-// tree writes decoded JSON for people: objects as indented lines, lists of objects
-// without lists as tables.
-type tree struct {
+// treePrinter writes decoded JSON in a readable form: objects as indented lines, and lists of objects
+// that contain no lists as tables.
+type treePrinter struct {
 	w io.Writer
 }
 
 const indent = "  "
 
-func (t *tree) line(depth int, text string) {
+func (t *treePrinter) printLine(depth int, text string) {
 	fmt.Fprintf(t.w, "%s%s\n", strings.Repeat(indent, depth), text)
 }
 
-func (t *tree) value(depth int, name string, value any) {
+func (t *treePrinter) printValue(depth int, name string, value any) {
 	switch v := value.(type) {
 	case map[string]any:
-		t.line(depth, name)
-		for _, k := range sorted(v) {
-			t.value(depth+1, k, v[k])
+		t.printLine(depth, name)
+		for _, k := range sortedKeys(v) {
+			t.printValue(depth+1, k, v[k])
 		}
 	case []any:
-		t.list(depth, name, v)
+		t.printList(depth, name, v)
 	default:
-		t.line(depth, name+": "+scalar(v))
+		t.printLine(depth, name+": "+formatScalar(v))
 	}
 }
 
-func (t *tree) list(depth int, name string, list []any) {
-	if rows, columns, ok := table(list); ok {
-		t.line(depth, name)
-		t.rows(depth+1, columns, rows)
+func (t *treePrinter) printList(depth int, name string, list []any) {
+	if rows, columns, ok := tableOf(list); ok {
+		t.printLine(depth, name)
+		t.printTable(depth+1, columns, rows)
 		return
 	}
-	if !slices.ContainsFunc(list, nested) {
+	if !slices.ContainsFunc(list, isNested) {
 		words := make([]string, len(list))
 		for i, x := range list {
-			words[i] = scalar(x)
+			words[i] = formatScalar(x)
 		}
-		t.line(depth, name+": "+strings.Join(words, ", "))
+		t.printLine(depth, name+": "+strings.Join(words, ", "))
 		return
 	}
-	t.line(depth, name)
+	t.printLine(depth, name)
 	for i, x := range list {
-		t.item(depth+1, i, x)
+		t.printItem(depth+1, i, x)
 	}
 }
 
-// item writes an object of a list under its name if it has one, else under its number.
-func (t *tree) item(depth, i int, x any) {
+// printItem writes an element of a list. An object with a name has it as its heading, other elements have their index.
+func (t *treePrinter) printItem(depth, i int, x any) {
 	if object, ok := x.(map[string]any); ok {
 		if name, ok := object["name"].(string); ok {
 			rest := maps.Clone(object)
 			delete(rest, "name")
-			t.value(depth, name, rest)
+			t.printValue(depth, name, rest)
 			return
 		}
 	}
-	t.value(depth, fmt.Sprint(i), x)
+	t.printValue(depth, fmt.Sprint(i), x)
 }
 
-func (t *tree) rows(depth int, columns []string, rows []map[string]any) {
+func (t *treePrinter) printTable(depth int, columns []string, rows []map[string]any) {
 	w := tabwriter.NewWriter(t.w, 0, 0, 2, ' ', 0)
 	prefix := strings.Repeat(indent, depth)
 	fmt.Fprintf(w, "%s%s\n", prefix, strings.Join(columns, "\t"))
 	for _, row := range rows {
 		cells := make([]string, len(columns))
 		for i, c := range columns {
-			cells[i] = scalar(row[c])
+			cells[i] = formatScalar(row[c])
 		}
 		fmt.Fprintf(w, "%s%s\n", prefix, strings.Join(cells, "\t"))
 	}
-	_ = w.Flush() // writes to the same place as the lines, whose errors are not looked at either
+	_ = w.Flush() // write errors are ignored here as in printLine
 }
 
-// table returns the rows and columns of a list of objects that hold no lists: name
-// first, the rest by letter.
-func table(list []any) (rows []map[string]any, columns []string, ok bool) {
+// tableOf returns the rows and columns of a list of objects that contain no lists. The column name
+// is the first, the others are sorted.
+func tableOf(list []any) (rows []map[string]any, columns []string, ok bool) {
 	seen := map[string]any{}
 	for _, x := range list {
 		object, ok := x.(map[string]any)
@@ -95,15 +95,15 @@
 		maps.Copy(seen, row)
 		rows = append(rows, row)
 	}
-	columns = sorted(seen)
+	columns = sortedKeys(seen)
 	if i := slices.Index(columns, "name"); i > 0 {
 		columns = slices.Insert(slices.Delete(columns, i, i+1), 0, "name")
 	}
 	return rows, columns, len(columns) > 0
 }
 
-// flatten copies an object's values to a row, those of an object in it as outer.inner.
-// It reports false if there is a list anywhere.
+// flatten copies the values of an object into a row; the value of a nested object's key has the column outer.inner.
+// It returns false if the object contains a list at any depth.
 func flatten(row map[string]any, prefix string, object map[string]any) bool {
 	for k, v := range object {
 		switch v := v.(type) {
@@ -120,7 +120,7 @@
 	return true
 }
 
-func nested(v any) bool {
+func isNested(v any) bool {
 	switch v.(type) {
 	case map[string]any, []any:
 		return true
@@ -128,7 +128,7 @@
 	return false
 }
 
-func scalar(v any) string {
+func formatScalar(v any) string {
 	switch v := v.(type) {
 	case nil:
 		return "-"
@@ -145,6 +145,6 @@
 	return fmt.Sprint(v)
 }
 
-func sorted(m map[string]any) []string {
+func sortedKeys(m map[string]any) []string {
 	return slices.Sorted(maps.Keys(m))
 }
--- a/internal/oper/verbs/verbs.go
+++ b/internal/oper/verbs/verbs.go
@@ -1,8 +1,8 @@
-// Package verbs is the command line of the one program: a struct per verb, in a
+// Package verbs implements the command line of mangowinch. Each command is a struct in a
 // file named after it.
 //
-// A verb reads its flags, calls the package that does the work, and turns the
-// outcome into text and an exit code. It decides nothing about traffic.
+// A command parses its flags, calls the package that does the work, and converts the
+// result to text and an exit code. The package makes no decisions about traffic.
 //
 // # Usage
 //
@@ -25,12 +25,12 @@
 	"mangowinch/internal/oper/build"
 )
 
-// Exit codes. Each verb's help says what they mean for it.
+// Exit codes. The help of each command describes what they mean for it.
 const (
-	exitDone    = 0 // done as asked
-	exitFault   = 1 // asked, and the answer is no: faults found, not ready, not run
-	exitUse     = 2 // could not be asked: wrong use, unreadable file, nothing answers
-	exitUnknown = 3 // of call only: the request may or may not have run
+	exitOK      = 0 // success
+	exitFailure = 1 // the command failed or its result is negative: faults found, not ready, not run
+	exitUsage   = 2 // the command could not be carried out: wrong usage, unreadable file, no response
+	exitUnknown = 3 // call only: the request may or may not have run
 )
 
 const description = `mangowinch is a layer-4 load balancer: QUIC from callers, HTTP to backend servers.
@@ -41,7 +41,7 @@
 Exit codes: 0 done; 1 the answer is no (faults found, not ready, not run); 2 could not be asked (wrong use,
 unreadable file, nothing answers); 3 a request may or may not have run.`
 
-// commands is the command line.
+// commands declares the commands and global flags for kong.
 type commands struct {
 	Entry   EntryCmd   `cmd:"" help:"Run an entry: forward the datagrams of flows to the agents of their servers."`
 	Agent   AgentCmd   `cmd:"" help:"Run an agent beside a backend server: end connections, let requests in, place them."`
@@ -55,68 +55,67 @@
 	Version kong.VersionFlag `help:"Print the version and end."`
 }
 
-// console is where a verb reads and writes.
+// console holds the standard streams of a command.
 type console struct {
 	in  io.Reader
-	out io.Writer // what was asked for
-	err io.Writer // what people are told besides
+	out io.Writer // results
+	err io.Writer // messages for the user
 }
 
-// exit is an error that carries its exit code.
-type exit struct {
+// exitError is an error with an exit code.
+type exitError struct {
 	code  int
 	cause error
 }
 
-func (e *exit) Error() string { return e.cause.Error() }
-func (e *exit) Unwrap() error { return e.cause }
+func (e *exitError) Error() string { return e.cause.Error() }
+func (e *exitError) Unwrap() error { return e.cause }
 
-// fail returns an error that ends the program with the given code, or nil if there
-// is no cause.
-func fail(code int, cause error) error {
+// withExitCode returns an error that makes Main return the given code, or nil if cause is nil.
+func withExitCode(code int, cause error) error {
 	if cause == nil {
 		return nil
 	}
-	return &exit{code: code, cause: cause}
+	return &exitError{code: code, cause: cause}
 }
 
-// Main runs one command line and returns the exit code. SIGINT and SIGTERM ask the
-// verb to stop as planned; a second one ends the process at once.
+// Main runs one command line and returns the exit code. SIGINT and SIGTERM cancel the context of the
+// command, which then shuts down gracefully; a second signal terminates the process immediately.
 func Main(args []string, in io.Reader, out, err io.Writer) int {
-	ctx, release := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	context.AfterFunc(ctx, release)
-	defer release()
+	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	context.AfterFunc(ctx, stop)
+	defer stop()
 
 	c := &console{in: in, out: out, err: err}
-	shown := false // help was asked for and has been written
+	helpShown := false // help or the version was requested and has been written
 	parser := kong.Must(&commands{},
 		kong.Name("mangowinch"),
 		kong.Description(description),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true, WrapUpperBound: 110}),
 		kong.Vars{"version": build.Version()},
 		kong.Writers(out, err),
-		kong.Exit(func(int) { shown = true }),
+		kong.Exit(func(int) { helpShown = true }),
 		kong.Bind(c),
 		kong.BindTo(ctx, (*context.Context)(nil)),
 	)
 	parsed, failure := parser.Parse(args)
-	if shown {
-		return exitDone
+	if helpShown {
+		return exitOK
 	}
 	if failure != nil {
 		fmt.Fprintf(err, "mangowinch: %v (see --help)\n", failure)
-		return exitUse
+		return exitUsage
 	}
 	failure = parsed.Run()
 	if failure == nil {
-		return exitDone
+		return exitOK
 	}
 	if text := failure.Error(); text != "" {
 		fmt.Fprintf(err, "mangowinch: %s\n", text)
 	}
-	var e *exit
+	var e *exitError
 	if errors.As(failure, &e) {
 		return e.code
 	}
-	return exitFault
+	return exitFailure
 }
--- a/internal/oper/verbs/verbs_test.go
+++ b/internal/oper/verbs/verbs_test.go
@@ -23,50 +23,50 @@
 	"mangowinch/internal/oper/admin"
 )
 
-// run runs one command line.
+// run runs one command line and returns its exit code and output.
 func run(args ...string) (code int, out, err string) {
 	var o, e bytes.Buffer
 	code = Main(args, strings.NewReader("from standard input"), &o, &e)
 	return code, o.String(), e.String()
 }
 
-// certified returns a directory with a certificate for 127.0.0.1 and keys.
-func certified(t *testing.T) string {
+// certifiedDir returns a directory with a certificate for 127.0.0.1 and keys.
+func certifiedDir(t *testing.T) string {
 	t.Helper()
 	directory := t.TempDir()
 	code, _, errors := run("certify", "--directory", directory, "--address", "127.0.0.1", "--key", "k1", "--key", "k2")
-	assert.Equal(t, code, exitDone, errors)
+	assert.Equal(t, code, exitOK, errors)
 	return directory
 }
 
 func TestHelp(t *testing.T) {
 	for _, verb := range []string{"", "entry", "agent", "check", "status", "compare", "call", "call upload", "certify"} {
 		code, out, _ := run(append(strings.Fields(verb), "--help")...)
-		assert.Equal(t, code, exitDone)
+		assert.Equal(t, code, exitOK)
 		golden.Assert(t, out, strings.ReplaceAll("help "+verb, " ", "-")+".golden")
 	}
 	code, _, err := run("serve")
-	assert.Equal(t, code, exitUse)
+	assert.Equal(t, code, exitUsage)
 	assert.Assert(t, strings.Contains(err, "serve"))
 }
 
-// Two documents name one address. Each is right by itself, so both are accepted;
-// then packets meant for one service reach the servers of the other. Only a check
-// of the files against each other can show it.
+// Guards against an address that two documents claim: each document is valid by itself and would be
+// accepted, and packets of one service would reach the servers of the other. Only a check
+// of the files against each other finds it.
 func TestCheck(t *testing.T) {
-	directory := certified(t) // agent.ini names its files
+	directory := certifiedDir(t) // agent.ini refers to its files
 	assert.NilError(t, os.CopyFS(directory, os.DirFS("testdata/check")))
 	want := golden.Get(t, "check.golden")
 	t.Chdir(directory)
 	code, out, err := run("check", "tracing-core.ini", "agent.ini")
-	assert.Equal(t, code, exitDone, out+err)
+	assert.Equal(t, code, exitOK, out+err)
 
 	code, out, _ = run("check", "tracing-core.ini", "doc-intake.ini", "agent.ini", "wrong.ini", "faulty.ini")
-	assert.Equal(t, code, exitFault)
+	assert.Equal(t, code, exitFailure)
 	assert.Equal(t, out, string(want))
 
 	code, _, err = run("check", "none.ini")
-	assert.Equal(t, code, exitUse)
+	assert.Equal(t, code, exitUsage)
 	assert.Assert(t, strings.Contains(err, "none.ini"))
 }
 
@@ -82,31 +82,31 @@
 			} `json:"load"`
 		}{{Name: "tracing-core", Revision: 3, From: "platform"}, {Name: "doc-intake", Revision: 12}}
 	})
-	s.Section("reasons", func() any { return nil }) // the counters of this process depend on the tests before
+	s.Section("reasons", func() any { return nil }) // the counters of this process depend on earlier tests
 	s.Section("refused", func() any { return map[string]any{"queue": 4, "peers": []string{"e1", "e2"}} })
 	server := httptest.NewServer(s.Handler())
 	defer server.Close()
 	address := strings.TrimPrefix(server.URL, "http://")
 
 	code, out, _ := run("status", address)
-	assert.Equal(t, code, exitFault) // it has named no condition yet
+	assert.Equal(t, code, exitFailure) // no condition is registered yet
 	golden.Assert(t, out, "status.golden")
 
 	s.Condition("documents").Set(true, "")
 	code, out, _ = run("status", "--json", address)
-	assert.Equal(t, code, exitDone)
+	assert.Equal(t, code, exitOK)
 	assert.Assert(t, strings.Contains(out, `"ready": true`))
 
 	code, _, err := run("status", address, "nothing")
-	assert.Equal(t, code, exitUse)
+	assert.Equal(t, code, exitUsage)
 	assert.Assert(t, strings.Contains(err, `no section "nothing"; there are [documents reasons refused]`))
 
 	code, _, _ = run("status", "127.0.0.1:1")
-	assert.Equal(t, code, exitUse)
+	assert.Equal(t, code, exitUsage)
 }
 
-// running is the operators' server of a process that holds one revision of a document.
-func running(t *testing.T, name string, revision order.Revision, fault string) (address string) {
+// startStatusServer starts the operators' HTTP server of a process that holds one revision of a document.
+func startStatusServer(t *testing.T, name string, revision order.Revision, fault string) (address string) {
 	t.Helper()
 	s := admin.New(netip.AddrPort{}, zerolog.Nop())
 	s.Section("process", func() any { return start.Process{Name: name, Role: "entry", Domain: "zg-a", Version: "v1"} })
@@ -119,15 +119,15 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// A team publishes a document and one process stays behind. Nobody looks at a process
-// that says nothing; the operator has to see which one it is among all.
+// Guards against a process that stays on an old revision unnoticed after a document was published: compare must name
+// the process.
 func TestCompare(t *testing.T) {
-	a, b := running(t, "e1", 4, ""), running(t, "e2", 4, "")
+	a, b := startStatusServer(t, "e1", 4, ""), startStatusServer(t, "e2", 4, "")
 	code, out, _ := run("compare", a, b)
-	assert.Equal(t, code, exitDone, out)
+	assert.Equal(t, code, exitOK, out)
 
-	code, out, _ = run("compare", a, b, running(t, "e3", 3, "no such key"), "127.0.0.1:1")
-	assert.Equal(t, code, exitFault)
+	code, out, _ = run("compare", a, b, startStatusServer(t, "e3", 3, "no such key"), "127.0.0.1:1")
+	assert.Equal(t, code, exitFailure)
 	_, differences, ok := strings.Cut(out, "does not answer\n")
 	assert.Assert(t, ok, out)
 	assert.Equal(t, differences, "tracing-core: e3 cannot use revision 9\n"+
@@ -135,18 +135,18 @@
 }
 
 func TestCertifyKeepsWhatIsThere(t *testing.T) {
-	directory := certified(t)
+	directory := certifiedDir(t)
 	before, err := os.ReadFile(filepath.Join(directory, "k1.key"))
 	assert.NilError(t, err)
 	code, _, _ := run("certify", "--directory", directory, "--address", "127.0.0.1")
-	assert.Equal(t, code, exitUse)
+	assert.Equal(t, code, exitUsage)
 	after, err := os.ReadFile(filepath.Join(directory, "k1.key"))
 	assert.NilError(t, err)
 	assert.DeepEqual(t, before, after)
 }
 
-// serve answers calls as an agent does.
-func serve(t *testing.T, directory string) (url string) {
+// startCallServer starts an HTTP/3 server that responds to calls like an agent.
+func startCallServer(t *testing.T, directory string) (url string) {
 	t.Helper()
 	pair, err := tls.LoadX509KeyPair(filepath.Join(directory, certificateFile), filepath.Join(directory, privateFile))
 	assert.NilError(t, err)
@@ -184,29 +184,29 @@
 	return "https://" + socket.LocalAddr().String()
 }
 
-// A person calls and has to decide whether to call again. The exit code tells
-// apart what ran, what did not, and what may have run; an answer that broke off
-// half way must not pass for a whole one.
+// The exit code must distinguish requests that ran, did not run, and may have run, since the user decides
+// by it whether to repeat the request. Guards also against a truncated response that
+// is taken for a complete one.
 func TestCall(t *testing.T) {
-	directory := certified(t)
-	url := serve(t, directory)
+	directory := certifiedDir(t)
+	url := startCallServer(t, directory)
 	ca := filepath.Join(directory, certificateFile)
 
 	code, out, err := run("call", "lookup", url+"/run", "--ca", ca, "--body", "hello", "--repeat-key", "a", "--local", "127.0.0.5")
-	assert.Equal(t, code, exitDone, err)
+	assert.Equal(t, code, exitOK, err)
 	assert.Equal(t, out, "hello")
 	assert.Assert(t, strings.Contains(err, "sent-key     a\nfresh-key    ak\n"))
 
 	code, _, err = run("call", "lookup", url+"/run", "--ca", ca, "--fresh-key")
-	assert.Equal(t, code, exitDone, err)
+	assert.Equal(t, code, exitOK, err)
 	assert.Assert(t, strings.Contains(err, "sent-key     first\n"), err)
 
 	code, out, _ = run("call", "upload", url+"/run", "--insecure", "--file", "-")
-	assert.Equal(t, code, exitDone)
+	assert.Equal(t, code, exitOK)
 	assert.Equal(t, out, "from standard input")
 
 	code, _, err = run("call", "lookup", url+"/refuse", "--ca", ca)
-	assert.Equal(t, code, exitFault)
+	assert.Equal(t, code, exitFailure)
 	assert.Assert(t, strings.Contains(err, "reason       queue\nretry-after  3 s\n"), err)
 
 	code, _, _ = run("call", "feed", url+"/cut", "--ca", ca)
@@ -216,29 +216,29 @@
 	assert.Equal(t, code, exitUnknown)
 	assert.Assert(t, strings.Contains(err, "outcome      unknown"), err)
 
-	code, _, err = run("call", "lookup", url+"/run") // a certificate that nobody vouches for
-	assert.Equal(t, code, exitUse)
+	code, _, err = run("call", "lookup", url+"/run") // the certificate is not trusted
+	assert.Equal(t, code, exitUsage)
 	assert.Assert(t, strings.Contains(err, "outcome      not-run"), err)
 }
 
-// An instance's start script mixes up two settings files. The process must end at
-// once and say what it misses, rather than run in the wrong role.
+// Guards against a process that runs in the wrong role because a start script mixed up two settings files. It must
+// exit immediately and report the missing section.
 func TestRolesWantTheirSettings(t *testing.T) {
-	directory := certified(t)
+	directory := certifiedDir(t)
 	assert.NilError(t, os.CopyFS(directory, os.DirFS("testdata/check")))
 	code, _, err := run("entry", "--settings", filepath.Join(directory, "agent.ini"))
-	assert.Equal(t, code, exitUse)
+	assert.Equal(t, code, exitUsage)
 	assert.Assert(t, strings.Contains(err, "[entry]: missing"), err)
 	code, _, err = run("agent", "--settings", filepath.Join(directory, "faulty.ini"))
-	assert.Equal(t, code, exitUse)
+	assert.Equal(t, code, exitUsage)
 	assert.Assert(t, strings.Contains(err, "[process]: missing"), err)
 }
 
-// The examples are what newcomers start from and what the demo and the tests run, so
-// they must hold against each other, too.
+// The example deployments are used by new users, the demo and the tests, so their files must also be
+// consistent with each other.
 func TestExamples(t *testing.T) {
 	for _, deployment := range []string{"zagreb", "rabat"} {
-		directory := certified(t)
+		directory := certifiedDir(t)
 		assert.NilError(t, os.Rename(filepath.Join(directory, certificateFile), filepath.Join(directory, "cert.pem")))
 		assert.NilError(t, os.Rename(filepath.Join(directory, privateFile), filepath.Join(directory, "cert.key")))
 		args := []string{"check"}
@@ -248,22 +248,21 @@
 		files, err := filepath.Glob(filepath.Join(directory, "*.ini"))
 		assert.NilError(t, err)
 		code, out, message := run(append(args, files...)...)
-		assert.Equal(t, code, exitDone, out+message)
+		assert.Equal(t, code, exitOK, out+message)
 	}
 }
 
-// A process is started twice with the same settings. The second one used to run on
-// without its operators' pages, so that nobody could see that it was there; it now
-// ends before it takes any traffic.
+// Guards against a second process with the same settings that runs on without its operators' HTTP server, invisible
+// to operators. It must exit before it accepts any traffic.
 func TestOperatorAddressIsTaken(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer taken.Close()
-	settings := filepath.Join(certified(t), "entry.ini")
+	settings := filepath.Join(certifiedDir(t), "entry.ini")
 	text := "[process]\nname = e1\ndomain = a\noperator = " + taken.Addr().String() +
 		"\n[platform]\naddress = http://127.0.0.1:1\n[key k1]\nfile = k1.key\n[entry]\nbind = 127.0.0.1\nlink = 127.0.0.1:1\n"
 	assert.NilError(t, os.WriteFile(settings, []byte(text), 0o600))
 	code, _, message := run("entry", "--settings", settings)
-	assert.Equal(t, code, exitFault)
+	assert.Equal(t, code, exitFailure)
 	assert.Assert(t, strings.Contains(message, "operators' HTTP"), message)
 }
