--- a/internal/conf/carry/carry.go
+++ b/internal/conf/carry/carry.go
@@ -1,9 +1,9 @@
-// Package carry describes the settings of one process of the carrier for opaque flows.
+// Package carry defines and loads the settings of a process that forwards opaque flows.
 //
-// A process learns its own addresses, its failure domain and where the platform is from this
-// file alone, in the product's own words; which fabric or platform is around it doesn't show here.
-// Routes and servers are no settings: they are read from the platform
-// (package follow). The carrier for QUIC has settings of its own (package prefs).
+// A process gets its own addresses, its failure domain and the address of the platform only from this
+// file. The file is independent of the kind of fabric or platform around the process.
+// Routes and servers are not settings: they are read from the platform
+// (package follow). Processes that handle QUIC have other settings (package prefs).
 //
 // # Usage
 //
@@ -25,49 +25,49 @@
 	"mangowinch/internal/load/parts"
 )
 
-// Settings is one settings file. Exactly one of Entry and Agent is set. Nobody changes it.
+// Settings holds the contents of one settings file. Exactly one of Entry and Agent is set. It is immutable.
 type Settings struct {
 	Process  Process
 	Platform netip.AddrPort   // HTTP
-	Link     netip.AddrPort   // UDP and TCP between processes, as others reach it; every process has the same port
-	Rate     float64          // of the instance's link, bytes a second; 0: not stated
-	LinkBind netip.AddrPort   // what the process opens for it; another one where addresses are translated on the way
-	Seeds    []netip.AddrPort // of some processes that may be up; only the IP numbers count
+	Link     netip.AddrPort   // UDP and TCP address by which other processes reach this one; all processes have the same port
+	Rate     float64          // rate of the instance's network link in bytes per second; 0: not specified
+	LinkBind netip.AddrPort   // address that the process binds for Link; differs from Link behind address translation
+	Seeds    []netip.AddrPort // Links of some processes that may be running; only the IP addresses are used
 	Bounds   Bounds
 	Entry    *Entry
 	Agent    *Agent
-	Without  parts.Off // mechanisms that are switched off, for measurements
+	Without  parts.Off // mechanisms that are switched off, to compare the system with and without them
 }
 
-// Process is what every process has.
+// Process holds the settings that every process has.
 type Process struct {
 	Name     string
 	Domain   string         // failure domain
-	Operator netip.AddrPort // operators' HTTP: readiness, status, metrics
-	Metrics  netip.AddrPort // HTTP, metrics only, at a port that is the same every day; invalid: none
+	Operator netip.AddrPort // operators' HTTP server: readiness, status, metrics
+	Metrics  netip.AddrPort // HTTP server for metrics only, at a fixed port; invalid: none
 }
 
-// Bounds are what the deployment asks of the system.
+// Bounds are the time limits that the deployment sets.
 type Bounds struct {
-	Change time.Duration // a change of configuration is in force everywhere within it
-	Life   time.Duration // no flow lives longer
-	Stop   time.Duration // a process that is asked to stop is killed after it
+	Change time.Duration // within which a change of configuration is in force in all processes
+	Life   time.Duration // maximum lifetime of a flow
+	Stop   time.Duration // after which a process that was told to stop is killed
 }
 
-// Entry is what only a process of role entry has.
+// Entry holds the settings that only entries have.
 type Entry struct {
-	Bind netip.AddrPort // UDP, callers' packets
+	Bind netip.AddrPort // UDP, packets of callers
 }
 
-// Agent is what only a process of role agent has.
+// Agent holds the settings that only agents have.
 type Agent struct {
 	Service string
-	Backend netip.AddrPort // UDP, the agent's own server
-	Listen  netip.AddrPort // UDP, what the server sends
-	Caller  netip.AddrPort // UDP; callers are answered from it, and have its port
+	Backend netip.AddrPort // UDP, address of the agent's own server
+	Listen  netip.AddrPort // UDP, packets from the server
+	Caller  netip.AddrPort // UDP; source address of packets to callers, which use the same port
 }
 
-// Load reads the settings file at path. The error holds strict.Faults with every fault,
+// Load reads the settings file at path. The error wraps strict.Faults with all faults,
 // unless the file itself cannot be read.
 func Load(path string) (s *Settings, err error) {
 	defer func() { err = errors.Wrap(err, "settings") }()
--- a/internal/conf/carry/carry_test.go
+++ b/internal/conf/carry/carry_test.go
@@ -25,7 +25,7 @@
 	assert.Equal(t, s.LinkBind, s.Link)
 }
 
-// Where addresses are translated on the way, a process opens another address than others send to.
+// Behind address translation, a process binds another address than the one to which other processes send.
 func TestLinkMayBeOpenedElsewhere(t *testing.T) {
 	text, err := os.ReadFile("testdata/agent.ini")
 	assert.NilError(t, err)
@@ -35,7 +35,7 @@
 	assert.Assert(t, s.Link != s.LinkBind)
 }
 
-// Guards against a rate that is read in another unit than its operator meant.
+// Guards against a rate that is parsed in another unit than the operator intended.
 func TestRateOfTheLinkHasAUnit(t *testing.T) {
 	text, err := os.ReadFile("testdata/agent.ini")
 	assert.NilError(t, err)
@@ -50,7 +50,7 @@
 	}
 }
 
-// A measurement switches mechanisms off; a name that means nothing would measure nothing.
+// Guards against a misspelled mechanism that is silently ignored, so that a comparison would run with the mechanism on.
 func TestMechanismsAreSwitchedOffByName(t *testing.T) {
 	text, err := os.ReadFile("testdata/agent.ini")
 	assert.NilError(t, err)
@@ -61,7 +61,7 @@
 	assert.ErrorContains(t, err, "offer is none of")
 }
 
-// Bad settings stop a process before it serves, and one look shows all that is wrong.
+// Faulty settings must stop a process before it serves, with all faults in one report.
 func TestLoadListsEveryFault(t *testing.T) {
 	_, err := Load("testdata/bad.ini")
 	var faults strict.Faults
--- a/internal/conf/carry/names_test.go
+++ b/internal/conf/carry/names_test.go
@@ -8,8 +8,8 @@
 	"mangowinch/internal/stand/filled"
 )
 
-// Guards against sections, keys and names of mechanisms that change: settings that operators have written must stay valid.
-// A key that isn't known is a fault, and one that is no longer read leaves its field unset.
+// Guards against changed sections, keys and names of mechanisms: existing settings files must stay valid.
+// An unknown key is a fault, and a key that is no longer read leaves its field unset.
 func TestNames(t *testing.T) {
 	entry, err := Load("testdata/whole-entry.ini")
 	assert.NilError(t, err)
--- a/internal/conf/certs/certs.go
+++ b/internal/conf/certs/certs.go
@@ -1,14 +1,14 @@
-// Package certs holds a process's TLS certificate and takes a renewed one into use
-// while the process runs.
+// Package certs holds the TLS certificate of a process and reloads it when it is renewed,
+// without a restart.
 //
-// A certificate is looked at only during a handshake, so a new one cuts no flow that
-// is open. The two files of a pair are replaced one after the other, and a reader in
-// between sees a certificate with another's private key; such a pair, a damaged one
-// or one that is not valid now leaves the last good one in use, is counted and is
-// tried again.
+// A certificate is used only during handshakes, so a new one interrupts no open flow.
+// The two files of a pair are replaced one after the other, so in between
+// the certificate does not match the private key. Such a pair, a damaged one
+// and one that is not currently valid are counted and retried, and the last valid pair
+// stays in use.
 //
-// The package does not check that callers trust the certificate, and it has nothing
-// to do with the keys of connection IDs, which documents rotate.
+// The package does not check whether callers trust the certificate, and it does not handle
+// the keys of connection IDs, which are rotated by documents.
 //
 // # Usage
 //
@@ -33,8 +33,8 @@
 	"github.com/rs/zerolog"
 )
 
-// Interval is the time between two looks at the files. Certificates are renewed
-// hours before they end; ten seconds is soon enough and costs two small reads.
+// Interval is the time between two checks of the files. Certificates are renewed
+// hours before they expire; ten seconds is soon enough and costs two small reads.
 const Interval = 10 * time.Second
 
 // Pair is a certificate and its private key, read from two files.
@@ -42,24 +42,24 @@
 	certificate, private string // paths
 	logger               zerolog.Logger
 	current              atomic.Pointer[tls.Certificate]
-	loaded, bad          *metrics.Counter // only a process with a certificate has them
-	until                *metrics.Gauge   // Unix time at which the certificate in use ends
+	loaded, bad          *metrics.Counter // registered only in processes with a certificate
+	expiry               *metrics.Gauge   // Unix time at which the certificate in use expires
 
-	// Owned by Watch.
-	inUse  text
-	failed string // why the files were turned down last, so that it is counted and logged once
+	// Used only by Open and Watch.
+	inUse     pairFiles
+	lastError string // error of the last rejected files; a repeated error is not counted and logged again
 }
 
-// text is what the two files hold.
-type text struct {
+// pairFiles holds the contents of the two files.
+type pairFiles struct {
 	certificate, private []byte
 }
 
-func (t text) equal(u text) bool {
-	return bytes.Equal(t.certificate, u.certificate) && bytes.Equal(t.private, u.private)
+func (f pairFiles) equal(g pairFiles) bool {
+	return bytes.Equal(f.certificate, g.certificate) && bytes.Equal(f.private, g.private)
 }
 
-// Open reads a pair of PEM files. The pair must be valid now.
+// Open reads a pair of PEM files. The certificate must be currently valid.
 func Open(certificate, private string, logger zerolog.Logger) (pair *Pair, err error) {
 	defer func() { err = errors.Wrap(err, "certificate") }()
 
@@ -69,24 +69,24 @@
 		logger:      logger,
 		loaded:      metrics.GetOrCreateCounter(`mangowinch_certificate_reloads_total{result="loaded"}`),
 		bad:         metrics.GetOrCreateCounter(`mangowinch_certificate_reloads_total{result="bad"}`),
-		until:       metrics.GetOrCreateGauge(`mangowinch_certificate_until_seconds`, nil),
+		expiry:      metrics.GetOrCreateGauge(`mangowinch_certificate_until_seconds`, nil),
 	}
-	t, err := p.read()
+	files, err := p.read()
 	if err != nil {
 		return nil, err
 	}
-	if err := p.use(t); err != nil {
+	if err := p.use(files); err != nil {
 		return nil, err
 	}
 	return p, nil
 }
 
-// GetCertificate returns the pair in use; it is for tls.Config.
+// GetCertificate returns the pair in use. It is meant for the field of the same name in tls.Config.
 func (p *Pair) GetCertificate(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 	return p.current.Load(), nil
 }
 
-// Watch looks at the files every Interval until the context is done.
+// Watch checks the files every Interval until the context is done.
 func (p *Pair) Watch(ctx context.Context) {
 	ticker := time.NewTicker(Interval)
 	defer ticker.Stop()
@@ -100,57 +100,57 @@
 	}
 }
 
-// reload takes a changed pair into use if it is good. A pair that was turned down is
-// tried again each time, since one that is not valid yet becomes so.
+// reload starts to use a changed pair if it is valid. A rejected pair is
+// tried again each time, since a pair that is not valid yet can become valid.
 func (p *Pair) reload() {
-	t, err := p.read()
+	files, err := p.read()
 	if err == nil {
-		if t.equal(p.inUse) {
-			p.failed = ""
+		if files.equal(p.inUse) {
+			p.lastError = ""
 			return
 		}
-		err = p.use(t)
+		err = p.use(files)
 	}
 	if err != nil {
-		p.turnDown(err)
+		p.reject(err)
 		return
 	}
-	p.failed = ""
+	p.lastError = ""
 	p.loaded.Inc()
 	p.logger.Info().Time("until", p.current.Load().Leaf.NotAfter).Msg("certificate in use")
 }
 
-func (p *Pair) turnDown(err error) {
-	if err.Error() == p.failed {
+func (p *Pair) reject(err error) {
+	if err.Error() == p.lastError {
 		return
 	}
-	p.failed = err.Error()
+	p.lastError = err.Error()
 	p.bad.Inc()
 	p.logger.Error().Err(err).Msg("certificate cannot be used; the last good one stays")
 }
 
-func (p *Pair) read() (t text, err error) {
-	if t.certificate, err = os.ReadFile(p.certificate); err != nil {
-		return text{}, err
+func (p *Pair) read() (files pairFiles, err error) {
+	if files.certificate, err = os.ReadFile(p.certificate); err != nil {
+		return pairFiles{}, err
 	}
-	if t.private, err = os.ReadFile(p.private); err != nil {
-		return text{}, err
+	if files.private, err = os.ReadFile(p.private); err != nil {
+		return pairFiles{}, err
 	}
-	return t, nil
+	return files, nil
 }
 
-// use parses a pair and makes it the one that handshakes get.
-func (p *Pair) use(t text) error {
-	pair, err := tls.X509KeyPair(t.certificate, t.private)
+// use parses a pair and makes it the one that new handshakes use.
+func (p *Pair) use(files pairFiles) error {
+	pair, err := tls.X509KeyPair(files.certificate, files.private)
 	if err != nil {
 		return err
 	}
 	now := time.Now()
 	if now.Before(pair.Leaf.NotBefore) || now.After(pair.Leaf.NotAfter) {
-		return errors.Newf("valid from %s to %s only", pair.Leaf.NotBefore.UTC(), pair.Leaf.NotAfter.UTC())
+		return errors.Newf("not valid now: valid from %s to %s", pair.Leaf.NotBefore.UTC(), pair.Leaf.NotAfter.UTC())
 	}
-	p.inUse = t
+	p.inUse = files
 	p.current.Store(&pair)
-	p.until.Set(float64(pair.Leaf.NotAfter.Unix()))
+	p.expiry.Set(float64(pair.Leaf.NotAfter.Unix()))
 	return nil
 }
--- a/internal/conf/certs/certs_test.go
+++ b/internal/conf/certs/certs_test.go
@@ -14,8 +14,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// write makes a pair for the given name and writes the two files, or only the first.
-func write(t *testing.T, directory, name string, valid time.Duration, both bool) {
+// writePair generates a pair for the given name and writes both files, or only the certificate.
+func writePair(t *testing.T, directory, name string, valid time.Duration, both bool) {
 	t.Helper()
 	certificate, private, err := SelfSigned(nil, []string{name}, time.Now(), valid)
 	assert.NilError(t, err)
@@ -25,13 +25,13 @@
 	}
 }
 
-func open(directory string) (*Pair, error) {
+func openPair(directory string) (*Pair, error) {
 	return Open(filepath.Join(directory, "c.pem"), filepath.Join(directory, "p.pem"), zerolog.Nop())
 }
 
 func (p *Pair) name() string { return p.current.Load().Leaf.DNSNames[0] }
 
-// connect opens a TLS connection through memory.
+// connect opens a TLS connection over an in-memory pipe.
 func connect(t *testing.T, p *Pair) (client *tls.Conn, server *tls.Conn) {
 	t.Helper()
 	a, b := net.Pipe()
@@ -44,21 +44,21 @@
 	return client, server
 }
 
-// A certificate is renewed while a caseworker's feed is open. The files are
-// replaced one after the other, and for a while they do not belong together. The
-// feed must go on, callers that come meanwhile get the old certificate, and later
-// ones the new; a damaged or expired pair later must not lock callers out.
+// Guards against interruptions while a certificate is renewed. The files are
+// replaced one after the other and do not match for a while. An open connection
+// must continue, handshakes must use the old certificate until the pair matches and the new one
+// afterwards, and a later damaged or expired pair must not replace it.
 func TestReload(t *testing.T) {
 	directory := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
-		write(t, directory, "old", 24*time.Hour, true)
-		p, err := open(directory)
+		writePair(t, directory, "old", 24*time.Hour, true)
+		p, err := openPair(directory)
 		assert.NilError(t, err)
 		ctx, cancel := context.WithCancel(t.Context())
 		go p.Watch(ctx)
 		defer synctest.Wait()
 		defer cancel()
-		look := func() {
+		nextReload := func() {
 			time.Sleep(Interval)
 			synctest.Wait()
 		}
@@ -66,15 +66,15 @@
 		client, server := connect(t, p)
 		defer func() { _ = client.Close() }()
 		failures := p.bad.Get()
-		write(t, directory, "half", 24*time.Hour, false)
-		look()
-		look()
+		writePair(t, directory, "half", 24*time.Hour, false)
+		nextReload()
+		nextReload()
 		assert.Equal(t, p.name(), "old")
-		assert.Equal(t, p.bad.Get(), failures+1) // once, not at every look
+		assert.Equal(t, p.bad.Get(), failures+1) // once, not at every check
 
 		successes := p.loaded.Get()
-		write(t, directory, "new", 24*time.Hour, true)
-		look()
+		writePair(t, directory, "new", 24*time.Hour, true)
+		nextReload()
 		assert.Equal(t, p.name(), "new")
 		assert.Equal(t, p.loaded.Get(), successes+1)
 		other, _ := connect(t, p)
@@ -87,11 +87,11 @@
 		assert.NilError(t, err)
 		assert.Equal(t, string(text[:n]), "still here")
 
-		write(t, directory, "expired", -time.Minute, true)
-		look()
+		writePair(t, directory, "expired", -time.Minute, true)
+		nextReload()
 		assert.Equal(t, p.name(), "new")
 		assert.NilError(t, os.Remove(filepath.Join(directory, "c.pem")))
-		look()
+		nextReload()
 		assert.Equal(t, p.name(), "new")
 		assert.Equal(t, p.bad.Get(), failures+3)
 	})
@@ -99,9 +99,9 @@
 
 func TestOpenRefusesABadPair(t *testing.T) {
 	directory := t.TempDir()
-	_, err := open(directory)
+	_, err := openPair(directory)
 	assert.ErrorContains(t, err, "no such file")
-	write(t, directory, "expired", -time.Minute, true)
-	_, err = open(directory)
+	writePair(t, directory, "expired", -time.Minute, true)
+	_, err = openPair(directory)
 	assert.ErrorContains(t, err, "valid from")
 }
--- a/internal/conf/certs/self.go
+++ b/internal/conf/certs/self.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// SelfSigned returns a certificate that vouches for itself, and its private key,
-// both in PEM. It is for demonstrations and tests: no caller trusts it unless told to.
+// SelfSigned returns a self-signed certificate and its private key, both in PEM. It is for
+// demonstrations and tests: callers trust the certificate only if it is configured as trusted.
 func SelfSigned(addresses []net.IP, names []string, now time.Time, valid time.Duration) (certificate, private []byte, err error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -22,7 +22,7 @@
 	template := &x509.Certificate{
 		SerialNumber:          big.NewInt(now.UnixNano()),
 		Subject:               pkix.Name{CommonName: "mangowinch demonstration"},
-		NotBefore:             now.Add(-time.Hour), // for clocks that lag
+		NotBefore:             now.Add(-time.Hour), // tolerates callers whose clocks are behind
 		NotAfter:              now.Add(valid),
 		KeyUsage:              x509.KeyUsageDigitalSignature | x509.KeyUsageCertSign,
 		ExtKeyUsage:           []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth},
--- a/internal/conf/docs/docs.go
+++ b/internal/conf/docs/docs.go
@@ -1,13 +1,13 @@
-// Package docs describes a service document: the one text in which a team
+// Package docs defines and parses the service document, the text in which a team
 // declares its service, the backend servers behind it and how its traffic is
-// to be treated.
+// treated.
 //
-// A document is INI. The platform gives each version of it a revision; the
-// revision is no part of the text. A parsed document is an immutable snapshot:
-// whoever holds a *Service may read it from any goroutine, nobody changes it.
+// A document is INI. The platform assigns a revision to each version of it; the
+// revision is not part of the text. A parsed document is an immutable snapshot:
+// a *Service may be read from any goroutine and is never modified.
 //
-// The package knows nothing of where a document came from (package store) nor
-// of the settings of one process (package prefs).
+// The package handles neither the source of a document (package store) nor
+// the settings of a process (package prefs).
 //
 // # Usage
 //
@@ -33,10 +33,10 @@
 	Upload Kind = "upload" // long request body, short answer
 )
 
-// State says whether a server is to be given new work.
+// State determines whether a server receives new flows and requests.
 type State string
 
-// The states that a document may give a server.
+// The states of a server in a document.
 const (
 	Serving State = "serving"
 	Leaving State = "leaving"
@@ -44,14 +44,15 @@
 
 // Service is one parsed document.
 type Service struct {
-	Name    string         // one word, unique in the fleet
+	Name    string         // one word, unique among all services
 	Address netip.AddrPort // where callers reach the service
 	Servers []Server       // ordered by ID
-	Classes []Class        // ordered as declared; the first match counts
-	Callers []Caller       // ordered as declared
-	Current string         // name of the key that new connection IDs are sealed with
-	Former  []string       // names of keys that open connection IDs besides: former ones and the next one
-	// Evacuated are the failure domains whose servers get no new work; Parse has made these Leaving.
+	Classes []Class        // in document order; the first match applies
+	Callers []Caller       // in document order
+	Current string         // name of the key with which new connection IDs are sealed
+	Former  []string       // names of the other keys that open connection IDs: former keys and the next one
+	// Evacuated are the failure domains whose servers receive no new work; Parse sets the state of these servers
+	// to Leaving.
 	Evacuated []string
 }
 
@@ -63,23 +64,23 @@
 	Domain      string         // failure domain
 	Slots       int            // requests that run at a time
 	Connections int            // flows that the agent may hold open
-	Weight      int            // share of new flows, 1 or more
+	Weight      int            // relative share of new flows, 1 or more
 	State       State
 }
 
-// Class is how one kind of request is treated.
+// Class defines how one kind of request is treated.
 type Class struct {
 	Name       string
 	Kind       Kind
-	Path       string        // prefix of the request's path
-	Idempotent bool          // may run again when the outcome of the first try is unknown
-	Deadline   time.Duration // given to a request that names none; for feeds the time to the first byte
+	Path       string        // prefix of the request path
+	Idempotent bool          // may run again if the outcome of the first attempt is unknown
+	Deadline   time.Duration // of requests without their own deadline; for feeds, the time to the first byte
 	Queue      int           // requests that may wait at one server
 }
 
-// Caller is a party that shares the service fairly with the others.
+// Caller is a set of source networks that is given its fair share of the service.
 type Caller struct {
 	Name     string
 	Networks []netip.Prefix // source addresses that count as this caller
-	Weight   int            // share of the service under contention, 1 or more
+	Weight   int            // relative share of the service under contention, 1 or more
 }
--- a/internal/conf/docs/docs_test.go
+++ b/internal/conf/docs/docs_test.go
@@ -25,7 +25,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, s.Name, "tracing-core")
 	assert.DeepEqual(t, s.Former, []string{"k1", "k0"})
-	assert.Equal(t, s.Servers[0].Name, "s1") // by ID, not as declared
+	assert.Equal(t, s.Servers[0].Name, "s1") // sorted by ID, not in document order
 	assert.Equal(t, s.Servers[0].State, Serving)
 	assert.Equal(t, s.Servers[0].Weight, 1)
 	assert.Equal(t, s.Servers[1].State, Leaving)
@@ -35,7 +35,8 @@
 	assert.Assert(t, !ok)
 }
 
-// Guards against a failure domain that is to be emptied and whose servers still get new work, and against a slip in its name.
+// Guards against servers of an evacuated failure domain that still receive new work, and against a misspelled domain that is
+// ignored.
 func TestServersOfAnEvacuatedDomainLeave(t *testing.T) {
 	good := string(read(t, "good.ini"))
 	s, err := Parse("good.ini", []byte(strings.Replace(good, "former =", "evacuate = zg-a\nformer =", 1)))
@@ -46,9 +47,8 @@
 	assert.ErrorContains(t, err, "no server is in zg-z")
 }
 
-// A team mends a document and sends it again. If only the first fault were shown it
-// would take a try per fault; and a typing error in a key that is silently
-// ignored would put a default in force on the whole fleet.
+// Guards against reports of the first fault only, which would take the author one attempt per fault, and against
+// a misspelled key that is silently ignored, which would put a default in force in all processes.
 func TestParseListsEveryFault(t *testing.T) {
 	for _, name := range []string{"bad", "syntax", "empty"} {
 		s, err := Parse(name+".ini", read(t, name+".ini"))
@@ -64,16 +64,16 @@
 	assert.ErrorContains(t, err, "larger than a megabyte")
 }
 
-// A team publishes another kind of file by mistake. The list of its faults goes into
-// the log and /status of every process; it must not be larger than what they can show.
+// Guards against error texts of unbounded length: a file of another kind, published by mistake, has very many faults, and
+// their list is written to the log and /status of every process.
 func TestParseBoundsTheListOfFaults(t *testing.T) {
 	_, err := Parse("wrong.ini", []byte("[service]\n"+strings.Repeat("x = 1\n[y]\n", 50_000)))
 	assert.Assert(t, len(err.Error()) < 10_000)
 	assert.ErrorContains(t, err, "more")
 }
 
-// FuzzParse: no text may panic, and what is accepted keeps what others rely on: IDs
-// and agents that name one server, and classes that can be reached.
+// FuzzParse checks that no text causes a panic and that accepted documents have the properties that other packages rely on:
+// IDs identify one server, agents' addresses are valid, and each class is reachable.
 func FuzzParse(f *testing.F) {
 	for _, name := range []string{"good.ini", "bad.ini", "syntax.ini"} {
 		text, err := os.ReadFile(filepath.Join("testdata", name))
@@ -100,9 +100,9 @@
 	})
 }
 
-// A caller asks for /lookup/../claim. Classed by its first letters it is an
-// idempotent lookup, and is run again when the answer is lost; the backend server
-// shortens the path and opens two cases. So such a path has no class.
+// Guards against requests that run twice because their path is not canonical: by its prefix, /lookup/../claim
+// is an idempotent lookup and would be repeated after a lost response, but the backend server
+// resolves the path to /claim. Such a path has no class.
 func TestClassFor(t *testing.T) {
 	s, err := Parse("good.ini", read(t, "good.ini"))
 	assert.NilError(t, err)
--- a/internal/conf/docs/find.go
+++ b/internal/conf/docs/find.go
@@ -7,15 +7,15 @@
 	"strings"
 )
 
-// ClassFor returns the first class whose path covers the request's path. A class's
-// path covers itself and everything below it: /lookup covers /lookup/7 but not
+// ClassFor returns the first class whose path covers the request path. The path of a class
+// covers itself and everything below it: /lookup covers /lookup/7 but not
 // /lookups.
 //
-// A path that is not in its shortest form has no class. A backend server may
-// shorten /lookup/../claim to /claim, and a claim treated by the rules of an
+// A path that is not canonical has no class. A backend server may
+// resolve /lookup/../claim to /claim, and a claim that is treated as an
 // idempotent lookup could run twice.
 func (s *Service) ClassFor(path string) (class *Class, ok bool) {
-	if !clean(path) {
+	if !isClean(path) {
 		return nil, false
 	}
 	for i := range s.Classes {
@@ -35,15 +35,15 @@
 	return &s.Servers[i], true
 }
 
-// covers says whether a request for path falls under the path of a class.
+// covers reports whether path is the path of a class or lies below it.
 func covers(class, path string) bool {
 	rest, ok := strings.CutPrefix(path, class)
 	return ok && (rest == "" || strings.HasSuffix(class, "/") || rest[0] == '/')
 }
 
-// clean says whether a path is absolute and in its shortest form; a slash at its
-// end is allowed.
-func clean(p string) bool {
+// isClean reports whether a path is absolute and canonical, as by path.Clean. A trailing slash
+// is allowed, a backslash is not.
+func isClean(p string) bool {
 	if !strings.HasPrefix(p, "/") || strings.Contains(p, "\\") {
 		return false
 	}
--- a/internal/conf/docs/parse.go
+++ b/internal/conf/docs/parse.go
@@ -13,8 +13,8 @@
 	"mangowinch/internal/conf/strict"
 )
 
-// Upper bounds of numbers in a document. They stop slips of the pen; none of them
-// is a size that the program is made for.
+// Upper bounds of numbers in a document. They catch typing errors; they are not sizes for which
+// the program is designed.
 const (
 	maxSlots       = 10_000
 	maxConnections = 1_000_000
@@ -22,18 +22,18 @@
 	maxQueue       = 1_000_000
 )
 
-// Parse reads a document. File is the name by which faults call it. The error
-// holds strict.Faults with every fault of the text, from top to bottom; a service
-// comes back only if there is none.
+// Parse parses a document. The name file appears in faults. The error
+// wraps strict.Faults with all faults of the text, from top to bottom; the service
+// is nil if there are any.
 func Parse(file string, text []byte) (service *Service, err error) {
 	defer func() { err = errors.Wrap(err, "service document") }()
 
 	f := strict.Read(file, text)
 	s := &Service{}
-	head := f.One("service")
-	readService(head, s)
+	section := f.One("service")
+	readService(section, s)
 	readServers(f, s)
-	evacuate(head, s)
+	readEvacuated(section, s)
 	readClasses(f, s)
 	readCallers(f, s)
 	if err := f.Err(); err != nil {
@@ -55,8 +55,8 @@
 	}
 }
 
-// evacuate makes the servers of failure domains that are to be emptied leave.
-func evacuate(from *strict.Section, s *Service) {
+// readEvacuated reads the evacuated failure domains and sets the state of their servers to Leaving.
+func readEvacuated(from *strict.Section, s *Service) {
 	if !from.Has("evacuate") {
 		return
 	}
@@ -120,7 +120,7 @@
 			Name:       from.Name,
 			Kind:       Kind(from.Choice("kind", string(Lookup), string(Feed), string(Upload))),
 			Path:       readPath(from),
-			Idempotent: from.Yes("idempotent"),
+			Idempotent: from.Bool("idempotent"),
 			Deadline:   from.Duration("deadline"),
 			Queue:      int(from.Integer("queue", 0, maxQueue)),
 		}
@@ -145,60 +145,60 @@
 	if text == "" {
 		return ""
 	}
-	if !clean(text) || strings.ContainsAny(text, "%?# ") {
+	if !isClean(text) || strings.ContainsAny(text, "%?# ") {
 		from.Fault("path", strict.Invalid, fmt.Sprintf("%q is not the start of a path, such as /lookup", text))
 		return ""
 	}
 	return text
 }
 
-// claim is one network that a caller section claims.
-type claim struct {
+// networkClaim is one network of a caller section.
+type networkClaim struct {
 	network netip.Prefix
 	section *strict.Section
-	order   int // of the text
+	index   int // in the order of the text
 }
 
 func readCallers(f *strict.File, s *Service) {
-	var claims []claim
+	var claims []networkClaim
 	for _, from := range f.Each("caller") {
 		c := Caller{Name: from.Name, Networks: from.Networks("networks"), Weight: readWeight(from)}
 		for _, n := range c.Networks {
-			claims = append(claims, claim{n, from, len(claims)})
+			claims = append(claims, networkClaim{n, from, len(claims)})
 		}
 		s.Callers = append(s.Callers, c)
 	}
 	checkOverlaps(claims)
 }
 
-// checkOverlaps reports networks that overlap, at the later one of the text. Two
-// networks overlap only if one holds the other, so that in the order of addresses,
-// larger networks first, it is enough to keep the networks that hold the present one.
-// Comparing each with each took seconds for a document of a megabyte.
-func checkOverlaps(claims []claim) {
-	slices.SortFunc(claims, func(a, b claim) int {
-		return cmp.Or(a.network.Addr().Compare(b.network.Addr()), cmp.Compare(a.network.Bits(), b.network.Bits()), cmp.Compare(a.order, b.order))
+// checkOverlaps reports overlapping networks, at the one that is later in the text. Two
+// networks overlap only if one contains the other, so with the networks sorted by address,
+// larger ones first, it is enough to keep a stack of the networks that contain the current one.
+// Comparing all pairs takes seconds for a document of a megabyte.
+func checkOverlaps(claims []networkClaim) {
+	slices.SortFunc(claims, func(a, b networkClaim) int {
+		return cmp.Or(a.network.Addr().Compare(b.network.Addr()), cmp.Compare(a.network.Bits(), b.network.Bits()), cmp.Compare(a.index, b.index))
 	})
-	var holders []claim // each holds the next
+	var enclosing []networkClaim // each contains the next
 	for _, c := range claims {
-		for len(holders) > 0 && !holders[len(holders)-1].network.Contains(c.network.Addr()) {
-			holders = holders[:len(holders)-1]
+		for len(enclosing) > 0 && !enclosing[len(enclosing)-1].network.Contains(c.network.Addr()) {
+			enclosing = enclosing[:len(enclosing)-1]
 		}
-		if len(holders) > 0 {
-			reportOverlap(holders[len(holders)-1], c)
+		if len(enclosing) > 0 {
+			reportOverlap(enclosing[len(enclosing)-1], c)
 		}
-		holders = append(holders, c)
+		enclosing = append(enclosing, c)
 	}
 }
 
-func reportOverlap(a, b claim) {
-	if a.order > b.order {
+func reportOverlap(a, b networkClaim) {
+	if a.index > b.index {
 		a, b = b, a
 	}
 	b.section.Fault("networks", strict.Duplicate, fmt.Sprintf("%s overlaps with %s of caller %s", b.network, a.network, a.section.Name))
 }
 
-// readWeight returns the weight, which is 1 if it is left out.
+// readWeight returns the weight, 1 by default.
 func readWeight(from *strict.Section) int {
 	if !from.Has("weight") {
 		return 1
--- a/internal/conf/prefs/load.go
+++ b/internal/conf/prefs/load.go
@@ -15,12 +15,12 @@
 	"mangowinch/internal/conf/strict"
 )
 
-// maxKeyText is the size in bytes over which a file is no key file.
+// maxKeyText is the maximum size of a key file in bytes.
 const maxKeyText = 1 << 10
 
-// Load reads the settings file at path, the key files it names and the
-// certificate. Paths in the file are relative to its directory. The error holds
-// strict.Faults with every fault, unless the file itself cannot be read.
+// Load reads the settings file at path and the key files that it names, and checks the
+// certificate. Paths in the file are relative to its directory. The error wraps
+// strict.Faults with all faults, unless the file itself cannot be read.
 func Load(path string) (settings *Settings, err error) {
 	defer func() { err = errors.Wrap(err, "settings") }()
 
@@ -67,7 +67,7 @@
 	return &Entry{Bind: from.Addr("bind"), Link: from.AddrPort("link")}
 }
 
-// sideCount is how many processes an agent's replacement makes: the one and its successor.
+// sideCount is how many processes run while an agent is replaced: the old one and its successor.
 const sideCount = 2
 
 func readAgent(from *strict.Section, directory string) *Agent {
@@ -87,7 +87,7 @@
 	}
 	if a.Certificate != "" && a.Private != "" {
 		if _, err := tls.LoadX509KeyPair(a.Certificate, a.Private); err != nil {
-			from.Fault("certificate", strict.Invalid, tellPath(err, directory))
+			from.Fault("certificate", strict.Invalid, relativeError(err, directory))
 		}
 	}
 	return a
@@ -102,7 +102,7 @@
 		}
 		key, err := loadKey(path)
 		if err != nil {
-			from.Fault("file", strict.Invalid, tellPath(err, directory))
+			from.Fault("file", strict.Invalid, relativeError(err, directory))
 			continue
 		}
 		keys[from.Name] = key
@@ -113,7 +113,7 @@
 	return keys
 }
 
-// loadKey reads 32 bytes written as hexadecimal digits. Its error never holds a
+// loadKey reads a key of 32 bytes in hexadecimal digits. Its error never contains a
 // part of the file, which may be secret.
 func loadKey(path string) (key Key, err error) {
 	text, err := os.ReadFile(path)
@@ -130,8 +130,8 @@
 	return Key(raw), nil
 }
 
-// readPath returns a path that is relative to the settings file as one that is
-// relative to the working directory.
+// readPath returns a path that is usable from the working directory; the value of the key is relative to the directory
+// of the settings file.
 func readPath(from *strict.Section, key, directory string) string {
 	text := from.Text(key)
 	if text == "" || filepath.IsAbs(text) {
@@ -140,8 +140,8 @@
 	return filepath.Join(directory, text)
 }
 
-// tellPath writes an error with the paths as the settings file has them.
-func tellPath(err error, directory string) string {
+// relativeError returns the text of an error with paths relative to the directory of the settings file.
+func relativeError(err error, directory string) string {
 	return strings.ReplaceAll(err.Error(), directory+string(filepath.Separator), "")
 }
 
--- a/internal/conf/prefs/names_test.go
+++ b/internal/conf/prefs/names_test.go
@@ -13,8 +13,8 @@
 	"mangowinch/internal/stand/filled"
 )
 
-// placed copies a settings file of testdata into a folder that has the key and the certificate that it names.
-func placed(t *testing.T, name string) (path string) {
+// copyWithKeys copies a settings file of testdata into a folder together with the key and the certificate that it names.
+func copyWithKeys(t *testing.T, name string) (path string) {
 	t.Helper()
 	folder := t.TempDir()
 	certificate, private, err := certs.SelfSigned([]net.IP{{127, 0, 0, 1}}, nil, time.Now(), time.Hour)
@@ -30,24 +30,24 @@
 	return filepath.Join(folder, name)
 }
 
-// Guards against sections and keys that change: settings that operators have written must stay valid. A key that isn't known
-// is a fault, and one that is no longer read leaves its field unset.
+// Guards against changed sections and keys: existing settings files must stay valid. An unknown key
+// is a fault, and a key that is no longer read leaves its field unset.
 func TestNames(t *testing.T) {
-	entry, err := Load(placed(t, "whole-entry.ini"))
+	entry, err := Load(copyWithKeys(t, "whole-entry.ini"))
 	assert.NilError(t, err)
 	entry.Agent = &Agent{}
 	filled.Fill(entry.Agent)
-	assert.DeepEqual(t, unset(entry), []string(nil))
+	assert.DeepEqual(t, unsetFields(entry), []string(nil))
 
-	agent, err := Load(placed(t, "whole-agent.ini"))
+	agent, err := Load(copyWithKeys(t, "whole-agent.ini"))
 	assert.NilError(t, err)
 	agent.Entry = &Entry{}
 	filled.Fill(agent.Entry)
-	assert.DeepEqual(t, unset(agent), []string(nil))
+	assert.DeepEqual(t, unsetFields(agent), []string(nil))
 }
 
-// unset lists what Load hasn't set. A key's bytes may be zero.
-func unset(s *Settings) []string {
+// unsetFields lists the fields that Load has not set. Single bytes of a key may be zero.
+func unsetFields(s *Settings) []string {
 	for name, k := range s.Keys {
 		if k != (Key{}) {
 			filled.Fill(&k)
--- a/internal/conf/prefs/prefs.go
+++ b/internal/conf/prefs/prefs.go
@@ -1,11 +1,11 @@
-// Package prefs describes the settings of one process: its own addresses and
-// failure domain, where the platform is, the keys it holds. A process learns
-// them from its settings file alone, so that any fabric, platform or backend
-// server can be put around it.
+// Package prefs defines and loads the settings of a process that handles QUIC: its own addresses and
+// failure domain, the address of the platform, and its keys. A process gets
+// them only from its settings file, so that it runs with any fabric, platform or backend
+// server.
 //
-// What holds for a whole service is no setting; it stands in the service's document
-// (package docs). Settings are read once at the start. Key files are read with them,
-// certificates are checked, so that a process that starts has what it needs.
+// What applies to a whole service is not a setting; it is part of the service document
+// (package docs). Settings are read once at the start, together with the key files, and
+// certificates are checked, so that a process that starts has everything it needs.
 //
 // # Usage
 //
@@ -26,52 +26,52 @@
 // KeySize is the length of a key in bytes.
 const KeySize = 32
 
-// Key is the material that connection IDs and request keys are sealed with.
+// Key is a secret key with which connection IDs and request keys are sealed.
 type Key [KeySize]byte
 
-// String hides the key, so that none gets into a log.
+// String hides the key, so that keys are never written to a log.
 func (Key) String() string { return "(key)" }
 
 // GoString hides the key.
 func (Key) GoString() string { return "(key)" }
 
-// Settings is one settings file. Exactly one of Entry and Agent is set. Nobody
-// changes it.
+// Settings holds the contents of one settings file. Exactly one of Entry and Agent is set. It is
+// immutable.
 type Settings struct {
 	Process  Process
 	Platform Platform
-	Peers    []netip.AddrPort // links of processes to get documents from when the platform is down
+	Peers    []netip.AddrPort // Links of processes from which documents can be fetched while the platform is down
 	Keys     map[string]Key   // by name; documents refer to them
 	Entry    *Entry
 	Agent    *Agent
 }
 
-// Process is what every process has.
+// Process holds the settings that every process has.
 type Process struct {
-	Name     string         // one word, unique in the fleet
+	Name     string         // one word, unique among all processes
 	Domain   string         // failure domain
-	Operator netip.AddrPort // operators' HTTP
+	Operator netip.AddrPort // operators' HTTP server
 }
 
-// Platform is where documents and the list of instances are read.
+// Platform locates the platform, from which documents and the list of instances are read.
 type Platform struct {
 	Address *url.URL // http
 }
 
-// Entry is what only a process of role entry has.
+// Entry holds the settings that only entries have.
 type Entry struct {
-	Bind netip.Addr     // the ports of services are opened on it
+	Bind netip.Addr     // IP address on which the ports of services are opened
 	Link netip.AddrPort // UDP for frames, TCP for drpc
 }
 
-// Agent is what only a process of role agent has.
+// Agent holds the settings that only agents have.
 type Agent struct {
 	Service string         // name of the document
 	Server  string         // name of the server section in it
-	Listen  netip.AddrPort // the agent address in that section; UDP for frames, TCP for drpc
-	Backend *url.URL       // http, the agent's own server
+	Listen  netip.AddrPort // agent address of that section; UDP for frames, TCP for drpc
+	Backend *url.URL       // http, address of the agent's own server
 	// Sides are two addresses, UDP and TCP, by which an agent's process and its successor reach
-	// each other while both run; each takes the one that is free. None: no successor
+	// each other while both run; each binds the one that is free. If empty, no successor
 	// can be started beside this process.
 	Sides       []netip.AddrPort
 	Certificate string // path of a PEM file
--- a/internal/conf/prefs/prefs_test.go
+++ b/internal/conf/prefs/prefs_test.go
@@ -38,8 +38,8 @@
 	assert.ErrorContains(t, err, "neither [entry] nor [agent]")
 }
 
-// A process logs its settings at the start. The log goes to people who may not
-// forge connection IDs, so a key must not stand in it.
+// Guards against keys in the log, to which a process writes its settings at the start: readers of the log could
+// forge connection IDs.
 func TestKeysAreNotPrinted(t *testing.T) {
 	s, err := Load("testdata/entry.ini")
 	assert.NilError(t, err)
--- a/internal/conf/store/store.go
+++ b/internal/conf/store/store.go
@@ -1,22 +1,21 @@
 // Package store holds the service documents in force in one process.
 //
-// It exists so that one place decides which version of a document counts: the
-// highest revision that was ever offered and could be read. Offers come from
-// the platform, from other processes, late, twice and out of order; the order
-// makes no difference to what is in force in the end, and a lower revision
-// never replaces a higher one. A document that cannot be read is remembered and
-// shown, and the last good one stays in force.
+// It exists so that one place decides which version of a document is in force: the
+// highest revision that was ever offered and is valid. Offers come from
+// the platform and from other processes, possibly late, repeated and out of order. The order
+// does not affect which revision is in force in the end, and a lower revision
+// never replaces a higher one. An invalid document is kept and shown, and the
+// last valid one stays in force.
 //
-// It is not a place where documents survive: a process that restarts begins
-// empty and is filled by the platform or by other processes. It neither
-// fetches nor relays.
+// The store is not persistent: after a restart it is empty and is filled by the
+// platform or by other processes. It neither fetches nor relays documents.
 //
 // # Usage
 //
 //	s := store.New(docs.Parse)
 //	accepted, err := s.Offer("tracing-core", 7, text, "platform")
 //	view := s.View() // immutable, for readers on any goroutine
-//	entry := view.Entries["tracing-core"]
+//	document := view.Documents["tracing-core"]
 //	<-s.Changed() // closed at the next change
 package store
 
@@ -33,17 +32,17 @@
 	"mangowinch/internal/flow/order"
 )
 
-// Limits of what a process keeps, so that no platform and no peer can fill its memory.
+// Limits of what a process stores, so that neither the platform nor a peer can exhaust its memory.
 const (
-	MaxText  = 1 << 20 // bytes of one document; the platform holds no larger values
-	MaxNames = 4096    // three times the documents of the size that is planned for
+	MaxText  = 1 << 20 // bytes of one document; the platform stores no larger values
+	MaxNames = 4096    // three times the planned number of documents
 )
 
-// Errors of an offer that was turned away unread.
+// Errors of offers that are rejected without parsing.
 var (
-	ErrTooLarge = errors.New("document is over a megabyte")
-	ErrTooMany  = errors.New("too many documents")
-	ErrName     = errors.New("document has no name, or revision 0")
+	ErrTooLarge    = errors.New("document is larger than a megabyte")
+	ErrTooMany     = errors.New("too many documents")
+	ErrInvalidName = errors.New("document has no name or has revision 0")
 )
 
 var (
@@ -55,38 +54,38 @@
 	differentTotal = metrics.GetOrCreateCounter(`mangowinch_documents_refused_total{reason="different"}`)
 )
 
-// Entry is one document in force. It is never changed after it was published in a View.
-type Entry struct {
+// Document is one document in force. It is immutable once it is published in a View.
+type Document struct {
 	Name     string
 	Revision order.Revision
 	Text     []byte
 	Service  *docs.Service
-	Source   string // who offered it, for operators
+	Source   string // platform or peer that offered it, for operators
 	At       time.Time
 }
 
-// Fault is the newest revision of a document that could not be read.
+// Fault is the newest revision of a document that is invalid.
 type Fault struct {
 	Name     string
 	Revision order.Revision
 	Source   string
 	Reason   string
 	At       time.Time
-	Text     []byte // kept to be relayed and not to be fetched again
+	Text     []byte // kept so that it can be relayed and need not be fetched again
 }
 
-// View is an immutable snapshot of what is in force.
+// View is an immutable snapshot of the documents in force and the faulty ones.
 type View struct {
-	Entries map[string]*Entry
-	Faults  map[string]*Fault
+	Documents map[string]*Document
+	Faults    map[string]*Fault
 }
 
-// Revision returns the newest revision that is known of a document, in force
-// or faulty, and 0 when none is.
+// Revision returns the newest known revision of a document, in force
+// or faulty, or 0 if there is none.
 func (v *View) Revision(name string) order.Revision {
 	var n order.Revision
-	if e := v.Entries[name]; e != nil {
-		n = e.Revision
+	if d := v.Documents[name]; d != nil {
+		n = d.Revision
 	}
 	if f := v.Faults[name]; f != nil {
 		n = max(n, f.Revision)
@@ -103,16 +102,16 @@
 	changed chan struct{}
 }
 
-// New returns an empty store which reads documents with parse.
+// New returns an empty store that parses documents with parse.
 func New(parse func(file string, text []byte) (*docs.Service, error)) *Store {
 	return &Store{
 		parse:   parse,
-		view:    &View{Entries: map[string]*Entry{}, Faults: map[string]*Fault{}},
+		view:    &View{Documents: map[string]*Document{}, Faults: map[string]*Fault{}},
 		changed: make(chan struct{}),
 	}
 }
 
-// View returns what is in force now.
+// View returns the current snapshot.
 func (s *Store) View() *View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,24 +126,24 @@
 	return s.changed
 }
 
-// Offer hands in a version of a document. It is accepted when it is newer than
-// the one in force and can be read. An older or equal revision is no error:
-// that is how relays, restarts and stale platforms look. A version that cannot
-// be read gives an error, is kept as a Fault, and leaves what is in force.
+// Offer offers a version of a document to the store. It is accepted if it is newer than
+// the one in force and valid. An older or equal revision is not an error, since
+// relays, restarts and stale platforms cause such offers. An invalid version
+// returns an error and is kept as a Fault; the version in force stays.
 func (s *Store) Offer(name string, revision order.Revision, text []byte, source string) (accepted bool, err error) {
 	defer func() { err = errors.Wrapf(err, "document %q revision %s from %s", name, revision, source) }()
 	if name == "" || revision == 0 {
 		limitTotal.Inc()
-		return false, ErrName
+		return false, ErrInvalidName
 	}
 	if len(text) > MaxText {
 		limitTotal.Inc()
 		return false, ErrTooLarge
 	}
-	if !s.wanted(name, revision, text) {
+	if !s.needsParsing(name, revision, text) {
 		return false, nil
 	}
-	text = append([]byte{}, text...) // never nil, which stands for "no such revision"
+	text = append([]byte{}, text...) // never nil, which needsParsing takes for "revision not known"
 	service, err := s.parse(name+".ini", text)
 	if err == nil && service.Name != name {
 		err = errors.Newf("the document is named %q by the platform and %q inside", name, service.Name)
@@ -152,42 +151,43 @@
 	return s.publish(name, revision, text, source, service, err)
 }
 
-// wanted spares the parsing of what will not be taken. A revision between the
-// one in force and a newer faulty one is wanted: a process that got the faulty
-// one first must end up where the others are, on the newest that can be read.
-func (s *Store) wanted(name string, revision order.Revision, text []byte) bool {
+// needsParsing reports whether an offer may be accepted, so that others are not parsed. A revision between the
+// one in force and a newer faulty one is parsed: a process that received the faulty
+// one first must end up with the same revision as the others, the newest valid one.
+func (s *Store) needsParsing(name string, revision order.Revision, text []byte) bool {
 	v := s.View()
-	var same []byte
-	if e := v.Entries[name]; e != nil {
-		if revision < e.Revision {
+	var known []byte
+	if d := v.Documents[name]; d != nil {
+		if revision < d.Revision {
 			staleTotal.Inc()
 			return false
 		}
-		if revision == e.Revision {
-			same = e.Text
+		if revision == d.Revision {
+			known = d.Text
 		}
 	}
 	if f := v.Faults[name]; f != nil && revision == f.Revision {
-		same = f.Text
+		known = f.Text
 	}
-	if same == nil {
+	if known == nil {
 		return true
 	}
-	if bytes.Equal(same, text) {
+	if bytes.Equal(known, text) {
 		sameTotal.Inc()
 	} else {
-		// Two texts under one revision can only be a fault of the platform. The first
-		// one seen stays, so that this process at least doesn't swing between them.
+		// Two texts with the same revision can only be a fault of the platform. The first
+		// one received stays, so that this process doesn't alternate between them.
 		differentTotal.Inc()
 	}
 	return false
 }
 
-// publish decides under the lock, since another offer may have come in while this one was parsed.
+// publish decides on the offer under the lock, since another one may have been accepted while this one was parsed, and
+// publishes the new View.
 func (s *Store) publish(name string, revision order.Revision, text []byte, source string, service *docs.Service, fault error) (bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if e := s.view.Entries[name]; e != nil && revision <= e.Revision {
+	if d := s.view.Documents[name]; d != nil && revision <= d.Revision {
 		staleTotal.Inc()
 		return false, nil
 	}
@@ -195,17 +195,17 @@
 		invalidTotal.Inc()
 		return false, fault
 	}
-	if s.view.Revision(name) == 0 && len(s.view.Entries)+len(s.view.Faults) >= MaxNames {
+	if s.view.Revision(name) == 0 && len(s.view.Documents)+len(s.view.Faults) >= MaxNames {
 		limitTotal.Inc()
 		return false, ErrTooMany
 	}
-	next := &View{Entries: maps.Clone(s.view.Entries), Faults: maps.Clone(s.view.Faults)}
+	next := &View{Documents: maps.Clone(s.view.Documents), Faults: maps.Clone(s.view.Faults)}
 	if fault != nil {
 		invalidTotal.Inc()
 		next.Faults[name] = &Fault{Name: name, Revision: revision, Source: source, Reason: fault.Error(), At: time.Now(), Text: text}
 	} else {
 		acceptedTotal.Inc()
-		next.Entries[name] = &Entry{Name: name, Revision: revision, Text: text, Service: service, Source: source, At: time.Now()}
+		next.Documents[name] = &Document{Name: name, Revision: revision, Text: text, Service: service, Source: source, At: time.Now()}
 		if f := next.Faults[name]; f != nil && f.Revision < revision {
 			delete(next.Faults, name)
 		}
--- a/internal/conf/store/store_test.go
+++ b/internal/conf/store/store_test.go
@@ -14,7 +14,7 @@
 	"mangowinch/internal/flow/order"
 )
 
-// parse reads documents of the form "NAME anything"; "bad" in the text makes it faulty.
+// parse parses documents of the form "NAME anything"; a document with "bad" in its text is faulty.
 func parse(file string, text []byte) (*docs.Service, error) {
 	name, rest, _ := strings.Cut(string(text), " ")
 	if strings.Contains(rest, "bad") {
@@ -23,9 +23,9 @@
 	return &docs.Service{Name: name}, nil
 }
 
-// A team accepts a document with a slip in it. Callers must see no change: the
-// last good revision stays in force, the slip is shown, and the next good
-// revision replaces both.
+// Guards against a faulty document that takes effect or hides itself: the
+// last valid revision must stay in force, the fault must be shown, and the next valid
+// revision must replace both.
 func TestFaultyDocumentLeavesTheLastGoodOne(t *testing.T) {
 	s := store.New(parse)
 	accepted, err := s.Offer("tracing-core", 3, []byte("tracing-core three"), "platform")
@@ -36,7 +36,7 @@
 	assert.ErrorContains(t, err, "tracing-core.ini: faulty")
 	assert.Assert(t, !accepted)
 	<-changed
-	assert.Equal(t, s.View().Entries["tracing-core"].Revision, order.Revision(3))
+	assert.Equal(t, s.View().Documents["tracing-core"].Revision, order.Revision(3))
 	assert.Equal(t, s.View().Faults["tracing-core"].Revision, order.Revision(4))
 	assert.Equal(t, s.View().Revision("tracing-core"), order.Revision(4))
 	accepted, err = s.Offer("tracing-core", 5, []byte("tracing-core five"), "e2")
@@ -45,14 +45,13 @@
 	assert.Equal(t, len(s.View().Faults), 0)
 }
 
-// A document gets into the wrong drawer: under the name of one service the
-// platform serves the text of another. Traffic of the one would reach servers
-// of the other, so it's not taken.
+// Guards against traffic of one service that reaches the servers of another, because the platform
+// serves the document of one service under the name of the other. Such a document must be rejected.
 func TestDocumentOfAnotherServiceIsRefused(t *testing.T) {
 	s := store.New(parse)
 	_, err := s.Offer("doc-intake", 1, []byte("tracing-core one"), "platform")
 	assert.ErrorContains(t, err, `"tracing-core" inside`)
-	assert.Equal(t, len(s.View().Entries), 0)
+	assert.Equal(t, len(s.View().Documents), 0)
 }
 
 func TestLimits(t *testing.T) {
@@ -60,7 +59,7 @@
 	_, err := s.Offer("a", 1, make([]byte, store.MaxText+1), "p")
 	assert.ErrorIs(t, err, store.ErrTooLarge)
 	_, err = s.Offer("", 1, nil, "p")
-	assert.ErrorIs(t, err, store.ErrName)
+	assert.ErrorIs(t, err, store.ErrInvalidName)
 	for n := range store.MaxNames {
 		name := fmt.Sprint("s", n)
 		_, err := s.Offer(name, 1, []byte(name), "p")
@@ -70,9 +69,9 @@
 	assert.ErrorIs(t, err, store.ErrTooMany)
 }
 
-// Offers come late, twice, crossed and with faults in them. After any order of
-// them the newest good revision is in force, and on the way no revision was
-// ever replaced by a lower one.
+// Offers are late, repeated, out of order and faulty. After any sequence of
+// offers the newest valid revision must be in force, and no revision may
+// be replaced by a lower one in between.
 func TestNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := store.New(parse)
@@ -93,7 +92,7 @@
 				assert.Assert(t, faulty[number-1])
 			}
 			var now order.Revision
-			if e := s.View().Entries["svc"]; e != nil {
+			if e := s.View().Documents["svc"]; e != nil {
 				now = e.Revision
 			}
 			assert.Assert(t, now >= last, "went back from %d to %d", last, now)
--- a/internal/conf/strict/fault.go
+++ b/internal/conf/strict/fault.go
@@ -5,30 +5,30 @@
 	"strings"
 )
 
-// Problem is the sort of a fault.
+// Problem is the kind of a fault.
 type Problem string
 
-// The sorts of fault.
+// The kinds of faults.
 const (
-	Syntax    Problem = "syntax"    // the text is no INI
-	Missing   Problem = "missing"   // a section or key that must be there is not
-	Unknown   Problem = "unknown"   // a section or key that has no meaning
-	Duplicate Problem = "duplicate" // a thing that may be there once is there again
-	Invalid   Problem = "invalid"   // a value that cannot be used
+	Syntax    Problem = "syntax"    // the text is not valid INI
+	Missing   Problem = "missing"   // a required section or key is missing
+	Unknown   Problem = "unknown"   // a section or key that the program does not know
+	Duplicate Problem = "duplicate" // a section, key or value that must be unique is repeated
+	Invalid   Problem = "invalid"   // a value that is not allowed
 )
 
-// Fault is one thing that is wrong with a file.
+// Fault is one error in a file.
 type Fault struct {
-	File    string // as handed to Read
-	Section string // "" when the fault is with the file as a whole
-	Key     string // "" when the fault is with the section as a whole
+	File    string // as given to Read
+	Section string // "" if the fault concerns the whole file
+	Key     string // "" if the fault concerns the whole section
 	Problem Problem
-	Detail  string // for people
+	Detail  string // human-readable explanation
 
-	place int // of the section in the file, so that faults are listed from top to bottom
+	position int // of the section in the file; faults are sorted by it
 }
 
-// Error returns the fault as one line that names file, section and key.
+// Error returns the fault as one line with the file, section and key.
 func (f Fault) Error() string {
 	var b strings.Builder
 	b.WriteString(f.File + ":")
@@ -48,22 +48,22 @@
 	return b.String()
 }
 
-// Faults is all that is wrong with a file, from top to bottom. It is never empty
+// Faults lists all errors in a file, in the order of their sections. It is never empty
 // when used as an error.
 type Faults []Fault
 
-// maxLines bounds the text of an error, which goes into logs and /status. A document
-// of a megabyte can hold some hundred thousand faults. Whoever mends it goes through
-// the Faults themselves.
-const maxLines = 100
+// maxErrorLines limits the length of the error text, which is written to logs and /status: a document
+// of one megabyte can have some hundred thousand faults. Callers that need all of them iterate over
+// the Faults.
+const maxErrorLines = 100
 
-// Error returns one line for each of the first faults, and how many more there are.
+// Error returns one line for each of the first maxErrorLines faults, and the number of the remaining ones.
 func (f Faults) Error() string {
 	var lines []string
-	for _, x := range f[:min(len(f), maxLines)] {
+	for _, x := range f[:min(len(f), maxErrorLines)] {
 		lines = append(lines, x.Error())
 	}
-	if more := len(f) - maxLines; more > 0 {
+	if more := len(f) - maxErrorLines; more > 0 {
 		lines = append(lines, fmt.Sprintf("and %d more", more))
 	}
 	return strings.Join(lines, "\n")
--- a/internal/conf/strict/strict.go
+++ b/internal/conf/strict/strict.go
@@ -1,12 +1,12 @@
-// Package strict reads INI text and lists everything that is wrong with it.
+// Package strict parses INI text and reports all errors in it.
 //
 // Service documents and settings follow the same rules: a section or key that
-// nobody asks for is a fault, and so is whatever stands twice. The fleet follows a
-// document within seconds, so a slip of the pen has to stop at the check, and a
-// person who mends a file has to see all its faults at once rather than one a try.
+// the program does not read is a fault, and so is a repeated one. All processes apply a
+// document within seconds, so a typing error must be found by validation, and the
+// author of a file must see all of its faults at once instead of one per attempt.
 //
-// The package knows no section and no key of its own. What is known follows from
-// what is asked: whatever was never asked for is unknown.
+// The package defines no sections or keys. A section or key is known if the
+// program reads it; the ones that are never read are reported as unknown.
 //
 // # Usage
 //
@@ -27,13 +27,13 @@
 	"gopkg.in/ini.v1"
 )
 
-// maxText is the size in bytes over which a text is refused unread. The platform
-// holds values up to a megabyte, so nothing larger can be a document.
-const maxText = 1 << 20
+// maxSize is the size in bytes above which a text is rejected without parsing. The platform
+// stores values of at most a megabyte, so a larger text cannot be a document.
+const maxSize = 1 << 20
 
-var word = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
+var wordPattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
-// File is a text being read. It is for one goroutine.
+// File is a parsed text whose sections are being read. It is not safe for concurrent use.
 type File struct {
 	name     string
 	sections []*Section
@@ -45,21 +45,21 @@
 	Kind string // first word of the heading
 	Name string // second word, "" if there is none
 
-	file    *File
-	place   int // from 1, from top to bottom; 0 stands for the file as a whole
-	claimed bool
-	absent  bool // stands for a section that is not there; its keys are not reported
-	values  map[string]string
-	keys    []string // in the order of the file
-	asked   map[string]bool
+	file     *File
+	position int // in the file, counted from 1; 0 means the whole file
+	used     bool
+	absent   bool // placeholder for a missing section; no faults of its keys are reported
+	values   map[string]string
+	keys     []string // in file order
+	usedKeys map[string]bool
 }
 
-// Read parses text. File is the name that faults carry. What is wrong with the
-// text itself is reported by Err, like every other fault.
+// Read parses text. The name file appears in faults. Syntax errors are
+// reported by Err, like all other faults.
 func Read(file string, text []byte) *File {
 	f := &File{name: file}
-	if len(text) > maxText {
-		f.add(nil, "", Invalid, "larger than a megabyte")
+	if len(text) > maxSize {
+		f.addFault(nil, "", Invalid, "larger than a megabyte")
 		return f
 	}
 	options := ini.LoadOptions{
@@ -73,67 +73,67 @@
 	}
 	parsed, err := ini.LoadSources(options, text)
 	if err != nil {
-		f.add(nil, "", Syntax, strings.TrimSpace(err.Error()))
-		// The rest is still read, so that its faults are listed too.
+		f.addFault(nil, "", Syntax, strings.TrimSpace(err.Error()))
+		// The remaining lines are parsed nevertheless, so that their faults are listed too.
 		options.SkipUnrecognizableLines = true
 		if parsed, err = ini.LoadSources(options, text); err != nil {
 			return f
 		}
 	}
 	for _, s := range parsed.Sections() {
-		f.take(s)
+		f.addSection(s)
 	}
 	return f
 }
 
-// take copies one parsed section and reports what stands twice in it.
-func (f *File) take(from *ini.Section) {
+// addSection copies one parsed section and reports repeated keys in it.
+func (f *File) addSection(from *ini.Section) {
 	if from.Name() == ini.DefaultSection && len(from.Keys()) == 0 {
 		return
 	}
 	kind, name, _ := strings.Cut(from.Name(), " ")
 	s := &Section{
-		Kind:   kind,
-		Name:   strings.TrimSpace(name),
-		file:   f,
-		place:  len(f.sections) + 1,
-		values: map[string]string{},
-		asked:  map[string]bool{},
+		Kind:     kind,
+		Name:     strings.TrimSpace(name),
+		file:     f,
+		position: len(f.sections) + 1,
+		values:   map[string]string{},
+		usedKeys: map[string]bool{},
 	}
 	for _, k := range from.Keys() {
 		s.keys = append(s.keys, k.Name())
 		s.values[k.Name()] = k.Value()
 		if len(k.ValueWithShadows()) > 1 {
-			f.add(s, k.Name(), Duplicate, "")
+			f.addFault(s, k.Name(), Duplicate, "")
 		}
 	}
 	f.sections = append(f.sections, s)
 }
 
-// One returns the only section of a kind that has no name. If there is none the
-// fault is reported and the section that is returned reports nothing more.
+// One returns the section of a kind that must be present exactly once and has no name. If it is missing,
+// a fault is added and a placeholder is returned that adds no further faults.
 func (f *File) One(kind string) *Section {
 	if s, ok := f.Maybe(kind); ok {
 		return s
 	}
-	f.add(&Section{Kind: kind}, "", Missing, "")
-	return &Section{Kind: kind, file: f, absent: true, asked: map[string]bool{}}
+	f.addFault(&Section{Kind: kind}, "", Missing, "")
+	return &Section{Kind: kind, file: f, absent: true, usedKeys: map[string]bool{}}
 }
 
-// Maybe is One for a section that need not be there.
+// Maybe is like One for an optional section. It reports whether the section is present.
 func (f *File) Maybe(kind string) (*Section, bool) {
 	var first *Section
 	for _, s := range f.sections {
 		if s.Kind != kind {
 			continue
 		}
-		s.claimed = true
+		s.used = true
 		if s.Name != "" {
-			f.add(s, "", Invalid, "this section takes no name")
+			f.addFault(s, "", Invalid, "this section takes no name")
 		}
 		if first != nil {
-			f.add(s, "", Duplicate, "")
-			s.askAll()
+			f.addFault(s, "", Duplicate, "")
+			s.useAllKeys()
 			continue
 		}
 		first = s
@@ -141,20 +141,20 @@
 	return first, first != nil
 }
 
-// Each returns the named sections of a kind in the order of the file. Names that
-// are no single word or stand twice are reported.
+// Each returns the named sections of a kind in file order. It adds faults for names that
+// are not a single word and for repeated names.
 func (f *File) Each(kind string) (found []*Section) {
 	seen := map[string]bool{}
 	for _, s := range f.sections {
 		if s.Kind != kind {
 			continue
 		}
-		s.claimed = true
+		s.used = true
 		switch {
-		case !word.MatchString(s.Name):
-			f.add(s, "", Invalid, "the name must be one word of a-z, 0-9 and '-'")
+		case !wordPattern.MatchString(s.Name):
+			f.addFault(s, "", Invalid, "the name must be one word of a-z, 0-9 and '-'")
 		case seen[s.Name]:
-			f.add(s, "", Duplicate, "")
+			f.addFault(s, "", Duplicate, "")
 		}
 		seen[s.Name] = true
 		found = append(found, s)
@@ -162,50 +162,50 @@
 	return found
 }
 
-// Err returns nil, or Faults with everything that is wrong, unknown sections and
-// keys included. It is called once everything has been asked for.
+// Err returns nil, or Faults with all faults, including unknown sections and
+// keys. It is called once, after all sections and keys have been read.
 func (f *File) Err() error {
 	for _, s := range f.sections {
-		if !s.claimed {
-			f.add(s, "", Unknown, "")
+		if !s.used {
+			f.addFault(s, "", Unknown, "")
 			continue
 		}
 		for _, k := range s.keys {
-			if !s.asked[k] {
-				f.add(s, k, Unknown, "")
+			if !s.usedKeys[k] {
+				f.addFault(s, k, Unknown, "")
 			}
 		}
 	}
 	if len(f.faults) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(f.faults, func(a, b Fault) int { return a.place - b.place })
+	slices.SortStableFunc(f.faults, func(a, b Fault) int { return a.position - b.position })
 	return f.faults
 }
 
-func (f *File) add(s *Section, key string, problem Problem, detail string) {
+func (f *File) addFault(s *Section, key string, problem Problem, detail string) {
 	fault := Fault{File: f.name, Key: key, Problem: problem, Detail: detail}
 	if s != nil {
 		fault.Section = s.String()
-		fault.place = s.place
+		fault.position = s.position
 	}
 	f.faults = append(f.faults, fault)
 }
 
-// Fault reports a fault with the file as a whole.
+// Fault adds a fault that concerns the whole file.
 func (f *File) Fault(problem Problem, detail string) {
-	f.add(nil, "", problem, detail)
+	f.addFault(nil, "", problem, detail)
 }
 
-// Fault reports a fault that the caller found with a key, or with the section as
-// a whole if key is "".
+// Fault adds a fault that the caller found in the value of a key, or in the whole
+// section if key is "".
 func (s *Section) Fault(key string, problem Problem, detail string) {
 	if !s.absent {
-		s.file.add(s, key, problem, detail)
+		s.file.addFault(s, key, problem, detail)
 	}
 }
 
-// String returns the heading without its brackets.
+// String returns the heading without the brackets.
 func (s *Section) String() string {
 	if s.Name == "" {
 		return s.Kind
@@ -213,8 +213,8 @@
 	return s.Kind + " " + s.Name
 }
 
-func (s *Section) askAll() {
+func (s *Section) useAllKeys() {
 	for _, k := range s.keys {
-		s.asked[k] = true
+		s.usedKeys[k] = true
 	}
 }
--- a/internal/conf/strict/value.go
+++ b/internal/conf/strict/value.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// Each function below returns the value of a key that must be there. A value that
-// is missing or cannot be used is reported and comes back as the zero value.
+// Each method below except Has returns the value of a required key. If the value
+// is missing or invalid, the method adds a fault and returns the zero value.
 
-// Has says whether the key is there. Keys that may be left out are asked for only
-// if they are there.
+// Has reports whether the key is present. Optional keys are read only if Has
+// returns true.
 func (s *Section) Has(key string) bool {
-	s.asked[key] = true
+	s.usedKeys[key] = true
 	_, ok := s.values[key]
 	return ok
 }
 
-// Text returns the value as it stands.
+// Text returns the value unchanged. An empty value is a fault.
 func (s *Section) Text(key string) string {
 	if !s.Has(key) {
 		s.Fault(key, Missing, "")
@@ -33,25 +33,25 @@
 	return text
 }
 
-// Word returns one word of a-z, 0-9 and '-'.
+// Word returns a single word of a-z, 0-9 and '-'.
 func (s *Section) Word(key string) string {
 	text := s.Text(key)
 	if text == "" {
 		return ""
 	}
-	if !word.MatchString(text) {
+	if !wordPattern.MatchString(text) {
 		s.Fault(key, Invalid, fmt.Sprintf("%q is not one word of a-z, 0-9 and '-'", text))
 		return ""
 	}
 	return text
 }
 
-// Words returns the words of a list that commas separate. None may stand twice.
+// Words returns the words of a comma-separated list. Repeated words are a fault.
 func (s *Section) Words(key string) (words []string) {
 	seen := map[string]bool{}
 	for _, text := range s.List(key) {
 		switch {
-		case !word.MatchString(text):
+		case !wordPattern.MatchString(text):
 			s.Fault(key, Invalid, fmt.Sprintf("%q is not one word of a-z, 0-9 and '-'", text))
 		case seen[text]:
 			s.Fault(key, Duplicate, text)
@@ -63,7 +63,7 @@
 	return words
 }
 
-// List returns the parts of a list that commas separate, at least one.
+// List returns the parts of a comma-separated list, at least one.
 func (s *Section) List(key string) (parts []string) {
 	text := s.Text(key)
 	if text == "" {
@@ -75,7 +75,7 @@
 	return parts
 }
 
-// Integer returns a whole number from low to high, both included.
+// Integer returns an integer from low to high, both inclusive.
 func (s *Section) Integer(key string, low, high int64) int64 {
 	text := s.Text(key)
 	if text == "" {
@@ -89,7 +89,7 @@
 	return n
 }
 
-// Duration returns a time that is over zero. It needs a unit.
+// Duration returns a positive duration. The value must have a unit.
 func (s *Section) Duration(key string) time.Duration {
 	text := s.Text(key)
 	if text == "" {
@@ -103,19 +103,19 @@
 	return d
 }
 
-// rates are the units of Rate, in bytes a second.
-var rates = []struct {
+// rateUnits are the units of Rate, in bytes per second.
+var rateUnits = []struct {
 	unit  string
 	bytes float64
 }{{"kbit", 1e3 / 8}, {"Mbit", 1e6 / 8}, {"Gbit", 1e9 / 8}}
 
-// Rate returns the bytes a second of a rate over zero. It needs a unit.
+// Rate returns a positive rate in bytes per second. The value must have a unit.
 func (s *Section) Rate(key string) float64 {
 	text := s.Text(key)
 	if text == "" {
 		return 0
 	}
-	for _, r := range rates {
+	for _, r := range rateUnits {
 		if digits, ok := strings.CutSuffix(text, r.unit); ok {
 			if n, err := strconv.ParseFloat(digits, 64); err == nil && n > 0 && !math.IsInf(n, 0) {
 				return n * r.bytes
@@ -141,12 +141,12 @@
 	return ""
 }
 
-// Yes returns whether the value is yes rather than no.
-func (s *Section) Yes(key string) bool {
+// Bool returns true if the value is yes and false if it is no.
+func (s *Section) Bool(key string) bool {
 	return s.Choice(key, "yes", "no") == "yes"
 }
 
-// Addr returns an IP number that is not the unspecified one.
+// Addr returns an IP address that is not the unspecified one.
 func (s *Section) Addr(key string) netip.Addr {
 	text := s.Text(key)
 	if text == "" {
@@ -160,7 +160,7 @@
 	return a
 }
 
-// AddrPort returns an IP number and a port that is not 0.
+// AddrPort returns an IP address with a port that is not 0.
 func (s *Section) AddrPort(key string) netip.AddrPort {
 	text := s.Text(key)
 	if text == "" {
@@ -169,7 +169,7 @@
 	return s.addrPort(key, text)
 }
 
-// AddrPorts returns a list of IP numbers with ports. None may stand twice.
+// AddrPorts returns a list of IP addresses with ports. Repeated elements are a fault.
 func (s *Section) AddrPorts(key string) (list []netip.AddrPort) {
 	seen := map[netip.AddrPort]bool{}
 	for _, text := range s.List(key) {
--- a/internal/ctrl/relay/beat.go
+++ b/internal/ctrl/relay/beat.go
@@ -67,7 +67,7 @@
 
 // silent fits the mates to the document and returns those to whom a heartbeat is due.
 func (n *Node) silent() []Mate {
-	e := n.Store.View().Entries[n.Service]
+	e := n.Store.View().Documents[n.Service]
 	if e == nil {
 		return nil
 	}
@@ -158,7 +158,7 @@
 	view := n.Store.View()
 	own := digest.Know(view, n.Service)
 	p := &wire.Pulse{Service: n.Service, Revision: uint64(own.Revision), Newest: uint64(own.Newest)}
-	if e := view.Entries[n.Service]; e != nil {
+	if e := view.Documents[n.Service]; e != nil {
 		for _, s := range e.Service.Servers {
 			if s.Name == n.Server {
 				p.Server = s.ID
--- a/internal/ctrl/relay/poll.go
+++ b/internal/ctrl/relay/poll.go
@@ -79,7 +79,7 @@
 		n.mu.Lock()
 		lost := time.Since(n.polled) > pollGiveUp && n.Rand.IntN(pollChance) == 0
 		n.mu.Unlock()
-		if n.Store.View().Entries[n.Service] != nil && !lost {
+		if n.Store.View().Documents[n.Service] != nil && !lost {
 			continue
 		}
 		document, err := n.Platform.Document(ctx, n.Service)
--- a/internal/ctrl/scale/fleet.go
+++ b/internal/ctrl/scale/fleet.go
@@ -232,7 +232,7 @@
 
 // Full says whether a process has all the documents that it is to have.
 func (f *Fleet) Full(p *Process) bool {
-	have := len(p.Store.View().Entries)
+	have := len(p.Store.View().Documents)
 	if p.Service != "" {
 		return have == 1
 	}
@@ -245,7 +245,7 @@
 	for _, p := range processes {
 		for !f.Full(p) {
 			if time.Since(start) > limit {
-				return limit, errors.Newf("%s has %d documents after %v", p.Member.Name, len(p.Store.View().Entries), limit)
+				return limit, errors.Newf("%s has %d documents after %v", p.Member.Name, len(p.Store.View().Documents), limit)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
--- a/internal/ctrl/scale/measure.go
+++ b/internal/ctrl/scale/measure.go
@@ -118,7 +118,7 @@
 func (f *Fleet) reach(p *Process, document int, revision order.Revision, start time.Time) bool {
 	for time.Since(start) < giveUp {
 		changed := p.Store.Changed()
-		if e := p.Store.View().Entries[name(document)]; e != nil && e.Revision >= revision {
+		if e := p.Store.View().Documents[name(document)]; e != nil && e.Revision >= revision {
 			return true
 		}
 		timer := time.NewTimer(giveUp - time.Since(start))
