--- a/internal/conf/carry/carry_test.go
+++ b/internal/conf/carry/carry_test.go
@@ -26,7 +26,7 @@
 }
 
 // Behind address translation, a process binds another address than the one to which other processes send.
-func TestLinkMayBeOpenedElsewhere(t *testing.T) {
+func TestLinkMayBeBoundToAnotherAddress(t *testing.T) {
 	text, err := os.ReadFile("testdata/agent.ini")
 	assert.NilError(t, err)
 	s, err := parse("agent.ini", bytes.Replace(text, []byte("[link]\n"), []byte("[link]\nbind = 127.0.0.9:7000\n"), 1))
--- a/internal/conf/certs/certs_test.go
+++ b/internal/conf/certs/certs_test.go
@@ -97,7 +97,7 @@
 	})
 }
 
-func TestOpenRefusesABadPair(t *testing.T) {
+func TestOpenRejectsAnInvalidPair(t *testing.T) {
 	directory := t.TempDir()
 	_, err := openPair(directory)
 	assert.ErrorContains(t, err, "no such file")
--- a/internal/conf/docs/docs_test.go
+++ b/internal/conf/docs/docs_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestParseRefusesLargeTextUnread(t *testing.T) {
+func TestParseRejectsLargeText(t *testing.T) {
 	_, err := Parse("large.ini", []byte(strings.Repeat("; comment\n", 200_000)))
 	assert.ErrorContains(t, err, "larger than a megabyte")
 }
--- a/internal/conf/prefs/prefs_test.go
+++ b/internal/conf/prefs/prefs_test.go
@@ -31,7 +31,7 @@
 	golden.Assert(t, faults.Error()+"\n", "bad.golden")
 }
 
-func TestLoadWantsARole(t *testing.T) {
+func TestLoadRequiresARole(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "none.ini")
 	assert.NilError(t, os.WriteFile(path, []byte("[process]\nname = e1\n"), 0o600))
 	_, err := Load(path)
--- a/internal/oper/admin/admin_test.go
+++ b/internal/oper/admin/admin_test.go
@@ -76,7 +76,7 @@
 	})
 }
 
-func TestNothingCanBeChanged(t *testing.T) {
+func TestServerIsReadOnly(t *testing.T) {
 	w := httptest.NewRecorder()
 	New(netip.AddrPort{}, zerolog.Nop()).Handler().ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/status", nil))
 	assert.Equal(t, w.Code, http.StatusMethodNotAllowed)
--- a/internal/oper/event/event_test.go
+++ b/internal/oper/event/event_test.go
@@ -31,7 +31,7 @@
 }
 
 // Guards against processes that sample different flows: the path of a flow could then not be followed across processes.
-func TestSamplingIsByTheFlow(t *testing.T) {
+func TestProcessesSampleTheSameFlows(t *testing.T) {
 	a, b := New(io.Discard, "entry", "e1"), New(io.Discard, "agent", "a1")
 	defer a.Close()
 	defer b.Close()
@@ -47,7 +47,7 @@
 }
 
 // Guards against a flood of refusals that becomes a flood of lines, and against omitted lines that are not reported.
-func TestLinesAreBoundedAndTheRestIsSaid(t *testing.T) {
+func TestLinesAreBoundedAndOmissionsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		l := New(&out, "entry", "e1")
@@ -72,7 +72,7 @@
 
 // Guards against logging that blocks the handling of packets: the reader of the process's output hangs, and its writes
 // block.
-func TestStuckOutputBlocksNobody(t *testing.T) {
+func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := blockedWriter{make(chan struct{})}
 		l := New(w, "entry", "e1")
--- a/internal/oper/known/known_test.go
+++ b/internal/oper/known/known_test.go
@@ -85,7 +85,7 @@
 `)
 }
 
-func TestShowHidesWhatPassed(t *testing.T) {
+func TestShowHidesPassedTests(t *testing.T) {
 	var b bytes.Buffer
 	assert.NilError(t, Show(strings.NewReader(`{"Action":"output","Package":"p","Test":"TestA","Output":"quiet\n"}
 {"Action":"pass","Package":"p","Test":"TestA"}
--- a/internal/oper/pages/names_test.go
+++ b/internal/oper/pages/names_test.go
@@ -137,15 +137,15 @@
 	golden.Assert(t, sortedLines(lines), "lines.golden")
 }
 
-// metricNames returns the string literals that contain metric names, and for each the words that complete it: the string
-// arguments of the functions that contain the literal.
+// metricNames returns the string literals that begin with the metric prefix, and for each of them the words that complete
+// it: the string literals that are assigned in the function that contains it, or passed to that function.
 func metricNames(files []*ast.File) (lines []string) {
 	metricsByFunc := map[string][]string{} // function name to the metrics that it counts
 	for name, bodies := range declsByFunc(files) {
 		for _, d := range bodies {
-			findMetrics(d, name, func(maker, metric string) {
+			findMetrics(d, name, func(function, metric string) {
 				lines = append(lines, metric)
-				metricsByFunc[maker] = append(metricsByFunc[maker], metric)
+				metricsByFunc[function] = append(metricsByFunc[function], metric)
 			})
 		}
 	}
--- a/internal/oper/verbs/verbs_test.go
+++ b/internal/oper/verbs/verbs_test.go
@@ -134,7 +134,7 @@
 		"tracing-core: revision 3 at e3\ntracing-core: revision 4 at e1, e2\n")
 }
 
-func TestCertifyKeepsWhatIsThere(t *testing.T) {
+func TestCertifyKeepsExistingFiles(t *testing.T) {
 	directory := certifiedDir(t)
 	before, err := os.ReadFile(filepath.Join(directory, "k1.key"))
 	assert.NilError(t, err)
@@ -223,7 +223,7 @@
 
 // Guards against a process that runs in the wrong role because a start script mixed up two settings files. It must
 // exit immediately and report the missing section.
-func TestRolesWantTheirSettings(t *testing.T) {
+func TestRolesRequireTheirSettings(t *testing.T) {
 	directory := certifiedDir(t)
 	assert.NilError(t, os.CopyFS(directory, os.DirFS("testdata/check")))
 	code, _, err := run("entry", "--settings", filepath.Join(directory, "agent.ini"))
