--- a/internal/ctrl/relay/fault_test.go
+++ b/internal/ctrl/relay/fault_test.go
@@ -202,7 +202,7 @@
 			f.kill(f.processes[linkOf(n)])
 		}
 		one := f.processes[agentLink(3)]
-		assert.Equal(t, len(one.Mates()), 6)
+		assert.Equal(t, len(one.PeerAgents()), 6)
 		_, err := one.store.Offer("tracing-core", 2, []byte("tracing-core servers=7 two"), "platform")
 		assert.NilError(t, err)
 		t.Logf("in force everywhere after %v", f.within(inForce, "tracing-core", 2))
--- a/internal/ctrl/relay/tell.go
+++ b/internal/ctrl/relay/tell.go
@@ -118,12 +118,12 @@
 	}
 	for name, e := range now.Documents {
 		if before.Documents[name] != e {
-			items = append(items, digest.Know(now, name))
+			items = append(items, digest.ItemOf(now, name))
 		}
 	}
 	for name, f := range now.Faults {
 		if before.Faults[name] != f && before.Documents[name] == now.Documents[name] {
-			items = append(items, digest.Know(now, name))
+			items = append(items, digest.ItemOf(now, name))
 		}
 	}
 	return items
--- a/internal/ctrl/scale/measure.go
+++ b/internal/ctrl/scale/measure.go
@@ -75,10 +75,10 @@
 	return float64(m.HeapAlloc + m.StackInuse)
 }
 
-// Spread makes changes with a pause between them, and returns how long each took to be in
+// MeasureSpread makes changes with a pause between them, and returns how long each took to be in
 // force at each process that is to have it. By one says that only one entry sees it at
 // the platform, which is down from then on.
-func (f *Fleet) Spread(changes int, pause time.Duration, byOne bool) []time.Duration {
+func (f *Fleet) MeasureSpread(changes int, pause time.Duration, byOne bool) []time.Duration {
 	var mu sync.Mutex
 	var all []time.Duration
 	for change := range changes {
