--- a/internal/conf/prefs/prefs_test.go
+++ b/internal/conf/prefs/prefs_test.go
@@ -31,15 +31,15 @@
 	golden.Assert(t, faults.Error()+"\n", "bad.golden")
 }
 
-func TestLoadWantsARole(t *testing.T) {
+func TestLoadRequiresARole(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "none.ini")
 	assert.NilError(t, os.WriteFile(path, []byte("[process]\nname = e1\n"), 0o600))
 	_, err := Load(path)
 	assert.ErrorContains(t, err, "neither [entry] nor [agent]")
 }
 
-// A process logs its settings at the start. The log goes to people who may not
-// forge connection IDs, so a key must not stand in it.
+// Guards against keys in the log, to which a process writes its settings at the start: readers of the log could
+// forge connection IDs.
 func TestKeysAreNotPrinted(t *testing.T) {
 	s, err := Load("testdata/entry.ini")
 	assert.NilError(t, err)
