--- a/internal/work/hand/answer.go
+++ b/internal/work/hand/answer.go
@@ -12,34 +12,34 @@
 	"mangowinch/internal/work/wire"
 )
 
-// ErrGone is what a runner gets for the answer to a request that nobody waits for.
-var ErrGone = errors.New("the answer is not wanted any more")
+// ErrAbandoned is what a runner gets for the answer to a request that nobody waits for.
+var ErrAbandoned = errors.New("the answer is not wanted any more")
 
-// downAnswer sends an answer to the sender of a request. Once the request is cancelled
+// answerSender sends an answer to the sender of a request. Once the request is cancelled
 // or past its deadline nothing more is sent: the stream may already serve another.
-type downAnswer struct {
+type answerSender struct {
 	stream interface{ Send(*wire.Down) error }
 	//nolint:containedctx // it belongs to one request, like the stream
-	ctx    context.Context
-	server *Server
-	keeper *memo.Keeper // nil if the answer is not kept
+	ctx      context.Context
+	server   *Server
+	recorder *memo.Recorder // nil if the answer is not kept
 
-	mu   sync.Mutex // the upload sends credits on the same stream
-	lost bool       // the link broke; the answer is kept all the same
+	mu     sync.Mutex // the upload sends credits on the same stream
+	broken bool       // the link broke; the answer is kept all the same
 }
 
 // Start implements Answer.
-func (a *downAnswer) Start(status int, header http.Header) error {
-	if a.keeper != nil {
-		a.keeper.Start(status, header)
+func (a *answerSender) Start(status int, header http.Header) error {
+	if a.recorder != nil {
+		a.recorder.Start(status, header)
 	}
 	return a.send(&wire.Down{Part: &wire.Down_Start{Start: &wire.Start{Status: uint32(status), Headers: encodeFields(header)}}})
 }
 
 // Write implements Answer.
-func (a *downAnswer) Write(p []byte) (n int, err error) {
-	if a.keeper != nil {
-		_, _ = a.keeper.Write(p)
+func (a *answerSender) Write(p []byte) (n int, err error) {
+	if a.recorder != nil {
+		_, _ = a.recorder.Write(p)
 	}
 	for len(p) > 0 {
 		part := p[:min(len(p), partSize)]
@@ -53,36 +53,36 @@
 
 // send passes a part on. With the link lost, an answer that is kept goes on for the
 // sender's question; any other is of no use to anybody.
-func (a *downAnswer) send(d *wire.Down) error {
+func (a *answerSender) send(d *wire.Down) error {
 	if a.ctx.Err() != nil {
 		event("late", a.server.Service)
-		return ErrGone
+		return ErrAbandoned
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.lost {
-		a.lost = a.stream.Send(d) != nil
+	if !a.broken {
+		a.broken = a.stream.Send(d) != nil
 	}
-	if a.lost && a.keeper == nil {
-		return ErrGone
+	if a.broken && a.recorder == nil {
+		return ErrAbandoned
 	}
 	return nil
 }
 
-func (a *downAnswer) credit() {
+func (a *answerSender) grantCredit() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.lost = a.lost || a.stream.Send(&wire.Down{Part: &wire.Down_Credit{Credit: 1}}) != nil
+	a.broken = a.broken || a.stream.Send(&wire.Down{Part: &wire.Down_Credit{Credit: 1}}) != nil
 }
 
-func (a *downAnswer) end(r result.Result, decided bool) error {
+func (a *answerSender) sendEnd(r result.Result, decided bool) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.stream.Send(encodeEnd(r, decided, a.server.load()))
 }
 
 // replay waits for the first outcome of an ID and gives it.
-func (a *downAnswer) replay(ctx context.Context, record *memo.Record) error {
+func (a *answerSender) replay(ctx context.Context, record *memo.Record) error {
 	select {
 	case <-record.Done():
 	case <-ctx.Done():
@@ -98,5 +98,5 @@
 			return err
 		}
 	}
-	return a.end(outcome.Result, false)
+	return a.sendEnd(outcome.Result, false)
 }
--- a/internal/work/hand/ask.go
+++ b/internal/work/hand/ask.go
@@ -13,40 +13,40 @@
 )
 
 const (
-	askTries = 6                     // with askPause doubled each time: 1.55 s in all, if the deadline allows
-	askPause = 50 * time.Millisecond // before the second try
+	maxQueries   = 6                     // with askPause doubled each time: 1.55 s in all, if the deadline allows
+	queryBackoff = 50 * time.Millisecond // before the second try
 )
 
-// lost settles a request whose link broke after its head had been sent. Only the same
+// queryOutcome settles a request whose link broke after its head had been sent. Only the same
 // process can tell what became of it, and only it is asked.
-func (x *exchange) lost(ctx context.Context) result.Result {
+func (x *exchange) queryOutcome(ctx context.Context) result.Result {
 	event("lost", x.client.service)
 	if x.request.Idempotent {
-		return unknown(result.PeerLost)
+		return unknown(result.PeerUnreachable)
 	}
 	ctx, cancel := context.WithDeadline(ctx, x.request.Deadline)
 	defer cancel()
-	for try := range askTries {
+	for try := range maxQueries {
 		if try > 0 {
 			select {
 			case <-ctx.Done():
-				return unknown(result.PeerLost)
-			case <-time.After(askPause << (try - 1)):
+				return unknown(result.PeerUnreachable)
+			case <-time.After(queryBackoff << (try - 1)):
 			}
 		}
-		if end, known := x.ask(ctx); known {
+		if end, known := x.queryOnce(ctx); known {
 			return end
 		}
 	}
-	return unknown(result.PeerLost)
+	return unknown(result.PeerUnreachable)
 }
 
-// ask puts the question once. It reports false if no answer came.
-func (x *exchange) ask(ctx context.Context) (end result.Result, known bool) {
-	l, err := x.link.peer.same(ctx, x.link.process)
-	if errors.Is(err, errOther) {
+// queryOnce puts the question once. It reports false if no answer came.
+func (x *exchange) queryOnce(ctx context.Context) (end result.Result, known bool) {
+	l, err := x.link.peer.connectTo(ctx, x.link.incarnation)
+	if errors.Is(err, errOtherProcess) {
 		// Restarted: its memory went with the process that may have run the request.
-		return unknown(result.PeerLost), true
+		return unknown(result.PeerUnreachable), true
 	}
 	if err != nil {
 		return result.Result{}, false
@@ -55,9 +55,9 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	now := time.Now()
-	question, err := seal(x.client.ring(), questionSeal, &wire.Question{
+	question, err := seal(x.client.ring(), questionPurpose, &wire.Question{
 		Id:          []byte(x.request.ID),
-		Incarnation: x.link.process,
+		Incarnation: x.link.incarnation,
 		Time:        l.deadline(now, x.request.Deadline.Sub(now)),
 	})
 	if err != nil {
@@ -68,7 +68,7 @@
 		return result.Result{}, false
 	}
 	event("questions", x.client.service)
-	x.answer.rewind()
+	x.answer.restart()
 	for {
 		d, err := stream.Recv()
 		if err != nil {
@@ -77,69 +77,69 @@
 		if e := d.GetEnd(); e != nil {
 			return decodeEnd(e, x.request.Key != ""), true
 		}
-		if x.answer.take(d) != nil {
-			return unknown(result.Gone), true
+		if x.answer.deliver(d) != nil {
+			return unknown(result.CallerGone), true
 		}
 	}
 }
 
-// resume passes an answer on, and after a broken link passes on only what had not
+// resumableAnswer passes an answer on, and after a broken link passes on only what had not
 // been delivered yet: the receiver gives the very same bytes once more.
-type resume struct {
+type resumableAnswer struct {
 	answer Answer
 
 	mu      sync.Mutex
-	start   chan struct{}
+	onStart chan struct{}
 	started bool
 	closed  bool
 	sent    int64 // bytes of the body delivered
 	skip    int64 // bytes of the body to come that were delivered before
 }
 
-// begun is closed when the answer's start has been delivered, which may have been
+// startDelivered is closed when the answer's start has been delivered, which may have been
 // before the call: the other side answers at once, and who asks comes late.
-func (s *resume) begun() <-chan struct{} {
+func (s *resumableAnswer) startDelivered() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.start = make(chan struct{})
+	s.onStart = make(chan struct{})
 	if s.started {
-		close(s.start)
+		close(s.onStart)
 	}
-	return s.start
+	return s.onStart
 }
 
-func (s *resume) rewind() {
+func (s *resumableAnswer) restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.skip = s.sent
 }
 
-// shut makes sure that a late part of the answer is not delivered: by the time Hand has
+// close makes sure that a late part of the answer is not delivered: by the time Hand has
 // returned, whoever took the answer may be serving another request.
-func (s *resume) shut() {
+func (s *resumableAnswer) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
 }
 
-// take delivers one part of the answer. After an error nothing more is delivered.
-func (s *resume) take(d *wire.Down) (err error) {
+// deliver delivers one part of the answer. After an error nothing more is delivered.
+func (s *resumableAnswer) deliver(d *wire.Down) (err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	defer func() { s.closed = s.closed || err != nil }()
 	if s.closed {
-		return ErrGone
+		return ErrAbandoned
 	}
 	switch p := d.Part.(type) {
 	case *wire.Down_Start:
-		return s.begin(p.Start)
+		return s.deliverStart(p.Start)
 	case *wire.Down_Body:
-		return s.body(p.Body)
+		return s.deliverBody(p.Body)
 	}
 	return nil
 }
 
-func (s *resume) begin(p *wire.Start) error {
+func (s *resumableAnswer) deliverStart(p *wire.Start) error {
 	if s.started {
 		return nil
 	}
@@ -151,13 +151,13 @@
 		header = http.Header{}
 	}
 	s.started = true
-	if s.start != nil {
-		close(s.start)
+	if s.onStart != nil {
+		close(s.onStart)
 	}
 	return s.answer.Start(int(p.Status), header)
 }
 
-func (s *resume) body(p []byte) error {
+func (s *resumableAnswer) deliverBody(p []byte) error {
 	known := min(s.skip, int64(len(p)))
 	s.skip -= known
 	p = p[known:]
--- a/internal/work/hand/body.go
+++ b/internal/work/hand/body.go
@@ -7,9 +7,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// KeptBody is how much of a body a Body can give again: what may be under way when the
+// MaxReplay is how much of a body a Body can give again: what may be under way when the
 // receiver refuses, before it has read any of it.
-const KeptBody = (window + 1) * partSize
+const MaxReplay = (window + 1) * partSize
 
 // ErrConsumed is given by a reader of a body whose beginning is gone.
 var ErrConsumed = errors.New("body can't be read again")
@@ -20,7 +20,7 @@
 type Body struct {
 	mu     sync.Mutex
 	source io.Reader
-	kept   []byte // from the beginning
+	prefix []byte // from the beginning
 	read   int64  // bytes read from the source; more than are kept once some were dropped
 	err    error  // of the source
 }
@@ -28,11 +28,11 @@
 // NewBody wraps the body as it came from the caller.
 func NewBody(source io.Reader) *Body { return &Body{source: source} }
 
-// Again reports whether a new reader could start at the beginning.
-func (b *Body) Again() bool {
+// CanReplay reports whether a new reader could start at the beginning.
+func (b *Body) CanReplay() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.read == int64(len(b.kept))
+	return b.read == int64(len(b.prefix))
 }
 
 // Reader gives a reader from the beginning. Only the latest one is to be read; an
@@ -61,8 +61,8 @@
 	if r.isClosed() {
 		return 0, io.ErrClosedPipe
 	}
-	if r.offset < int64(len(b.kept)) {
-		n := copy(p, b.kept[r.offset:])
+	if r.offset < int64(len(b.prefix)) {
+		n := copy(p, b.prefix[r.offset:])
 		r.offset += int64(n)
 		return n, nil
 	}
@@ -75,8 +75,8 @@
 	n, err := b.source.Read(p)
 	b.err = err
 	// A reader that was closed while it waited leaves what it got to the next one.
-	if whole := b.read == int64(len(b.kept)); whole && (r.isClosed() || len(b.kept)+n <= KeptBody) {
-		b.kept = append(b.kept, p[:n]...)
+	if whole := b.read == int64(len(b.prefix)); whole && (r.isClosed() || len(b.prefix)+n <= MaxReplay) {
+		b.prefix = append(b.prefix, p[:n]...)
 	}
 	b.read += int64(n)
 	if r.isClosed() {
--- a/internal/work/hand/client.go
+++ b/internal/work/hand/client.go
@@ -32,23 +32,23 @@
 	return &Client{service: service, ring: ring, dial: dial, report: report, peers: map[netip.AddrPort]*peer{}}
 }
 
-// Keep closes the idle links to all agents but the given ones. It is called with each
+// Retain closes the idle links to all agents but the given ones. It is called with each
 // new document, so that what is held for addresses is bounded by the document.
-func (c *Client) Keep(agents []netip.AddrPort) {
+func (c *Client) Retain(agents []netip.AddrPort) {
 	known := make(map[netip.AddrPort]bool, len(agents))
 	for _, a := range agents {
 		known[a] = true
 	}
 	c.mu.Lock()
-	var gone []*peer
+	var removed []*peer
 	for a, p := range c.peers {
 		if !known[a] {
-			gone = append(gone, p)
+			removed = append(removed, p)
 			delete(c.peers, a)
 		}
 	}
 	c.mu.Unlock()
-	for _, p := range gone {
+	for _, p := range removed {
 		p.closeIdle()
 	}
 }
@@ -64,7 +64,7 @@
 	return p
 }
 
-// Hand gives a request to the agent at an address and its answer to a. It returns at
+// HandOver gives a request to the agent at an address and its answer to a. It returns at
 // the deadline or when ctx ends, whatever the other agent does.
 //
 // NotRun means that the request did not run at that agent and never will; it may be
@@ -72,41 +72,41 @@
 // under the key. After Unknown only an idempotent
 // request may. An answer may have been started whatever the outcome; it is whole only
 // after Ran without a reason. Writes of a must fail once ctx has ended.
-func (c *Client) Hand(ctx context.Context, to netip.AddrPort, r *Request, a Answer) (end result.Result) {
+func (c *Client) HandOver(ctx context.Context, to netip.AddrPort, r *Request, a Answer) (end result.Result) {
 	defer func() { count("ends", c.service, "near", end) }()
 	if r.Hops >= MaxHops {
-		return r.unsent(result.Hops)
+		return r.notSent(result.TooManyHops)
 	}
 	if ctx.Err() != nil {
-		return r.unsent(result.Gone)
+		return r.notSent(result.CallerGone)
 	}
 	p := c.peer(to)
 	dialing, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
-	l, err := p.take(dialing)
+	l, err := p.acquire(dialing)
 	if err != nil {
 		event("unreached", c.service)
-		return r.unsent(result.PeerLost)
+		return r.notSent(result.PeerUnreachable)
 	}
 	// The time is taken here once more: the process may have been paused since. Up to
 	// this point nothing of the request has left.
 	now := time.Now()
 	left := r.Deadline.Sub(now) - HopMargin
 	if left <= 0 {
-		l.giveBack()
-		return r.unsent(result.Expired)
+		l.release()
+		return r.notSent(result.Expired)
 	}
 	copied := *r
 	if copied.ID == "" {
 		copied.ID = newID()
 	}
-	x := &exchange{client: c, link: l, request: &copied, answer: &resume{answer: a}, credits: make(chan struct{}, 2*window)}
+	x := &exchange{client: c, link: l, request: &copied, answer: &resumableAnswer{answer: a}, credits: make(chan struct{}, 2*window)}
 	return x.run(ctx, now, left)
 }
 
-// unsent is the end of a request that has not left. A request with a key asks about
+// notSent is the end of a request that has not left. A request with a key asks about
 // earlier tries too, of which this agent knows nothing.
-func (r *Request) unsent(reason result.Reason) result.Result {
+func (r *Request) notSent(reason result.Reason) result.Result {
 	if r.Key != "" {
 		return unknown(reason)
 	}
--- a/internal/work/hand/codec.go
+++ b/internal/work/hand/codec.go
@@ -25,7 +25,7 @@
 		Load:    load,
 		Outcome: outcomes[r.Outcome],
 		Reason:  string(r.Reason),
-		After:   uint64(max(r.After, 0).Milliseconds()),
+		After:   uint64(max(r.RetryAfter, 0).Milliseconds()),
 	}}}
 }
 
@@ -33,7 +33,7 @@
 // believed only on the runner's word: that this try of the request did not run says
 // nothing of an earlier one, which its caller is asking about.
 func decodeEnd(e *wire.End, keyed bool) result.Result {
-	r := result.Result{Reason: result.Reason(e.Reason), After: time.Duration(min(e.After, 1<<40)) * time.Millisecond}
+	r := result.Result{Reason: result.Reason(e.Reason), RetryAfter: time.Duration(min(e.After, 1<<40)) * time.Millisecond}
 	switch e.Outcome {
 	case wire.Outcome_RAN:
 		r.Outcome = result.Ran
@@ -61,7 +61,7 @@
 		Running:     int(l.Running),
 		Waiting:     int(l.Waiting),
 		Utilization: min(float64(l.Busy)/1000, 1),
-		Service:     micros(l.Service),
+		Service:     fromMicros(l.Service),
 		Leaving:     l.Leaving,
 	}
 }
@@ -89,8 +89,8 @@
 
 // What seals are for.
 const (
-	headSeal     token.Purpose = 1
-	questionSeal token.Purpose = 2
+	headPurpose     token.Purpose = 1
+	questionPurpose token.Purpose = 2
 )
 
 var errForged = errors.New("not made by a process of the service")
--- a/internal/work/hand/exchange.go
+++ b/internal/work/hand/exchange.go
@@ -14,83 +14,83 @@
 
 // exchange is one request on one link, seen from the sender.
 type exchange struct {
-	client  *Client
-	link    *link
-	request *Request
-	answer  *resume
-	credits chan struct{}
-	stream  wire.DRPCHand_RunClient
-	stop    context.CancelFunc // cuts the stream, and the link with it
+	client       *Client
+	link         *link
+	request      *Request
+	answer       *resumableAnswer
+	credits      chan struct{}
+	stream       wire.DRPCHand_RunClient
+	cancelStream context.CancelFunc // cuts the stream, and the link with it
 }
 
-// received is what came down: an end, or that the link broke.
-type received struct {
-	end  result.Result
-	err  error // the link broke before the end
-	gone bool  // the answer was refused by its taker
+// downResult is what came down: an end, or that the link broke.
+type downResult struct {
+	end     result.Result
+	err     error // the link broke before the end
+	refused bool  // the answer was refused by its taker
 }
 
 func (x *exchange) run(ctx context.Context, now time.Time, left time.Duration) result.Result {
 	// The stream outlives ctx: a cancellation is a message of its own, since a link that
 	// is just cut must not end what may run only once.
 	var streaming context.Context
-	streaming, x.stop = context.WithCancel(context.WithoutCancel(ctx))
+	streaming, x.cancelStream = context.WithCancel(context.WithoutCancel(ctx))
 	stream, err := x.link.client.Run(streaming)
 	if err != nil {
-		x.stop()
+		x.cancelStream()
 		x.link.close()
 		event("unreached", x.client.service)
-		return x.request.unsent(result.PeerLost)
+		return x.request.notSent(result.PeerUnreachable)
 	}
 	x.stream = stream
-	head, err := seal(x.client.ring(), headSeal, encodeHead(x.request, x.link.process, x.link.deadline(now, left)))
+	head, err := seal(x.client.ring(), headPurpose, encodeHead(x.request, x.link.incarnation, x.link.deadline(now, left)))
 	if err != nil {
-		x.stop()
+		x.cancelStream()
 		x.link.close()
 		event("damaged", x.client.service)
-		return x.request.unsent(result.PeerLost)
+		return x.request.notSent(result.PeerUnreachable)
 	}
 	if err := stream.Send(&wire.Up{Part: &wire.Up_Head{Head: head}}); err != nil {
 		// Some of it may have arrived.
-		x.stop()
+		x.cancelStream()
 		x.link.close()
-		return x.lost(ctx)
+		return x.queryOutcome(ctx)
 	}
 	uploading, stopUpload := context.WithCancel(ctx)
 	defer stopUpload()
-	go x.upload(uploading)
-	down := make(chan received, 1)
+	go x.sendBody(uploading)
+	down := make(chan downResult, 1)
 	go func() { down <- x.receive() }()
 
 	timer := time.NewTimer(time.Until(x.request.Deadline))
 	defer timer.Stop()
-	due := timer.C
-	started := x.answer.begun()
+	expiry := timer.C
+	started := x.answer.startDelivered()
 	for {
 		select {
 		case got := <-down:
 			switch {
-			case got.gone:
+			case got.refused:
 				go x.cancel(nil)
-				return unknown(result.Gone)
+				return unknown(result.CallerGone)
 			case got.err != nil:
-				x.stop()
+				x.cancelStream()
 				x.link.close()
-				return x.lost(ctx)
+				return x.queryOutcome(ctx)
 			}
 			go x.finish()
 			return got.end
 		case <-started:
 			started = nil
 			if x.request.Feed {
-				due = nil
+				expiry = nil
 			}
 		case <-ctx.Done():
-			x.answer.shut()
+			x.answer.close()
 			go x.cancel(down)
-			return unknown(result.Gone)
-		case <-due:
-			x.answer.shut()
+			return unknown(result.CallerGone)
+		case <-expiry:
+			x.answer.close()
 			go x.cancel(down)
 			return unknown(result.Expired)
 		}
@@ -98,11 +98,11 @@
 }
 
 // receive passes the answer on until its end.
-func (x *exchange) receive() received {
+func (x *exchange) receive() downResult {
 	for {
 		d, err := x.stream.Recv()
 		if err != nil {
-			return received{err: err}
+			return downResult{err: err}
 		}
 		switch p := d.Part.(type) {
 		case *wire.Down_Credit:
@@ -113,18 +113,18 @@
 				}
 			}
 		case *wire.Down_End:
-			x.link.peer.heard(p.End.Load)
-			return received{end: decodeEnd(p.End, x.request.Key != "")}
+			x.link.peer.reportLoad(p.End.Load)
+			return downResult{end: decodeEnd(p.End, x.request.Key != "")}
 		default:
-			if err := x.answer.take(d); err != nil {
-				return received{gone: true}
+			if err := x.answer.deliver(d); err != nil {
+				return downResult{refused: true}
 			}
 		}
 	}
 }
 
-// upload sends the body in parts, only as many ahead as the receiver has granted.
-func (x *exchange) upload(ctx context.Context) {
+// sendBody sends the body in parts, only as many ahead as the receiver has granted.
+func (x *exchange) sendBody(ctx context.Context) {
 	body := x.request.Body
 	if body == nil {
 		body = http.NoBody
@@ -178,15 +178,15 @@
 		x.link.close()
 		return
 	}
-	x.link.giveBack()
+	x.link.release()
 }
 
 // cancel tells the receiver that nobody waits any more and lets the rest of the answer
 // fall. The link is closed only after the receiver's end or drainTimeout: closing it with
 // bytes unread would reset it, and the reset may overtake the cancellation. Down is nil
 // if receive has returned already.
-func (x *exchange) cancel(down <-chan received) {
-	defer x.stop()
+func (x *exchange) cancel(down <-chan downResult) {
+	defer x.cancelStream()
 	defer x.link.close()
 	event("cancelled", x.client.service)
 	timer := time.AfterFunc(drainTimeout, func() { _ = x.link.conn.Close() })
@@ -195,7 +195,7 @@
 		return
 	}
 	if down != nil {
-		if got := <-down; !got.gone {
+		if got := <-down; !got.refused {
 			return
 		}
 	}
--- a/internal/work/hand/fake_test.go
+++ b/internal/work/hand/fake_test.go
@@ -49,35 +49,35 @@
 // echo reads the whole body, runs, and answers with the path and the body.
 func (f *runner) echo(ctx context.Context, r *Request, a Answer) result.Result {
 	body, err := io.ReadAll(r.Body)
-	if err != nil || ctx.Err() != nil || r.Late(time.Now()) {
-		return notRun(result.Gone)
+	if err != nil || ctx.Err() != nil || r.Expired(time.Now()) {
+		return notRun(result.CallerGone)
 	}
 	f.log(r.Path)
 	if a.Start(http.StatusOK, http.Header{"From": {"far"}}) != nil {
-		return unknown(result.Gone)
+		return unknown(result.CallerGone)
 	}
 	if _, err := a.Write(append([]byte(r.Path+" "), body...)); err != nil {
-		return unknown(result.Gone)
+		return unknown(result.CallerGone)
 	}
 	return result.Result{Outcome: result.Ran}
 }
 
-// far is an agent that requests are handed to.
-type far struct {
+// receiver is an agent that requests are handed to.
+type receiver struct {
 	*runner
 	server *Server
 	mux    *drpcmux.Mux
 }
 
-func newFar(t assert.TestingT, service string, incarnation uint64) *far {
-	f := &far{runner: &runner{ran: map[string]int{}}, mux: drpcmux.New()}
+func newReceiver(t assert.TestingT, service string, incarnation uint64) *receiver {
+	f := &receiver{runner: &runner{ran: map[string]int{}}, mux: drpcmux.New()}
 	f.handle = f.echo
-	f.server = &Server{Service: service, Incarnation: incarnation, Start: time.Now(), Ring: ringOf(t, "0123456789abcdef"), Runner: f, Memory: memo.New(memo.DefaultLimits)}
+	f.server = &Server{Service: service, Incarnation: incarnation, Start: time.Now(), Ring: newRing(t, "0123456789abcdef"), Runner: f, Outcomes: memo.New(memo.DefaultLimits)}
 	assert.NilError(t, Register(f.mux, f.server))
 	return f
 }
 
-func ringOf(t assert.TestingT, material string) func() *token.Ring {
+func newRing(t assert.TestingT, material string) func() *token.Ring {
 	ring, err := token.NewRing("tracing-core", []byte(material))
 	assert.NilError(t, err)
 	return func() *token.Ring { return ring }
@@ -86,33 +86,33 @@
 // network connects a client with whichever far agent answers at the address, over
 // links that can be cut after a number of bytes, and held back.
 type network struct {
-	ctx   context.Context
-	mu    sync.Mutex
-	far   *far   // nil: connection refused
-	turns []*far // answer the links to come, the first dialled first; then far
-	cuts  []cut  // for the links to come, the first dialled first; the others last
-	links []*FakeLink
+	ctx           context.Context
+	mu            sync.Mutex
+	receiver      *receiver   // nil: connection refused
+	nextReceivers []*receiver // answer the links to come, the first dialled first; then far
+	cuts          []cut       // for the links to come, the first dialled first; the others last
+	links         []*FakeLink
 }
 
 // cut breaks a link once more than up bytes have gone to the far agent, or down bytes back;
 // negative: never.
 type cut struct{ up, down int }
 
-var never = cut{-1, -1}
+var neverCut = cut{-1, -1}
 
 func (n *network) dial(context.Context, netip.AddrPort) (net.Conn, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.far == nil {
+	if n.receiver == nil {
 		return nil, errors.New("connection refused")
 	}
-	c := never
+	c := neverCut
 	if len(n.links) < len(n.cuts) {
 		c = n.cuts[len(n.links)]
 	}
-	answers := n.far
-	if len(n.turns) > 0 {
-		answers, n.turns = n.turns[0], n.turns[1:]
+	answers := n.receiver
+	if len(n.nextReceivers) > 0 {
+		answers, n.nextReceivers = n.nextReceivers[0], n.nextReceivers[1:]
 	}
 	near, far := net.Pipe()
 	up, down := NewLink(near, c.up), NewLink(far, c.down)
@@ -145,26 +145,26 @@
 	}
 }
 
-func (n *network) replace(f *far) {
+func (n *network) replace(f *receiver) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.far = f
+	n.receiver = f
 }
 
 // FakeLink is one end of a link with a socket buffer: what was written before a close still
 // arrives.
 type FakeLink struct {
 	net.Conn
-	left  int // bytes until it breaks; negative: never
-	queue chan []byte
-	once  sync.Once
-	done  chan struct{}
-	held  atomic.Pointer[chan struct{}]
+	remaining int // bytes until it breaks; negative: never
+	queue     chan []byte
+	once      sync.Once
+	done      chan struct{}
+	held      atomic.Pointer[chan struct{}]
 }
 
 // NewLink wraps one end of a pipe that breaks after left bytes.
 func NewLink(c net.Conn, left int) *FakeLink {
-	l := &FakeLink{Conn: c, left: left, queue: make(chan []byte, 1000), done: make(chan struct{})}
+	l := &FakeLink{Conn: c, remaining: left, queue: make(chan []byte, 1000), done: make(chan struct{})}
 	go l.deliver()
 	return l
 }
@@ -199,9 +199,9 @@
 
 func (l *FakeLink) Write(p []byte) (int, error) {
 	n := len(p)
-	if l.left >= 0 {
-		n = min(n, l.left)
-		l.left -= n
+	if l.remaining >= 0 {
+		n = min(n, l.remaining)
+		l.remaining -= n
 	}
 	select {
 	case <-l.done:
@@ -220,22 +220,22 @@
 	return nil
 }
 
-// taker is the caller's end of an answer.
-type taker struct {
+// answerBuffer is the caller's end of an answer.
+type answerBuffer struct {
 	mu     sync.Mutex
 	status int
 	body   []byte
 	wrote  chan struct{} // one for each Write, if it is set
 }
 
-func (k *taker) Start(status int, _ http.Header) error {
+func (k *answerBuffer) Start(status int, _ http.Header) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.status = status
 	return nil
 }
 
-func (k *taker) Write(p []byte) (int, error) {
+func (k *answerBuffer) Write(p []byte) (int, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.body = append(k.body, p...)
@@ -245,7 +245,7 @@
 	return len(p), nil
 }
 
-func (k *taker) got() string {
+func (k *answerBuffer) got() string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return string(k.body)
@@ -255,10 +255,10 @@
 	return &Request{Service: "tracing-core", Class: "lookup", Method: http.MethodPost, Path: path, Length: -1, Deadline: time.Now().Add(2 * time.Second)}
 }
 
-// world gives a client, a far agent and the network between them for one test.
-func world(t *testing.T) (*Client, *far, *network) {
+// newPair gives a client, a far agent and the network between them for one test.
+func newPair(t *testing.T) (*Client, *receiver, *network) {
 	t.Cleanup(func() { time.Sleep(2 * time.Minute) }) // for whatever still waits
-	f := newFar(t, "tracing-core", 1)
-	n := &network{ctx: t.Context(), far: f}
-	return NewClient("tracing-core", ringOf(t, "0123456789abcdef"), n.dial, nil), f, n
+	f := newReceiver(t, "tracing-core", 1)
+	n := &network{ctx: t.Context(), receiver: f}
+	return NewClient("tracing-core", newRing(t, "0123456789abcdef"), n.dial, nil), f, n
 }
--- a/internal/work/hand/fleet_test.go
+++ b/internal/work/hand/fleet_test.go
@@ -51,10 +51,10 @@
 
 // behaviour is what a server does with a claim.
 type behaviour struct {
-	shed  bool          // refuses it, not run
-	waits time.Duration // before it runs
-	takes time.Duration // from running to the answer
-	dies  bool          // after it ran, before it answers
+	sheds    bool          // refuses it, not run
+	delay    time.Duration // before it runs
+	duration time.Duration // from running to the answer
+	crashes  bool          // after it ran, before it answers
 }
 
 type execution struct {
@@ -76,7 +76,7 @@
 	kill        context.CancelFunc
 	view        *once.View
 	guard       *once.Guard
-	spreader    *spread.Spreader
+	spreader    *spread.Dispatcher
 	mux         *drpcmux.Mux
 	nonce       uint64
 }
@@ -84,7 +84,7 @@
 func newFleet(t *testing.T) *fleet {
 	t.Cleanup(func() { time.Sleep(10 * time.Minute) }) // for whatever still waits
 	f := &fleet{nodes: map[uint32]*node{}, blocked: map[[2]uint32]bool{}, limits: memo.DefaultLimits, document: &docs.Service{Name: "tracing-core"}}
-	f.behave = func(uint32, string) behaviour { return behaviour{takes: 20 * time.Millisecond} }
+	f.behave = func(uint32, string) behaviour { return behaviour{duration: 20 * time.Millisecond} }
 	for id := uint32(1); id <= agents; id++ {
 		f.document.Servers = append(f.document.Servers, docs.Server{ID: id, Slots: 4, Agent: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 2, byte(id)}), 7000)})
 	}
@@ -104,10 +104,10 @@
 	n.view = &once.View{Ring: ring, Owner: owner, Servers: f.document.Servers}
 	rings := func() *token.Ring { return ring }
 	client := hand.NewClient(f.document.Name, rings, n.dial, nil)
-	n.guard = &once.Guard{View: func() *once.View { return n.view }, Memory: memo.New(f.limits), Client: client}
+	n.guard = &once.Guard{View: func() *once.View { return n.view }, Outcomes: memo.New(f.limits), Client: client}
 	n.spreader = spread.New(place.Self{ID: id}, client, func() place.Hint { return place.Hint{} })
 	n.spreader.SetServers(f.document)
-	server := &hand.Server{Service: f.document.Name, Incarnation: incarnation, Start: time.Now(), Ring: rings, Runner: n, Memory: memo.New(f.limits)}
+	server := &hand.Server{Service: f.document.Name, Incarnation: incarnation, Start: time.Now(), Ring: rings, Runner: n, Outcomes: memo.New(f.limits)}
 	assert.NilError(t, hand.Register(n.mux, server))
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -176,7 +176,7 @@
 // Run implements hand.Runner: the agent's filters.
 func (n *node) Run(ctx context.Context, r *hand.Request, a hand.Answer) result.Result {
 	return n.guard.Run(ctx, r, a, runnerFunc(func(ctx context.Context, r *hand.Request, a hand.Answer) result.Result {
-		return n.spreader.Run(ctx, r, a, runnerFunc(n.runHere))
+		return n.spreader.Run(ctx, r, a, runnerFunc(n.runOnServer))
 	}))
 }
 
@@ -186,33 +186,33 @@
 	return f(ctx, r, a)
 }
 
-// runHere is the last filter and the backend server.
-func (n *node) runHere(ctx context.Context, r *hand.Request, a hand.Answer) result.Result {
+// runOnServer is the last filter and the backend server.
+func (n *node) runOnServer(ctx context.Context, r *hand.Request, a hand.Answer) result.Result {
 	b := n.fleet.behave(n.server.ID, r.Path)
-	if b.shed {
+	if b.sheds {
 		return result.Result{Outcome: result.NotRun, Reason: result.ServerShed}
 	}
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return result.Result{Outcome: result.NotRun, Reason: result.Gone}
+		return result.Result{Outcome: result.NotRun, Reason: result.CallerGone}
 	}
-	if !sleep(ctx, b.waits) || n.ctx.Err() != nil || r.Late(time.Now()) {
-		return result.Result{Outcome: result.NotRun, Reason: result.Gone}
+	if !sleep(ctx, b.delay) || n.ctx.Err() != nil || r.Expired(time.Now()) {
+		return result.Result{Outcome: result.NotRun, Reason: result.CallerGone}
 	}
 	n.fleet.mu.Lock()
 	n.fleet.log = append(n.fleet.log, execution{n.server.ID, r.Path})
 	n.fleet.mu.Unlock()
-	if !sleep(ctx, b.takes) || n.ctx.Err() != nil {
-		return result.Result{Outcome: result.Unknown, Reason: result.Gone}
+	if !sleep(ctx, b.duration) || n.ctx.Err() != nil {
+		return result.Result{Outcome: result.Unknown, Reason: result.CallerGone}
 	}
-	if b.dies {
-		return result.Result{Outcome: result.Unknown, Reason: result.ServerLost}
+	if b.crashes {
+		return result.Result{Outcome: result.Unknown, Reason: result.ServerDisconnected}
 	}
 	if a.Start(http.StatusOK, http.Header{}) != nil {
-		return result.Result{Outcome: result.Unknown, Reason: result.Gone}
+		return result.Result{Outcome: result.Unknown, Reason: result.CallerGone}
 	}
 	if _, err := a.Write(append([]byte("case for "), body...)); err != nil {
-		return result.Result{Outcome: result.Unknown, Reason: result.Gone}
+		return result.Result{Outcome: result.Unknown, Reason: result.CallerGone}
 	}
 	return result.Result{Outcome: result.Ran}
 }
@@ -250,7 +250,7 @@
 	defer cancel()
 	end = n.Run(ctx, r, a)
 	if n.ctx.Err() != nil {
-		return result.Result{Outcome: result.Unknown, Reason: result.Gone}, ""
+		return result.Result{Outcome: result.Unknown, Reason: result.CallerGone}, ""
 	}
 	return end, a.String()
 }
--- a/internal/work/hand/hand_test.go
+++ b/internal/work/hand/hand_test.go
@@ -21,12 +21,12 @@
 // A lookup, and an upload of several windows, come back whole; links are used again.
 func TestHandOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, f, n := world(t)
+		c, f, n := newPair(t)
 		for _, size := range []int{0, 10, 40 * partSize} {
-			r, a := claim("/upload"), &taker{}
+			r, a := claim("/upload"), &answerBuffer{}
 			body := bytes.Repeat([]byte("x"), size)
 			r.Body = bytes.NewReader(body)
-			assert.Equal(t, c.Hand(t.Context(), address, r, a), ran)
+			assert.Equal(t, c.HandOver(t.Context(), address, r, a), ran)
 			assert.Equal(t, a.got(), "/upload "+string(body))
 			synctest.Wait()
 		}
@@ -44,16 +44,16 @@
 		for _, again := range []bool{true, false} {
 			for at := range 700 {
 				for _, first := range []cut{{at, -1}, {-1, at}} {
-					c, f, n := world(t)
+					c, f, n := newPair(t)
 					n.cuts = []cut{first}
 					if !again { // the questions fail too
-						for range 2 * askTries {
+						for range 2 * maxQueries {
 							n.cuts = append(n.cuts, cut{0, 0})
 						}
 					}
-					r, a := claim("/claim/7"), &taker{}
+					r, a := claim("/claim/7"), &answerBuffer{}
 					r.Body = strings.NewReader(strings.Repeat("form", 20))
-					end := c.Hand(t.Context(), address, r, a)
+					end := c.HandOver(t.Context(), address, r, a)
 					time.Sleep(3 * time.Second)
 					synctest.Wait()
 
@@ -81,15 +81,15 @@
 // old link. It must not run it.
 func TestOldLinkIsReadAfterTheQuestion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, f, n := world(t)
-		assert.Equal(t, c.Hand(t.Context(), address, claim("/warm"), &taker{}), ran)
+		c, f, n := newPair(t)
+		assert.Equal(t, c.HandOver(t.Context(), address, claim("/warm"), &answerBuffer{}), ran)
 		synctest.Wait()
 		release := n.hold()
 		go func() {
 			time.Sleep(100 * time.Millisecond)
 			n.links[0].Break()
 		}()
-		assert.Equal(t, c.Hand(t.Context(), address, claim("/claim/7"), &taker{}), notRun(result.PeerLost))
+		assert.Equal(t, c.HandOver(t.Context(), address, claim("/claim/7"), &answerBuffer{}), notRun(result.PeerUnreachable))
 		assert.Equal(t, len(n.links), 2)
 		release()
 		time.Sleep(time.Second)
@@ -101,34 +101,34 @@
 // address with an empty memory: asked about the ID it must not say "not run".
 func TestReceiverRestarted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, f, n := world(t)
+		c, f, n := newPair(t)
 		f.handle = func(_ context.Context, r *Request, _ Answer) result.Result {
 			f.log(r.Path)
-			n.replace(newFar(t, "tracing-core", 2))
+			n.replace(newReceiver(t, "tracing-core", 2))
 			n.cutAll()
 			time.Sleep(time.Minute) // the old process never gets to answer
-			return unknown(result.Gone)
+			return unknown(result.CallerGone)
 		}
-		assert.Equal(t, c.Hand(t.Context(), address, claim("/claim/7"), &taker{}), unknown(result.PeerLost))
+		assert.Equal(t, c.HandOver(t.Context(), address, claim("/claim/7"), &answerBuffer{}), unknown(result.PeerUnreachable))
 		assert.Equal(t, f.runs("/claim/7"), 1)
-		assert.Equal(t, n.far.runs("/claim/7"), 0)
+		assert.Equal(t, n.receiver.runs("/claim/7"), 0)
 	})
 }
 
 // Story: an agent is being replaced when the link to it breaks. Its successor has the same
 // address and gets the question's connection. The old process still knows; it is found.
-func TestQuestionFindsTheProcessBesideItsSuccessor(t *testing.T) {
+func TestQueryReachesOldProcessDuringReplacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, f, n := world(t)
-		successor := newFar(t, "tracing-core", 2)
+		c, f, n := newPair(t)
+		successor := newReceiver(t, "tracing-core", 2)
 		f.handle = func(ctx context.Context, r *Request, a Answer) result.Result {
 			_, _ = io.ReadAll(r.Body)
-			n.turns = []*far{successor, successor, f}
+			n.nextReceivers = []*receiver{successor, successor, f}
 			n.cutAll()
 			return f.echo(ctx, r, a)
 		}
-		a := &taker{}
-		assert.Equal(t, c.Hand(t.Context(), address, claim("/claim/7"), a), ran)
+		a := &answerBuffer{}
+		assert.Equal(t, c.HandOver(t.Context(), address, claim("/claim/7"), a), ran)
 		assert.Equal(t, a.got(), "/claim/7 ")
 		assert.Equal(t, f.runs("/claim/7")+successor.runs("/claim/7"), 1)
 	})
@@ -136,14 +136,14 @@
 
 // Story: a caller hangs up while its lookup runs at another agent. The far server's slot
 // must be free at once, not at the deadline.
-func TestCancelTravels(t *testing.T) {
+func TestCancellationReachesReceiver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, f, _ := world(t)
+		c, f, _ := newPair(t)
 		freed := make(chan error, 1)
 		f.handle = func(ctx context.Context, _ *Request, _ Answer) result.Result {
 			<-ctx.Done()
 			freed <- context.Cause(ctx)
-			return unknown(result.Gone)
+			return unknown(result.CallerGone)
 		}
 		ctx, hangUp := context.WithCancel(t.Context())
 		go func() {
@@ -152,7 +152,7 @@
 		}()
 		r := claim("/claim/7")
 		r.Body = strings.NewReader(strings.Repeat("x", 100*partSize)) // nobody reads it
-		assert.Equal(t, c.Hand(ctx, address, r, &taker{}), unknown(result.Gone))
+		assert.Equal(t, c.HandOver(ctx, address, r, &answerBuffer{}), unknown(result.CallerGone))
 		synctest.Wait()
 		assert.ErrorIs(t, <-freed, errCancelled)
 		assert.Assert(t, time.Now().Before(r.Deadline))
@@ -163,19 +163,19 @@
 // unknown; it runs on, and the question gets the answer.
 func TestLostLinkDoesNotCancel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, f, n := world(t)
+		c, f, n := newPair(t)
 		f.handle = func(ctx context.Context, r *Request, a Answer) result.Result {
 			_, _ = io.ReadAll(r.Body)
 			n.cutAll()
 			select {
 			case <-ctx.Done():
-				return unknown(result.Gone)
+				return unknown(result.CallerGone)
 			case <-time.After(time.Second):
 			}
 			return f.echo(ctx, r, a)
 		}
-		a := &taker{}
-		assert.Equal(t, c.Hand(t.Context(), address, claim("/claim/7"), a), ran)
+		a := &answerBuffer{}
+		assert.Equal(t, c.HandOver(t.Context(), address, claim("/claim/7"), a), ran)
 		assert.Equal(t, a.got(), "/claim/7 ")
 		assert.Equal(t, f.runs("/claim/7"), 1)
 	})
@@ -185,7 +185,7 @@
 // left: the far side's is earlier than the near side's, by the margin and no more.
 func TestDeadlineShrinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, f, _ := world(t)
+		c, f, _ := newPair(t)
 		f.server.Start = time.Now().Add(-1000 * time.Hour) // its clock shows something else
 		var far time.Time
 		f.handle = func(ctx context.Context, r *Request, a Answer) result.Result {
@@ -193,7 +193,7 @@
 			return f.echo(ctx, r, a)
 		}
 		r := claim("/claim/7")
-		assert.Equal(t, c.Hand(t.Context(), address, r, &taker{}), ran)
+		assert.Equal(t, c.HandOver(t.Context(), address, r, &answerBuffer{}), ran)
 		assert.Equal(t, far, r.Deadline.Add(-HopMargin))
 	})
 }
@@ -203,11 +203,11 @@
 // reads the claim, which says "2 s left". It must not run.
 func TestFrozenReceiverWakesAfterTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, f, n := world(t)
-		assert.Equal(t, c.Hand(t.Context(), address, claim("/warm"), &taker{}), ran)
+		c, f, n := newPair(t)
+		assert.Equal(t, c.HandOver(t.Context(), address, claim("/warm"), &answerBuffer{}), ran)
 		synctest.Wait()
 		wake := n.hold()
-		assert.Equal(t, c.Hand(t.Context(), address, claim("/claim/7"), &taker{}), unknown(result.Expired))
+		assert.Equal(t, c.HandOver(t.Context(), address, claim("/claim/7"), &answerBuffer{}), unknown(result.Expired))
 		time.Sleep(time.Minute)
 		wake()
 		time.Sleep(time.Minute)
@@ -219,10 +219,10 @@
 // address. The request must not run there.
 func TestOtherServiceIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, _, n := world(t)
-		n.far = newFar(t, "doc-intake", 7)
-		assert.Equal(t, c.Hand(t.Context(), address, claim("/claim/7"), &taker{}), notRun(result.PeerLost))
-		assert.Equal(t, n.far.runs("/claim/7"), 0)
+		c, _, n := newPair(t)
+		n.receiver = newReceiver(t, "doc-intake", 7)
+		assert.Equal(t, c.HandOver(t.Context(), address, claim("/claim/7"), &answerBuffer{}), notRun(result.PeerUnreachable))
+		assert.Equal(t, n.receiver.runs("/claim/7"), 0)
 	})
 }
 
@@ -230,17 +230,17 @@
 // over a claim, or asks about one so that it is barred. Nothing runs and nothing is barred.
 func TestForgedMessagesAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, f, n := world(t)
-		stranger := NewClient("tracing-core", ringOf(t, "fedcba9876543210"), n.dial, nil)
-		end := stranger.Hand(t.Context(), address, claim("/claim/7"), &taker{})
+		_, f, n := newPair(t)
+		forger := NewClient("tracing-core", newRing(t, "fedcba9876543210"), n.dial, nil)
+		end := forger.HandOver(t.Context(), address, claim("/claim/7"), &answerBuffer{})
 		assert.Equal(t, end, notRun(result.OtherService))
 		assert.Equal(t, f.runs("/claim/7"), 0)
-		ring := ringOf(t, "0123456789abcdef")()
-		sealed, err := seal(ring, headSeal, &wire.Head{Path: "/claim/7"})
+		ring := newRing(t, "0123456789abcdef")()
+		sealed, err := seal(ring, headPurpose, &wire.Head{Path: "/claim/7"})
 		assert.NilError(t, err)
-		assert.ErrorIs(t, unseal(ring, questionSeal, sealed, &wire.Question{}), errForged)
+		assert.ErrorIs(t, unseal(ring, questionPurpose, sealed, &wire.Question{}), errForged)
 		sealed.Message[0] ^= 1
-		assert.ErrorIs(t, unseal(ring, headSeal, sealed, &wire.Head{}), errForged)
+		assert.ErrorIs(t, unseal(ring, headPurpose, sealed, &wire.Head{}), errForged)
 	})
 }
 
@@ -248,7 +248,7 @@
 // deadline, which is that of the first byte.
 func TestFeedStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, f, _ := world(t)
+		c, f, _ := newPair(t)
 		f.handle = func(_ context.Context, _ *Request, a Answer) result.Result {
 			assert.NilError(t, a.Start(http.StatusOK, nil))
 			for range 3 {
@@ -258,11 +258,11 @@
 			}
 			return ran
 		}
-		r, a := claim("/feed"), &taker{wrote: make(chan struct{}, 3)}
+		r, a := claim("/feed"), &answerBuffer{wrote: make(chan struct{}, 3)}
 		r.Feed, r.Idempotent = true, true
 		start := time.Now()
 		done := make(chan result.Result, 1)
-		go func() { done <- c.Hand(t.Context(), address, r, a) }()
+		go func() { done <- c.HandOver(t.Context(), address, r, a) }()
 		<-a.wrote
 		assert.Equal(t, time.Since(start), time.Hour)
 		assert.Equal(t, <-done, ran)
@@ -273,10 +273,10 @@
 // Story: a claim is sent round between agents that each think another is idle.
 func TestHopsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, f, _ := world(t)
+		c, f, _ := newPair(t)
 		r := claim("/claim/7")
 		r.Hops = MaxHops
-		assert.Equal(t, c.Hand(t.Context(), address, r, &taker{}), notRun(result.Hops))
+		assert.Equal(t, c.HandOver(t.Context(), address, r, &answerBuffer{}), notRun(result.TooManyHops))
 		assert.Equal(t, f.runs("/claim/7"), 0)
 	})
 }
@@ -285,40 +285,40 @@
 // its body is still whole.
 func TestUnreachedPeerLeavesTheBody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, f, n := world(t)
+		c, f, n := newPair(t)
 		f.handle = func(context.Context, *Request, Answer) result.Result { return notRun(result.QueueFull) }
 		form := strings.Repeat("form", 100*partSize)
 		b := NewBody(strings.NewReader(form))
 		r := claim("/upload")
 		r.Body = b.Reader()
-		assert.Equal(t, c.Hand(t.Context(), address, r, &taker{}), notRun(result.QueueFull))
-		assert.Assert(t, b.Again())
+		assert.Equal(t, c.HandOver(t.Context(), address, r, &answerBuffer{}), notRun(result.QueueFull))
+		assert.Assert(t, b.CanReplay())
 
 		synctest.Wait()
-		c.Keep(nil)
+		c.Retain(nil)
 		n.replace(nil)
 		r = claim("/upload")
 		r.Body = b.Reader()
-		assert.Equal(t, c.Hand(t.Context(), address, r, &taker{}), notRun(result.PeerLost))
-		assert.Assert(t, b.Again())
+		assert.Equal(t, c.HandOver(t.Context(), address, r, &answerBuffer{}), notRun(result.PeerUnreachable))
+		assert.Assert(t, b.CanReplay())
 
-		n.replace(newFar(t, "tracing-core", 3))
-		r, a := claim("/upload"), &taker{}
+		n.replace(newReceiver(t, "tracing-core", 3))
+		r, a := claim("/upload"), &answerBuffer{}
 		r.Body = b.Reader()
-		assert.Equal(t, c.Hand(t.Context(), address, r, a), ran)
+		assert.Equal(t, c.HandOver(t.Context(), address, r, a), ran)
 		assert.Equal(t, len(a.got()), len("/upload ")+len(form))
-		assert.Assert(t, !b.Again())
+		assert.Assert(t, !b.CanReplay())
 	})
 }
 
 // Story: a feed is handed to another agent, whose server answers at once. The feed was
 // cut at the deadline for its first byte, though it had come: the sender began to
 // listen for the start after it had been delivered, and never heard of it.
-func TestStartBeforeAnybodyListens(t *testing.T) {
-	s := &resume{answer: &taker{}}
-	assert.NilError(t, s.take(&wire.Down{Part: &wire.Down_Start{Start: &wire.Start{Status: http.StatusOK}}}))
+func TestAnswerStartsBeforeListener(t *testing.T) {
+	s := &resumableAnswer{answer: &answerBuffer{}}
+	assert.NilError(t, s.deliver(&wire.Down{Part: &wire.Down_Start{Start: &wire.Start{Status: http.StatusOK}}}))
 	select {
-	case <-s.begun():
+	case <-s.startDelivered():
 	default:
 		t.Fatal("the start was not told")
 	}
--- a/internal/work/hand/history_test.go
+++ b/internal/work/hand/history_test.go
@@ -72,17 +72,17 @@
 	body string // of the answer that came with "ran"
 }
 
-// play runs a plan and gives what each caller saw.
-func play(t *testing.T, p plan) (*fleet, []history) {
+// runPlan runs a plan and gives what each caller saw.
+func runPlan(t *testing.T, p plan) (*fleet, []history) {
 	f := newFleet(t)
 	f.seed = p.seed
 	f.behave = func(agent uint32, path string) behaviour {
 		r := f.random("server", agent, path)
 		return behaviour{
-			shed:  r%5 < 3,
-			dies:  r>>4%5 == 0,
-			waits: time.Duration(r>>8%100) * time.Millisecond,
-			takes: time.Duration(r>>16%400) * time.Millisecond,
+			sheds:    r%5 < 3,
+			crashes:  r>>4%5 == 0,
+			delay:    time.Duration(r>>8%100) * time.Millisecond,
+			duration: time.Duration(r>>16%400) * time.Millisecond,
 		}
 	}
 	var all sync.WaitGroup
@@ -91,7 +91,7 @@
 		all.Go(func() { seen[i] = f.claim(fmt.Sprintf("/claim/%d", i), c) })
 	}
 	for i, x := range p.faults {
-		all.Go(func() { f.strike(t, x, uint64(i+2)) })
+		all.Go(func() { f.inject(t, x, uint64(i+2)) })
 	}
 	all.Wait()
 	time.Sleep(time.Minute)
@@ -119,7 +119,7 @@
 	return h
 }
 
-func (f *fleet) strike(t *testing.T, x faultPlan, incarnation uint64) {
+func (f *fleet) inject(t *testing.T, x faultPlan, incarnation uint64) {
 	time.Sleep(x.at)
 	switch x.kind {
 	case "restart":
@@ -130,16 +130,16 @@
 		time.Sleep(x.lasts)
 		f.partition(x.agent, false)
 	case "late":
-		f.late(x.agent, x.lasts)
+		f.breakAndDelay(x.agent, x.lasts)
 	case "cut":
 		f.partition(x.agent, true)
 		f.partition(x.agent, false)
 	}
 }
 
-// late breaks the links to an agent for their senders, while what they sent comes out of
+// breakAndDelay breaks the links to an agent for their senders, while what they sent comes out of
 // the agent's socket buffers later.
-func (f *fleet) late(agent uint32, lasts time.Duration) {
+func (f *fleet) breakAndDelay(agent uint32, lasts time.Duration) {
 	f.mu.Lock()
 	links := slices.Clone(f.links)
 	f.mu.Unlock()
@@ -181,7 +181,7 @@
 		p := drawPlan(r)
 		var violations []string
 		synctest.Test(t, func(t *testing.T) {
-			f, seen := play(t, p)
+			f, seen := runPlan(t, p)
 			violations = f.check(seen)
 			for _, h := range seen {
 				claims++
--- a/internal/work/hand/link.go
+++ b/internal/work/hand/link.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	dialTimeout  = time.Second      // a peer is a few ms away; one that takes longer is as good as gone
-	greetEvery   = 30 * time.Second // clocks that run 200 ppm apart have moved 6 ms by then
-	idleLinks    = 8                // kept per peer: about as many as a server has slots
-	sameTries    = 5                // connections opened to meet one of two processes: 1 in 32 misses it
-	openLinks    = 512              // per peer, feeds included
-	maxMessage   = 256 << 10        // bytes; a head with all its fields is well below
-	drainTimeout = time.Second      // for the end of a request that was cancelled
+	dialTimeout   = time.Second      // a peer is a few ms away; one that takes longer is as good as gone
+	greetInterval = 30 * time.Second // clocks that run 200 ppm apart have moved 6 ms by then
+	maxIdleLinks  = 8                // kept per peer: about as many as a server has slots
+	maxConnects   = 5                // connections opened to meet one of two processes: 1 in 32 misses it
+	maxOpenLinks  = 512              // per peer, feeds included
+	maxMessage    = 256 << 10        // bytes; a head with all its fields is well below
+	drainTimeout  = time.Second      // for the end of a request that was cancelled
 )
 
 // Dial opens a link to another agent.
@@ -34,19 +34,19 @@
 }
 
 var (
-	errTooMany = errors.New("too many links to this agent")
-	errService = errors.New("the agent serves another service")
-	errOther   = errors.New("another process answers at the agent's address")
+	errTooManyLinks = errors.New("too many links to this agent")
+	errOtherService = errors.New("the agent serves another service")
+	errOtherProcess = errors.New("another process answers at the agent's address")
 )
 
 // link is one drpc connection. drpc carries one call at a time on it.
 type link struct {
-	conn    *drpcconn.Conn
-	peer    *peer
-	client  wire.DRPCHandClient
-	process uint64        // incarnation of the process at the other end
-	clock   time.Duration // its clock when greeted came in
-	greeted time.Time
+	conn        *drpcconn.Conn
+	peer        *peer
+	client      wire.DRPCHandClient
+	incarnation uint64        // incarnation of the process at the other end
+	peerClock   time.Duration // its clock when greeted came in
+	greetedAt   time.Time
 }
 
 // peer holds the links to one agent. A call takes a link and gives it back or closes it.
@@ -61,13 +61,13 @@
 	open int
 }
 
-// take gives a link with a fresh view of the other process.
-func (p *peer) take(ctx context.Context) (l *link, err error) {
+// acquire gives a link with a fresh view of the other process.
+func (p *peer) acquire(ctx context.Context) (l *link, err error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	defer func() { err = errors.Wrapf(err, "link to %s", p.address) }()
-	if l = p.pop(); l != nil {
-		if time.Since(l.greeted) < greetEvery || l.greet(ctx) == nil {
+	if l = p.popIdle(); l != nil {
+		if time.Since(l.greetedAt) < greetInterval || l.greet(ctx) == nil {
 			return l, nil
 		}
 		l.close()
@@ -75,28 +75,28 @@
 	return p.connect(ctx)
 }
 
-// same gives a link to one process. At the address of an agent that is being replaced
+// connectTo gives a link to one process. At the address of an agent that is being replaced
 // two processes answer, and a new connection reaches either.
-func (p *peer) same(ctx context.Context, process uint64) (l *link, err error) {
+func (p *peer) connectTo(ctx context.Context, incarnation uint64) (l *link, err error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	for range sameTries {
+	for range maxConnects {
 		l, err = p.connect(ctx)
-		if err != nil || l.process == process {
+		if err != nil || l.incarnation == incarnation {
 			return l, err
 		}
-		l.giveBack()
+		l.release()
 	}
-	return nil, errOther
+	return nil, errOtherProcess
 }
 
 func (p *peer) connect(ctx context.Context) (l *link, err error) {
 	if !p.reserve() {
-		return nil, errTooMany
+		return nil, errTooManyLinks
 	}
 	conn, err := p.dial(ctx, p.address)
 	if err != nil {
-		p.release()
+		p.unreserve()
 		return nil, err
 	}
 	l = &link{peer: p, conn: drpcconn.NewWithOptions(conn, drpcconn.Options{Manager: drpcmanager.Options{
@@ -110,8 +110,8 @@
 	return l, nil
 }
 
-// pop gives an idle link that is not known to be closed, the latest used first.
-func (p *peer) pop() *link {
+// popIdle gives an idle link that is not known to be closed, the latest used first.
+func (p *peer) popIdle() *link {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for len(p.idle) > 0 {
@@ -125,7 +125,7 @@
 	return nil
 }
 
-func (p *peer) heard(l *wire.Load) {
+func (p *peer) reportLoad(l *wire.Load) {
 	if l != nil && p.report != nil {
 		p.report(p.address, decodeLoad(l))
 	}
@@ -134,14 +134,14 @@
 func (p *peer) reserve() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.open >= openLinks {
+	if p.open >= maxOpenLinks {
 		return false
 	}
 	p.open++
 	return true
 }
 
-func (p *peer) release() {
+func (p *peer) unreserve() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
@@ -149,7 +149,7 @@
 
 // closeIdle closes the links that nobody uses.
 func (p *peer) closeIdle() {
-	for l := p.pop(); l != nil; l = p.pop() {
+	for l := p.popIdle(); l != nil; l = p.popIdle() {
 		l.close()
 	}
 }
@@ -160,10 +160,10 @@
 		return err
 	}
 	if g.Service != l.peer.service {
-		return errService
+		return errOtherService
 	}
-	l.peer.heard(g.Load)
-	l.process, l.clock, l.greeted = g.Incarnation, micros(g.Clock), time.Now()
+	l.peer.reportLoad(g.Load)
+	l.incarnation, l.peerClock, l.greetedAt = g.Incarnation, fromMicros(g.Clock), time.Now()
 	return nil
 }
 
@@ -174,7 +174,7 @@
 func (l *link) deadline(now time.Time, left time.Duration) *wire.Time {
 	return &wire.Time{
 		Left: uint64(max(left, 0).Microseconds()),
-		Sent: uint64((l.clock + now.Sub(l.greeted)).Microseconds()),
+		Sent: uint64((l.peerClock + now.Sub(l.greetedAt)).Microseconds()),
 	}
 }
 
@@ -189,13 +189,13 @@
 
 func (l *link) close() {
 	_ = l.conn.Close()
-	l.peer.release()
+	l.peer.unreserve()
 }
 
-// giveBack keeps a link whose call has ended in order.
-func (l *link) giveBack() {
+// release keeps a link whose call has ended in order.
+func (l *link) release() {
 	l.peer.mu.Lock()
-	keep := len(l.peer.idle) < idleLinks && !l.closed()
+	keep := len(l.peer.idle) < maxIdleLinks && !l.closed()
 	if keep {
 		l.peer.idle = append(l.peer.idle, l)
 	}
--- a/internal/work/hand/server.go
+++ b/internal/work/hand/server.go
@@ -21,7 +21,7 @@
 	Start       time.Time          // of the process, with its monotonic reading
 	Ring        func() *token.Ring // of the document in force
 	Runner      Runner
-	Memory      *memo.Memo        // of IDs; another one than that of request keys
+	Outcomes    *memo.Store       // of IDs; another one than that of request keys
 	Load        func() place.Hint // of the own server, told with each end; nil: nothing is told
 }
 
@@ -52,11 +52,11 @@
 // nobody waits for, and only the sender's note of this clock tells how long that was.
 func (s *Server) deadline(now time.Time, t *wire.Time) time.Time {
 	clock := now.Sub(s.Start)
-	delay := max(clock-micros(t.GetSent()), 0)
-	return now.Add(micros(t.GetLeft()) - delay)
+	delay := max(clock-fromMicros(t.GetSent()), 0)
+	return now.Add(fromMicros(t.GetLeft()) - delay)
 }
 
-func micros(n uint64) time.Duration {
+func fromMicros(n uint64) time.Duration {
 	const day = uint64(24 * time.Hour / time.Microsecond)
 	return time.Duration(min(n, 10000*day)) * time.Microsecond
 }
@@ -67,41 +67,41 @@
 	if err != nil {
 		return err
 	}
-	answer := &downAnswer{stream: stream, server: s}
+	answer := &answerSender{stream: stream, server: s}
 	head := &wire.Head{}
-	if err := unseal(s.Ring(), headSeal, up.GetHead(), head); err != nil {
+	if err := unseal(s.Ring(), headPurpose, up.GetHead(), head); err != nil {
 		// While keys are rotated two agents may not have one in common for a moment. The
 		// sender needs a proof that nothing ran; with an error it would have to ask.
-		_ = s.refuse(err)
-		return answer.end(notRun(result.OtherService), false)
+		_ = s.countRefused(err)
+		return answer.sendEnd(notRun(result.OtherService), false)
 	}
 	r, err := decodeHead(head)
 	if err != nil {
-		return s.refuse(err)
+		return s.countRefused(err)
 	}
 	now := time.Now()
 	r.Deadline = s.deadline(now, head.Time)
-	end := s.accept(now, r, head.Incarnation)
+	end := s.reject(now, r, head.Incarnation)
 	if end != nil {
-		return answer.end(*end, false)
+		return answer.sendEnd(*end, false)
 	}
 	if r.Idempotent {
-		return answer.end(s.run(stream, r, answer), true)
+		return answer.sendEnd(s.run(stream, r, answer), true)
 	}
 
-	switch d := s.Memory.Begin(now, memo.Call{ID: r.ID, Head: r.digest(), Until: s.until(r)}); d.Verdict {
+	switch d := s.Outcomes.Begin(now, memo.Call{ID: r.ID, Head: r.headDigest(), Until: s.retainUntil(r)}); d.Verdict {
 	case memo.Run:
-		return answer.end(s.runOnce(stream, r, answer), true)
+		return answer.sendEnd(s.runOnce(stream, r, answer), true)
 	case memo.Refused:
-		return answer.end(d.Result, false)
+		return answer.sendEnd(d.Result, false)
 	default:
 		event("repeated", s.Service)
 		return answer.replay(stream.Context(), d.Record)
 	}
 }
 
-// refuse counts a message that can't be taken and gives its error.
-func (s *Server) refuse(err error) error {
+// countRefused counts a message that can't be taken and gives its error.
+func (s *Server) countRefused(err error) error {
 	if errors.Is(err, errForged) {
 		event("forged", s.Service)
 	} else {
@@ -110,17 +110,17 @@
 	return err
 }
 
-// until is when an ID may be forgotten. The outcome of a feed is settled long after
+// retainUntil is when an ID may be forgotten. The outcome of a feed is settled long after
 // its deadline, but nobody asks once its first byte is there.
-func (s *Server) until(r *Request) time.Time {
+func (s *Server) retainUntil(r *Request) time.Time {
 	if r.Feed {
-		return r.Deadline.Add(FeedMemory)
+		return r.Deadline.Add(FeedRetention)
 	}
 	return r.Deadline
 }
 
-// accept gives the end of a request that may not be run here, or nil.
-func (s *Server) accept(now time.Time, r *Request, incarnation uint64) *result.Result {
+// reject gives the end of a request that may not be run here, or nil.
+func (s *Server) reject(now time.Time, r *Request, incarnation uint64) *result.Result {
 	var end result.Result
 	switch {
 	case r.Service != s.Service:
@@ -129,10 +129,10 @@
 	case incarnation != s.Incarnation:
 		// Meant for the process before this one. Nothing was run here, and the sender
 		// has sent this head once only.
-		end = notRun(result.PeerLost)
+		end = notRun(result.PeerUnreachable)
 	case r.Hops > MaxHops:
-		end = notRun(result.Hops)
-	case r.Late(now):
+		end = notRun(result.TooManyHops)
+	case r.Expired(now):
 		end = notRun(result.Expired)
 	default:
 		return nil
@@ -143,19 +143,19 @@
 // runOnce runs a request whose outcome is remembered. The outcome is recorded before
 // it is sent: once the sender has it, or the link breaks, a question finds it. If the
 // runner panics the outcome is unknown.
-func (s *Server) runOnce(stream wire.DRPCHand_RunStream, r *Request, answer *downAnswer) (end result.Result) {
+func (s *Server) runOnce(stream wire.DRPCHand_RunStream, r *Request, answer *answerSender) (end result.Result) {
 	outcome := memo.Outcome{}
-	defer func() { s.Memory.Finish(time.Now(), r.ID, outcome) }()
-	answer.keeper = memo.NewKeeper(s.Memory.AnswerLimit())
+	defer func() { s.Outcomes.Finish(time.Now(), r.ID, outcome) }()
+	answer.recorder = memo.NewRecorder(s.Outcomes.AnswerLimit())
 	end = s.run(stream, r, answer)
 	outcome.Result = end
 	if end.Outcome == result.Ran {
-		outcome.Answer = answer.keeper.Answer()
+		outcome.Answer = answer.recorder.Answer()
 	}
 	return end
 }
 
-func (s *Server) run(stream wire.DRPCHand_RunStream, r *Request, answer *downAnswer) result.Result {
+func (s *Server) run(stream wire.DRPCHand_RunStream, r *Request, answer *answerSender) result.Result {
 	ctx, cancel := context.WithCancelCause(context.WithoutCancel(stream.Context()))
 	defer cancel(nil)
 	if !r.Feed {
@@ -164,13 +164,13 @@
 		defer stop()
 	}
 	answer.ctx = ctx
-	up := newUpload(stream, answer)
+	up := newUploadReader(stream, answer)
 	r.Body = up
 	go func() {
 		cause := up.receive()
 		// The sender asks here for the outcome of what may run only once, so a broken
 		// link alone does not end it; its deadline does.
-		if errors.Is(cause, errLinkLost) && !r.Idempotent && !r.Feed {
+		if errors.Is(cause, errLinkBroken) && !r.Idempotent && !r.Feed {
 			event("detached", s.Service)
 			return
 		}
@@ -185,23 +185,23 @@
 
 // Ask implements the drpc service: what became of an ID.
 func (s *Server) Ask(sealed *wire.Sealed, stream wire.DRPCHand_AskStream) error {
-	answer := &downAnswer{stream: stream, server: s, ctx: stream.Context()}
+	answer := &answerSender{stream: stream, server: s, ctx: stream.Context()}
 	q := &wire.Question{}
-	if err := unseal(s.Ring(), questionSeal, sealed, q); err != nil {
-		_ = s.refuse(err)
-		return answer.end(unknown(result.OtherService), false)
+	if err := unseal(s.Ring(), questionPurpose, sealed, q); err != nil {
+		_ = s.countRefused(err)
+		return answer.sendEnd(unknown(result.OtherService), false)
 	}
 	event("asked", s.Service)
 	if q.Incarnation != s.Incarnation {
-		return answer.end(unknown(result.PeerLost), false)
+		return answer.sendEnd(unknown(result.PeerUnreachable), false)
 	}
 	if len(q.Id) != idSize || q.Time == nil {
-		return s.refuse(errors.New("question without ID or deadline"))
+		return s.countRefused(errors.New("question without ID or deadline"))
 	}
 	now := time.Now()
-	d := s.Memory.Ask(now, string(q.Id), s.deadline(now, q.Time))
+	d := s.Outcomes.Query(now, string(q.Id), s.deadline(now, q.Time))
 	if d.Verdict == memo.Refused {
-		return answer.end(d.Result, false)
+		return answer.sendEnd(d.Result, false)
 	}
 	return answer.replay(stream.Context(), d.Record)
 }
--- a/internal/work/hand/story_test.go
+++ b/internal/work/hand/story_test.go
@@ -13,13 +13,13 @@
 	"mangowinch/internal/work/token"
 )
 
-const widow = "/claim/widow"
+const claimPath = "/claim/widow"
 
-// same reports that a call ran and brought the widow's case.
-func same(t *testing.T, end result.Result, body string) {
+// assertRan reports that a call ran and brought the widow's case.
+func assertRan(t *testing.T, end result.Result, body string) {
 	t.Helper()
 	assert.Equal(t, end, result.Result{Outcome: result.Ran})
-	assert.Equal(t, body, "case for "+widow)
+	assert.Equal(t, body, "case for "+claimPath)
 }
 
 // Story: a server opens the widow's case and dies before it answers. The caller is told
@@ -28,13 +28,13 @@
 func TestServerDiesAfterRunning(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
-		f.behave = func(agent uint32, _ string) behaviour { return behaviour{dies: agent == 1} }
+		f.behave = func(agent uint32, _ string) behaviour { return behaviour{crashes: agent == 1} }
 		key := f.issue(1)
 		for _, agent := range []uint32{1, 1, 2, 3} {
-			end, _ := f.call(agent, widow, key)
-			assert.Equal(t, end, result.Result{Outcome: result.Unknown, Reason: result.ServerLost})
+			end, _ := f.call(agent, claimPath, key)
+			assert.Equal(t, end, result.Result{Outcome: result.Unknown, Reason: result.ServerDisconnected})
 		}
-		assert.Equal(t, f.runs(widow), 1)
+		assert.Equal(t, f.runs(claimPath), 1)
 	})
 }
 
@@ -45,18 +45,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		key := f.issue(1)
-		go f.call(1, widow, key)
+		go f.call(1, claimPath, key)
 		time.Sleep(10 * time.Millisecond)
 		f.partition(1, true)
-		end, _ := f.call(2, widow, key)
-		assert.Equal(t, end, result.Result{Outcome: result.Unknown, Reason: result.OwnerGone, After: token.ComeBack})
+		end, _ := f.call(2, claimPath, key)
+		assert.Equal(t, end, result.Result{Outcome: result.Unknown, Reason: result.OwnerUnavailable, RetryAfter: token.RetryAfter})
 		other, _ := f.call(2, "/claim/other", f.issue(2))
 		assert.Equal(t, other.Outcome, result.Ran)
 
 		f.partition(1, false)
-		end, body := f.call(2, widow, key)
-		same(t, end, body)
-		assert.Equal(t, f.runs(widow), 1)
+		end, body := f.call(2, claimPath, key)
+		assertRan(t, end, body)
+		assert.Equal(t, f.runs(claimPath), 1)
 	})
 }
 
@@ -67,15 +67,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		key := f.issue(1)
-		end, body := f.call(1, widow, key)
-		same(t, end, body)
+		end, body := f.call(1, claimPath, key)
+		assertRan(t, end, body)
 		f.stop(1)
 		f.start(t, 1, 2)
 		for agent := uint32(1); agent <= agents; agent++ {
-			end, _ = f.call(agent, widow, key)
-			assert.Equal(t, end, result.Result{Outcome: result.Unknown, Reason: result.OwnerGone})
+			end, _ = f.call(agent, claimPath, key)
+			assert.Equal(t, end, result.Result{Outcome: result.Unknown, Reason: result.OwnerUnavailable})
 		}
-		assert.Equal(t, f.runs(widow), 1)
+		assert.Equal(t, f.runs(claimPath), 1)
 	})
 }
 
@@ -89,13 +89,13 @@
 		var ends [agents]result.Result
 		var bodies [agents]string
 		for i := range ends {
-			all.Go(func() { ends[i], bodies[i] = f.call(uint32(i+1), widow, key) })
+			all.Go(func() { ends[i], bodies[i] = f.call(uint32(i+1), claimPath, key) })
 		}
 		all.Wait()
 		for i := range ends {
-			same(t, ends[i], bodies[i])
+			assertRan(t, ends[i], bodies[i])
 		}
-		assert.Equal(t, f.runs(widow), 1)
+		assert.Equal(t, f.runs(claimPath), 1)
 	})
 }
 
@@ -104,13 +104,13 @@
 func TestRepeatWhileTheFirstRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
-		f.behave = func(uint32, string) behaviour { return behaviour{takes: 1900 * time.Millisecond} }
+		f.behave = func(uint32, string) behaviour { return behaviour{duration: 1900 * time.Millisecond} }
 		key := f.issue(1)
-		go f.call(1, widow, key)
+		go f.call(1, claimPath, key)
 		time.Sleep(time.Second)
-		end, body := f.call(2, widow, key)
-		same(t, end, body)
-		assert.Equal(t, f.runs(widow), 1)
+		end, body := f.call(2, claimPath, key)
+		assertRan(t, end, body)
+		assert.Equal(t, f.runs(claimPath), 1)
 	})
 }
 
@@ -119,13 +119,13 @@
 func TestOwnerPlacesTheClaimElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
-		f.behave = func(agent uint32, _ string) behaviour { return behaviour{shed: agent == 1} }
+		f.behave = func(agent uint32, _ string) behaviour { return behaviour{sheds: agent == 1} }
 		key := f.issue(1)
 		for _, agent := range []uint32{1, 2, 3} {
-			end, body := f.call(agent, widow, key)
-			same(t, end, body)
+			end, body := f.call(agent, claimPath, key)
+			assertRan(t, end, body)
 		}
-		assert.Equal(t, f.runs(widow), 1)
+		assert.Equal(t, f.runs(claimPath), 1)
 	})
 }
 
@@ -136,15 +136,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		shed := true
-		f.behave = func(uint32, string) behaviour { return behaviour{shed: shed} }
+		f.behave = func(uint32, string) behaviour { return behaviour{sheds: shed} }
 		key := f.issue(1)
 		refused := result.Result{Outcome: result.NotRun, Reason: result.ServerShed}
-		end, _ := f.call(2, widow, key)
+		end, _ := f.call(2, claimPath, key)
 		assert.Equal(t, end, refused)
 		shed = false
-		end, _ = f.call(2, widow, key)
+		end, _ = f.call(2, claimPath, key)
 		assert.Equal(t, end, refused)
-		assert.Equal(t, f.runs(widow), 0)
+		assert.Equal(t, f.runs(claimPath), 0)
 	})
 }
 
@@ -157,13 +157,13 @@
 		f.limits = memo.Limits{Records: 1, Bytes: 1 << 10, Answer: 1 << 10}
 		f.start(t, 1, 2)
 		key := f.issue(1)
-		end, body := f.call(1, widow, key)
-		same(t, end, body)
+		end, body := f.call(1, claimPath, key)
+		assertRan(t, end, body)
 		end, _ = f.call(1, "/claim/8", f.issue(1))
-		assert.Equal(t, end, result.Result{Outcome: result.NotRun, Reason: result.MemoryFull})
+		assert.Equal(t, end, result.Result{Outcome: result.NotRun, Reason: result.StoreFull})
 		assert.Equal(t, f.runs("/claim/8"), 0)
-		end, body = f.call(1, widow, key)
-		same(t, end, body)
+		end, body = f.call(1, claimPath, key)
+		assertRan(t, end, body)
 	})
 }
 
@@ -173,13 +173,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		key := f.issue(1)
-		end, body := f.call(1, widow, key)
-		same(t, end, body)
+		end, body := f.call(1, claimPath, key)
+		assertRan(t, end, body)
 		end, _ = f.call(1, "/claim/8", key)
 		assert.Equal(t, end, result.Result{Outcome: result.NotRun, Reason: result.KeyReused})
-		end, _ = f.call(1, widow, key[:len(key)-4])
-		assert.Equal(t, end, result.Result{Outcome: result.Unknown, Reason: result.KeyBad})
+		end, _ = f.call(1, claimPath, key[:len(key)-4])
+		assert.Equal(t, end, result.Result{Outcome: result.Unknown, Reason: result.KeyInvalid})
 		assert.Equal(t, f.runs("/claim/8"), 0)
-		assert.Equal(t, f.runs(widow), 1)
+		assert.Equal(t, f.runs(claimPath), 1)
 	})
 }
--- a/internal/work/hand/upload.go
+++ b/internal/work/hand/upload.go
@@ -11,37 +11,37 @@
 )
 
 var (
-	errLinkLost  = errors.New("link to the sender lost")
-	errCancelled = errors.Newf("sender cancelled: %s", result.Gone)
-	errTooMuch   = errors.New("sender sent more than was granted")
+	errLinkBroken     = errors.New("link to the sender lost")
+	errCancelled      = errors.Newf("sender cancelled: %s", result.CallerGone)
+	errWindowExceeded = errors.New("sender sent more than was granted")
 )
 
-// upload is the body of a request that is being received. The link is always read,
+// uploadReader is the body of a request that is being received. The link is always read,
 // so that a cancellation is seen at once; the sender may have only window parts under
 // way, so that this takes no more memory than that.
-type upload struct {
+type uploadReader struct {
 	stream interface{ Recv() (*wire.Up, error) }
-	answer *downAnswer
+	answer *answerSender
 	parts  chan []byte
 
-	rest   []byte // of the part being read
-	mu     sync.Mutex
-	broken error // why the body ended early; set before parts is closed
+	rest []byte // of the part being read
+	mu   sync.Mutex
+	err  error // why the body ended early; set before parts is closed
 }
 
-func newUpload(stream interface{ Recv() (*wire.Up, error) }, answer *downAnswer) *upload {
-	return &upload{stream: stream, answer: answer, parts: make(chan []byte, window)}
+func newUploadReader(stream interface{ Recv() (*wire.Up, error) }, answer *answerSender) *uploadReader {
+	return &uploadReader{stream: stream, answer: answer, parts: make(chan []byte, window)}
 }
 
 // receive reads the link until the request's end. It gives nil when the sender closed
 // the stream in order, and otherwise why nothing more comes.
-func (u *upload) receive() error {
+func (u *uploadReader) receive() error {
 	open := true
 	finish := func(err error) {
 		if open {
 			open = false
 			u.mu.Lock()
-			u.broken = err
+			u.err = err
 			u.mu.Unlock()
 			close(u.parts)
 		}
@@ -53,8 +53,8 @@
 			return nil
 		}
 		if err != nil {
-			finish(errLinkLost)
-			return errLinkLost
+			finish(errLinkBroken)
+			return errLinkBroken
 		}
 		switch p := up.Part.(type) {
 		case *wire.Up_Body:
@@ -64,8 +64,8 @@
 			select {
 			case u.parts <- p.Body:
 			default:
-				finish(errTooMuch)
-				return errTooMuch
+				finish(errWindowExceeded)
+				return errWindowExceeded
 			}
 		case *wire.Up_End:
 			if p.End.Broken {
@@ -80,19 +80,19 @@
 }
 
 // Read implements io.Reader for the runner.
-func (u *upload) Read(p []byte) (int, error) {
+func (u *uploadReader) Read(p []byte) (int, error) {
 	for len(u.rest) == 0 {
 		part, ok := <-u.parts
 		if !ok {
 			u.mu.Lock()
 			defer u.mu.Unlock()
-			if u.broken != nil {
-				return 0, u.broken
+			if u.err != nil {
+				return 0, u.err
 			}
 			return 0, io.EOF
 		}
 		u.rest = part
-		u.answer.credit()
+		u.answer.grantCredit()
 	}
 	n := copy(p, u.rest)
 	u.rest = u.rest[n:]
--- a/internal/work/memo/answer.go
+++ b/internal/work/memo/answer.go
@@ -5,15 +5,15 @@
 	"net/http"
 )
 
-// Digest is a SHA-256. The zero value stands for "not known".
+// Digest is a SHA-256 digest. The zero value means that the digest is not known.
 type Digest [sha256.Size]byte
 
-// HeadDigest is the digest of what a request asks for, without its body.
+// HeadDigest returns the digest of a request's method and path. It does not cover the body.
 func HeadDigest(method, path string) Digest {
 	return sha256.Sum256([]byte(method + "\x00" + path))
 }
 
-// Answer is a whole answer, kept for repeats.
+// Answer is a complete answer, kept for repeats.
 type Answer struct {
 	Status int
 	Header http.Header
@@ -33,45 +33,45 @@
 	return n
 }
 
-// Keeper collects an answer while it streams to the first caller, up to a limit.
-// Beyond it the Keeper holds nothing, so that a long answer costs no memory.
-type Keeper struct {
-	limit  int
-	answer Answer
-	over   bool
+// Recorder records an answer while it is streamed to the first caller, up to a limit. Once the
+// answer exceeds the limit, the Recorder discards it, so that a long answer uses no memory.
+type Recorder struct {
+	limit    int
+	answer   Answer
+	tooLarge bool
 }
 
-// NewKeeper gives a Keeper for answers of up to limit bytes.
-func NewKeeper(limit int) *Keeper { return &Keeper{limit: limit} }
+// NewRecorder returns a Recorder for answers of up to limit bytes.
+func NewRecorder(limit int) *Recorder { return &Recorder{limit: limit} }
 
-// Start notes status and headers.
-func (k *Keeper) Start(status int, header http.Header) {
+// Start records the status and the headers.
+func (k *Recorder) Start(status int, header http.Header) {
 	k.answer = Answer{Status: status, Header: header.Clone()}
-	k.over = k.answer.size() > k.limit
+	k.tooLarge = k.answer.size() > k.limit
 }
 
-// Write notes a part of the body. It never fails.
-func (k *Keeper) Write(p []byte) (int, error) {
-	if k.over || len(k.answer.Body)+len(p) > k.limit {
-		k.over, k.answer.Body = true, nil
+// Write records a part of the body. It never fails.
+func (k *Recorder) Write(p []byte) (int, error) {
+	if k.tooLarge || len(k.answer.Body)+len(p) > k.limit {
+		k.tooLarge, k.answer.Body = true, nil
 		return len(p), nil
 	}
 	k.answer.Body = append(k.answer.Body, p...)
 	return len(p), nil
 }
 
-// Answer gives the whole answer, or nil if there was none or it went over the limit.
-func (k *Keeper) Answer() *Answer {
-	if k.over || k.answer.Status == 0 {
+// Answer returns the complete answer, or nil if there was none or it exceeded the limit.
+func (k *Recorder) Answer() *Answer {
+	if k.tooLarge || k.answer.Status == 0 {
 		return nil
 	}
 	return &k.answer
 }
 
-// Repeated gives the outcome as a repeat with the given body is to get it. The body's
-// digest is known only once it has been read, so a key that comes with another body
-// is noticed here and not in Begin.
-func (o Outcome) Repeated(body Digest) (Outcome, bool) {
+// ForRepeat returns the outcome for a repeat with the given body digest, and false if the body
+// differs from that of the first request. The digest is known only after the body has been read, so
+// a key that arrives with another body is detected here and not in Begin.
+func (o Outcome) ForRepeat(body Digest) (Outcome, bool) {
 	if o.Body != (Digest{}) && body != (Digest{}) && o.Body != body {
 		return Outcome{}, false
 	}
--- a/internal/work/memo/memo.go
+++ b/internal/work/memo/memo.go
@@ -1,19 +1,20 @@
-// Package memo remembers what became of requests, so that a repeat of one gets the
-// first outcome and never runs a second time.
+// Package memo stores the outcomes of requests, so that a repeat of a request gets the outcome of
+// the first one and never runs a second time.
 //
-// A record is kept from the moment a request may run until its deadline (or its
-// key's lifetime) is over and a margin has passed. Memory is bounded: when it is
-// full new requests are refused, and nothing is forgotten early. An answer that is
-// too big to keep is dropped, the fact that the request ran is not.
+// A record is kept from the moment a request may run until a margin after its deadline, or after
+// the end of its key's lifetime. Memory is bounded: when the store is full, new requests are
+// refused and no record is evicted early. An answer that is too large to keep is dropped, but the
+// fact that the request ran is not.
 //
-// "Not run" is final for an ID. Requests that ran are as many as the server had slots
-// for; refused ones may come by the thousand a second, and must neither push out the
-// others nor be forgotten. So in a memory that is half full, and for refusals by the
-// memory itself, only the ID is kept, in a few bits.
+// "Not run" is final for an ID. The number of requests that ran is bounded by the slots of the
+// server, but refusals may arrive by the thousand per second. They must neither displace other
+// records nor be forgotten. A store that is more than half full therefore keeps only the ID of a
+// refused request, in a few bits of a Bloom filter. The same holds for requests that the store
+// itself refuses.
 //
-// The package runs nothing and knows no clock: the caller hands in the time, always
-// from the same process's monotonic clock. It does not decide who owns a request
-// (package token) and carries none (package hand).
+// The package runs no requests and reads no clock: the caller passes the time, always from the
+// monotonic clock of the same process. The package does not determine the owner of a request
+// (package token) and does not transfer requests (package hand).
 //
 // # Usage
 //
@@ -33,53 +34,54 @@
 	"mangowinch/internal/work/result"
 )
 
-// Limits bound a memory. The zero value of a field means that nothing fits.
+// Limits bounds a Store. A limit of zero means that nothing fits.
 type Limits struct {
-	Records int           // requests remembered at a time
-	Bytes   int           // bytes of all answers kept
-	Answer  int           // bytes of one answer kept
-	Barred  int           // bytes for each of two generations of IDs that may not run any more
-	Margin  time.Duration // kept beyond the deadline, for repeats that were on their way
+	Records int           // maximum number of requests recorded
+	Bytes   int           // maximum total size of the kept answers
+	Answer  int           // maximum size in bytes of one kept answer
+	Blocked int           // size in bytes of each of the two generations of the filter of blocked IDs
+	Margin  time.Duration // how long a record outlives its deadline, for repeats still in transit
 }
 
-// DefaultLimits suit one agent: 5 slots that are held for 20 ms a request end 250 of
-// them a second, 31,250 in a key's lifetime of 2 minutes and the margin. With 1 MB, 6
-// of a thousand fresh IDs are refused by mistake after 800,000 refusals (BenchmarkMistakes).
-var DefaultLimits = Limits{Records: 32768, Bytes: 32 << 20, Answer: 64 << 10, Barred: 1 << 20, Margin: 5 * time.Second}
+// DefaultLimits suits one agent: 5 slots held for 20 ms per request complete 250 requests per
+// second, which is 31,250 in a key's lifetime of 2 minutes plus the margin. With 1 MB per
+// generation, 6 in 1,000 new IDs are refused as false positives after 800,000 refusals
+// (BenchmarkFalsePositives).
+var DefaultLimits = Limits{Records: 32768, Bytes: 32 << 20, Answer: 64 << 10, Blocked: 1 << 20, Margin: 5 * time.Second}
 
-// Call is one arrival of a request.
+// Call is one arrival of a request, either the first or a repeat.
 type Call struct {
 	ID    string
-	Head  Digest    // of method and path; a key with another head is refused
+	Head  Digest    // of method and path; a key that arrives with another head is refused
 	Until time.Time // deadline of the request or end of its key's lifetime
 }
 
-// Verdict says what to do with a call.
+// Verdict is what to do with a call.
 type Verdict uint8
 
-// The verdicts. The zero value refuses.
+// The verdicts. The zero value refuses the call.
 const (
 	Refused Verdict = iota // answer with Decision.Result
-	Run                    // the first of its ID: run it and call Finish
-	Join                   // the first is running: wait for Decision.Record
-	Known                  // the first has ended: answer with Decision.Record
+	Run                    // first call of its ID: run the request and call Finish
+	Join                   // the first call is running: wait for Decision.Record
+	Known                  // the first call has ended: answer with Decision.Record
 )
 
-// Decision is the answer to Begin and Ask.
+// Decision is the result of Begin and Query.
 type Decision struct {
 	Verdict Verdict
 	Record  *Record       // for Join and Known
 	Result  result.Result // for Refused
 }
 
-// Outcome is the end of a request as it is remembered.
+// Outcome is the recorded end of a request.
 type Outcome struct {
 	Result result.Result
-	Answer *Answer // nil if there was none or it was too big to keep
-	Body   Digest  // of the whole request body; zero if it was not read to its end
+	Answer *Answer // nil if there was none or it was too large to keep
+	Body   Digest  // of the whole request body; zero if the body was not read to its end
 }
 
-// Record is what is remembered of one ID.
+// Record is the state of one ID.
 type Record struct {
 	id      string
 	head    Digest
@@ -92,130 +94,134 @@
 // Done is closed once the request has ended.
 func (r *Record) Done() <-chan struct{} { return r.done }
 
-// Outcome is valid once Done is closed. Whoever gets it must not change it.
+// Outcome returns the outcome. It is valid once Done is closed and must not be modified.
 func (r *Record) Outcome() Outcome { return r.outcome }
 
-// Memo is a memory of outcomes. It may be used from several goroutines.
-type Memo struct {
+// Store holds the outcomes of requests. It is safe for concurrent use.
+type Store struct {
 	limits Limits
 
-	mu      sync.Mutex
-	records map[string]*Record
-	ended   expiries
-	bytes   int
-	barred  *barred
+	mu       sync.Mutex
+	records  map[string]*Record
+	expiring expiryHeap
+	bytes    int
+	blocked  *blockFilter
 }
 
-// New gives an empty memory.
-func New(l Limits) *Memo {
-	return &Memo{limits: l, records: map[string]*Record{}, barred: newBarred(l.Barred)}
+// New returns an empty store.
+func New(l Limits) *Store {
+	return &Store{limits: l, records: map[string]*Record{}, blocked: newBlockFilter(l.Blocked)}
 }
 
-// Begin decides about an arrival: exactly one call of an ID is told to run.
-func (m *Memo) Begin(now time.Time, c Call) Decision {
+// Begin decides about a call. Of all calls with the same ID, exactly one gets the verdict Run.
+func (m *Store) Begin(now time.Time, c Call) Decision {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if r, ok := m.records[c.ID]; ok {
 		if r.head != c.Head {
 			return refuse(result.NotRun, result.KeyReused)
 		}
-		return found(r)
+		return existing(r)
 	}
-	m.forget(now)
-	// A process that was paused wakes with requests whose time is over. Within the
-	// margin a record would still be here, so it never ran; after it nobody can tell.
+	m.evict(now)
+	// A process that was paused may resume with requests that have expired. Within the margin a
+	// record would still exist, so a request without one never ran. After the margin, whether it
+	// ran is unknown.
 	if !now.Before(c.Until.Add(m.limits.Margin)) {
 		return refuse(result.Unknown, result.Expired)
 	}
 	if !now.Before(c.Until) {
 		return refuse(result.NotRun, result.Expired)
 	}
-	if m.barred.has(c.ID) {
-		return refuse(result.NotRun, result.KeyOld)
+	if m.blocked.has(c.ID) {
+		return refuse(result.NotRun, result.KeyExpired)
 	}
 	if m.full() {
-		// A copy that was delayed on its way must not run after this was said.
-		m.bar(now, c.ID, c.Until)
-		return refuse(result.NotRun, result.MemoryFull)
+		// A delayed copy must not run after this refusal.
+		m.block(now, c.ID, c.Until)
+		return refuse(result.NotRun, result.StoreFull)
 	}
 	m.records[c.ID] = &Record{id: c.ID, head: c.Head, until: c.Until, done: make(chan struct{})}
 	return Decision{Verdict: Run}
 }
 
-// Ask tells what became of an ID. One that never arrived is barred: a copy that
-// still lies in a broken link's buffers must not run after "not run" was said here.
-func (m *Memo) Ask(now time.Time, id string, until time.Time) Decision {
+// Query returns the state of an ID. An ID that has not arrived is blocked: a copy that is still in
+// the buffers of a broken link must not run after Query has returned "not run".
+func (m *Store) Query(now time.Time, id string, until time.Time) Decision {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if r, ok := m.records[id]; ok {
-		return found(r)
+		return existing(r)
 	}
-	m.forget(now)
+	m.evict(now)
 	if !now.Before(until.Add(m.limits.Margin)) {
 		return refuse(result.Unknown, result.Expired)
 	}
-	m.bar(now, id, until)
-	return refuse(result.NotRun, result.PeerLost)
+	m.block(now, id, until)
+	return refuse(result.NotRun, result.PeerUnreachable)
 }
 
-func (m *Memo) bar(now time.Time, id string, until time.Time) {
-	m.barred.add(now, id, until.Add(m.limits.Margin))
+// block adds an ID to the filter of IDs that must not run.
+func (m *Store) block(now time.Time, id string, until time.Time) {
+	m.blocked.add(now, id, until.Add(m.limits.Margin))
 }
 
-// Finish records the end of a request that Begin let run. The first end counts.
-func (m *Memo) Finish(now time.Time, id string, o Outcome) {
+// Finish records the end of a request that Begin allowed to run. Only the first call for an ID
+// counts.
+func (m *Store) Finish(now time.Time, id string, o Outcome) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if r, ok := m.records[id]; ok && !r.ended {
-		m.end(now, r, o)
+		m.complete(now, r, o)
 	}
 }
 
-// AnswerLimit is the size in bytes beyond which an answer is not kept.
-func (m *Memo) AnswerLimit() int { return m.limits.Answer }
+// AnswerLimit returns the size in bytes beyond which an answer is not kept.
+func (m *Store) AnswerLimit() int { return m.limits.Answer }
 
-// Size gives how many records are held and the bytes of the answers kept.
-func (m *Memo) Size() (records, bytes int) {
+// Size returns the number of records and the total size in bytes of the kept answers.
+func (m *Store) Size() (records, bytes int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.records), m.bytes
 }
 
-func (m *Memo) full() bool {
+func (m *Store) full() bool {
 	return len(m.records) >= m.limits.Records || m.bytes >= m.limits.Bytes
 }
 
-func (m *Memo) end(now time.Time, r *Record, o Outcome) {
+func (m *Store) complete(now time.Time, r *Record, o Outcome) {
 	if size := o.Answer.size(); size > m.limits.Answer || m.bytes+size > m.limits.Bytes {
 		o.Answer = nil
 	}
 	if o.Result.Outcome == result.Ran && o.Answer == nil {
-		o.Result.Reason = result.AnswerGone
+		o.Result.Reason = result.AnswerNotKept
 	}
 	r.outcome, r.ended = o, true
 	if r.until.Before(now) {
-		r.until = now // it ran beyond its deadline: repeats may be on their way still
+		r.until = now // it ran past its deadline: repeats may still be in transit
 	}
 	close(r.done)
 	if o.Result.Outcome == result.NotRun && len(m.records) > m.limits.Records/2 {
-		m.bar(now, r.id, r.until)
+		m.block(now, r.id, r.until)
 		delete(m.records, r.id)
 		return
 	}
 	m.bytes += o.Answer.size()
-	heap.Push(&m.ended, r)
+	heap.Push(&m.expiring, r)
 }
 
-// forget drops records whose time and margin are over. A running one is never among them.
-func (m *Memo) forget(now time.Time) {
-	for len(m.ended) > 0 && !now.Before(m.ended[0].until.Add(m.limits.Margin)) {
-		r := heap.Pop(&m.ended).(*Record)
+// evict removes the records whose deadline and margin have passed. Running requests are never
+// removed.
+func (m *Store) evict(now time.Time) {
+	for len(m.expiring) > 0 && !now.Before(m.expiring[0].until.Add(m.limits.Margin)) {
+		r := heap.Pop(&m.expiring).(*Record)
 		m.bytes -= r.outcome.Answer.size()
 		delete(m.records, r.id)
 	}
 }
 
-func found(r *Record) Decision {
+func existing(r *Record) Decision {
 	if r.ended {
 		return Decision{Verdict: Known, Record: r}
 	}
@@ -226,14 +232,14 @@
 	return Decision{Result: result.Result{Outcome: o, Reason: r}}
 }
 
-// expiries is a heap of ended records, the first to be forgotten on top.
-type expiries []*Record
+// expiryHeap is a heap of ended records, ordered by expiry.
+type expiryHeap []*Record
 
-func (e expiries) Len() int           { return len(e) }
-func (e expiries) Less(i, j int) bool { return e[i].until.Before(e[j].until) }
-func (e expiries) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *expiries) Push(x any)        { *e = append(*e, x.(*Record)) }
-func (e *expiries) Pop() any {
+func (e expiryHeap) Len() int           { return len(e) }
+func (e expiryHeap) Less(i, j int) bool { return e[i].until.Before(e[j].until) }
+func (e expiryHeap) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *expiryHeap) Push(x any)        { *e = append(*e, x.(*Record)) }
+func (e *expiryHeap) Pop() any {
 	last := len(*e) - 1
 	r := (*e)[last]
 	(*e)[last] = nil
--- a/internal/work/memo/memo_test.go
+++ b/internal/work/memo/memo_test.go
@@ -14,7 +14,7 @@
 
 var (
 	start  = time.Unix(1_000_000, 0)
-	limits = Limits{Records: 4, Bytes: 64, Answer: 32, Barred: 64, Margin: 5 * time.Second}
+	limits = Limits{Records: 4, Bytes: 64, Answer: 32, Blocked: 64, Margin: 5 * time.Second}
 	head   = HeadDigest("POST", "/claim/7")
 )
 
@@ -26,27 +26,27 @@
 	return Outcome{Result: result.Result{Outcome: result.Ran}, Answer: &Answer{Status: http.StatusOK, Body: []byte(body)}}
 }
 
-// history is what the model remembers of one key without any limit.
+// history is the model's unbounded record of one key.
 type history struct {
 	call    Call
 	runs    int
 	running bool
-	notRun  bool // somebody was told "not run"
+	notRun  bool // a caller was told "not run"
 	body    string
 }
 
-// Whatever the order of arrivals, ends, questions and pauses, and however small the
-// memory: a key runs at most once, never after "not run" was said of it, and a
-// repeat gets the first answer or none.
+// Checks, for any order of calls, ends, queries and pauses, and with a small store, that a key runs
+// at most once and never after "not run" was returned for it, and that a repeat gets the first
+// answer or none.
 func TestKeyRunsAtMostOnce(t *testing.T) {
 	small := limits
 	small.Records = 2
 	rapid.Check(t, func(t *rapid.T) {
 		m, now, keys := New(small), start, []*history{}
-		told := func(h *history, d Decision) {
+		observe := func(h *history, d Decision) {
 			switch d.Verdict {
 			case Run:
-				assert.Assert(t, !h.notRun, "runs after not-run was said")
+				assert.Assert(t, !h.notRun, "runs after not-run was returned")
 				h.runs, h.running = h.runs+1, true
 				assert.Equal(t, h.runs, 1, "second run")
 			case Join:
@@ -60,7 +60,7 @@
 			case Refused:
 				h.notRun = h.notRun || d.Result.Outcome == result.NotRun
 			}
-			assert.Assert(t, !h.notRun || h.runs == 0, "not-run was said of a request that ran: %+v", d)
+			assert.Assert(t, !h.notRun || h.runs == 0, "not-run was returned for a request that ran: %+v", d)
 		}
 		pick := func(t *rapid.T) *history {
 			return rapid.SampledFrom(keys).Draw(t, "key")
@@ -72,8 +72,8 @@
 		issue(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"issue":  issue,
-			"arrive": func(t *rapid.T) { h := pick(t); told(h, m.Begin(now, h.call)) },
-			"ask":    func(t *rapid.T) { h := pick(t); told(h, m.Ask(now, h.call.ID, h.call.Until)) },
+			"arrive": func(t *rapid.T) { h := pick(t); observe(h, m.Begin(now, h.call)) },
+			"ask":    func(t *rapid.T) { h := pick(t); observe(h, m.Query(now, h.call.ID, h.call.Until)) },
 			"end": func(t *rapid.T) {
 				if h := pick(t); h.running {
 					m.Finish(now, h.call.ID, ran(h.body))
@@ -90,8 +90,8 @@
 	})
 }
 
-// Story: a caller loses patience and sends its key again while the first try runs.
-// The second waits and gets the first one's answer; the server sees one request.
+// Guards against a second run when a caller gives up waiting and repeats its key while the first
+// request runs. The repeat must wait for the first request and get its answer.
 func TestRepeatOfRunningKeyJoins(t *testing.T) {
 	m := New(limits)
 	assert.Equal(t, m.Begin(start, call("k")).Verdict, Run)
@@ -99,7 +99,7 @@
 	assert.Equal(t, d.Verdict, Join)
 	select {
 	case <-d.Record.Done():
-		t.Fatal("done before the first has ended")
+		t.Fatal("Done is closed before the first request has ended")
 	default:
 	}
 	m.Finish(start, "k", ran("case 12"))
@@ -108,8 +108,9 @@
 	assert.Equal(t, m.Begin(start, call("k")).Verdict, Known)
 }
 
-// Story: a caller mixes up its keys and sends one with another claim. Giving it the
-// first claim's answer would show one widow another's case; it is refused.
+// Guards against answering a request with the outcome of another one, when a caller sends a used
+// key with a different claim by mistake. The answer would disclose one customer's case to another,
+// so the request must be refused.
 func TestKeyWithAnotherRequestIsRefused(t *testing.T) {
 	m := New(limits)
 	m.Begin(start, call("k"))
@@ -121,15 +122,15 @@
 
 	first, second := Digest{1}, Digest{2}
 	o := Outcome{Body: first}
-	_, same := o.Repeated(second)
+	_, same := o.ForRepeat(second)
 	assert.Assert(t, !same)
-	_, same = o.Repeated(first)
+	_, same = o.ForRepeat(first)
 	assert.Assert(t, same)
 }
 
-// Story: the memory is full of requests whose callers may still repeat them. New work
-// is refused; the oldest outcome is still there, and is dropped only when its time is over.
-func TestFullMemoryRefusesAndForgetsNothing(t *testing.T) {
+// Guards against evicting outcomes early when the store is full of requests that their callers may
+// still repeat. New requests must be refused, and the oldest record must stay until it expires.
+func TestFullStoreRefusesAndEvictsNothing(t *testing.T) {
 	m := New(limits)
 	for _, id := range []string{"a", "b", "c", "d"} {
 		assert.Equal(t, m.Begin(start, call(id)).Verdict, Run)
@@ -138,17 +139,17 @@
 	fresh := call("e")
 	fresh.Until = start.Add(time.Minute)
 	d := m.Begin(start, fresh)
-	assert.Equal(t, d.Result, result.Result{Outcome: result.NotRun, Reason: result.MemoryFull})
+	assert.Equal(t, d.Result, result.Result{Outcome: result.NotRun, Reason: result.StoreFull})
 	assert.Equal(t, m.Begin(start, call("a")).Verdict, Known)
 
-	// An ID that is asked about is barred although there is no room for a record.
+	// A queried ID is blocked even if there is no room for a record.
 	asked := Call{ID: "h", Head: head, Until: start.Add(time.Minute)}
-	assert.Equal(t, m.Ask(start, asked.ID, asked.Until).Result.Outcome, result.NotRun)
+	assert.Equal(t, m.Query(start, asked.ID, asked.Until).Result.Outcome, result.NotRun)
 
-	// "e" was told "not run"; a copy of it that was under way must not run later.
+	// "e" was refused as not run; a delayed copy of it must not run later.
 	later := start.Add(15 * time.Second)
 	d = m.Begin(later, fresh)
-	assert.Equal(t, d.Result, result.Result{Outcome: result.NotRun, Reason: result.KeyOld})
+	assert.Equal(t, d.Result, result.Result{Outcome: result.NotRun, Reason: result.KeyExpired})
 	assert.Equal(t, m.Begin(later, asked).Result.Outcome, result.NotRun)
 	fresh.ID = "f"
 	assert.Equal(t, m.Begin(later, fresh).Verdict, Run)
@@ -156,38 +157,39 @@
 	assert.Equal(t, records, 1)
 }
 
-// Story: one caller sends thousands of claims with keys that are all refused, faster than
-// their lifetime ends. They take no room from the claims of others, and none of them
-// runs when a delayed copy arrives. What runs is still refused by mistake rarely.
-func TestRefusalsDoNotFillTheMemory(t *testing.T) {
+// Guards against refusals filling the store: one caller sends thousands of claims that are all
+// refused, faster than their keys expire. The refusals must not displace the claims of others, and
+// none of the refused claims may run when a delayed copy arrives. The rate of false positives must
+// stay low.
+func TestRefusalsDoNotFillStore(t *testing.T) {
 	l := limits
-	l.Records, l.Barred = 100, 16<<10
+	l.Records, l.Blocked = 100, 16<<10
 	m := New(l)
 	for i := range 10_000 {
 		id := strconv.Itoa(i)
-		if m.Begin(start, call(id)).Verdict == Run { // a few are taken for barred
-			m.Finish(start, id, Outcome{Result: result.Result{Outcome: result.NotRun, Reason: result.ShedCaller}})
+		if m.Begin(start, call(id)).Verdict == Run { // a few are false positives of the filter
+			m.Finish(start, id, Outcome{Result: result.Result{Outcome: result.NotRun, Reason: result.OverFairShare}})
 		}
 	}
 	records, _ := m.Size()
 	assert.Assert(t, records <= 50, "%d records", records)
-	mistakes := 0
+	falsePositives := 0
 	for i := range 10_000 {
 		d := m.Begin(start, call(strconv.Itoa(i)))
 		assert.Assert(t, d.Verdict == Known || d.Result.Outcome == result.NotRun, "%d: %+v", i, d)
-		if m.barred.has("fresh" + strconv.Itoa(i)) {
-			mistakes++
+		if m.blocked.has("fresh" + strconv.Itoa(i)) {
+			falsePositives++
 		}
 	}
-	assert.Assert(t, mistakes < 200, "%d of 10,000", mistakes)
+	assert.Assert(t, falsePositives < 200, "%d of 10,000", falsePositives)
 }
 
-// Story: an upload's receipt is larger than what is kept. The repeat learns that
-// the request ran, without the answer. It does not run again.
+// Guards against a second run when the answer is too large to keep. The repeat must learn that the
+// request ran, without the answer.
 func TestAnswerTooBigToKeep(t *testing.T) {
 	m := New(limits)
 	m.Begin(start, call("k"))
-	k := NewKeeper(limits.Answer)
+	k := NewRecorder(limits.Answer)
 	k.Start(http.StatusOK, http.Header{"A": {"b"}})
 	_, _ = k.Write(make([]byte, 20))
 	_, _ = k.Write(make([]byte, 20))
@@ -195,12 +197,12 @@
 	m.Finish(start, "k", Outcome{Result: result.Result{Outcome: result.Ran}, Answer: k.Answer()})
 	d := m.Begin(start, call("k"))
 	assert.Equal(t, d.Verdict, Known)
-	assert.Equal(t, d.Record.Outcome().Result, result.Result{Outcome: result.Ran, Reason: result.AnswerGone})
+	assert.Equal(t, d.Record.Outcome().Result, result.Result{Outcome: result.Ran, Reason: result.AnswerNotKept})
 }
 
-// Story: an agent is frozen for an hour with a request in its socket buffer. It wakes
-// and reads it: the deadline is long over, so it does not run, and since a memory of
-// that time would be gone, nothing is promised about it.
+// Guards against running an expired request: an agent is paused for an hour with a request in its
+// socket buffer, and reads the request when it resumes. The request must not run. Its record would
+// have been evicted by then, so the outcome is unknown rather than "not run".
 func TestWokenAfterTheDeadline(t *testing.T) {
 	m := New(limits)
 	d := m.Begin(start.Add(time.Hour), call("k"))
@@ -209,11 +211,12 @@
 	assert.Equal(t, d.Result, result.Result{Outcome: result.NotRun, Reason: result.Expired})
 }
 
-// Story: a link breaks with a request still in its buffers. The sender asks on a new
-// link, is told "not run" and goes elsewhere; then the old link's bytes are read.
+// Guards against running a request after "not run" was returned for it. A link breaks with a
+// request in its buffers, the sender queries the ID on a new link, gets "not run" and places the
+// request elsewhere. The receiver then reads the request from the old link.
 func TestAskedBeforeItArrived(t *testing.T) {
 	m := New(limits)
-	d := m.Ask(start, "h", start.Add(10*time.Second))
+	d := m.Query(start, "h", start.Add(10*time.Second))
 	assert.Equal(t, d.Result.Outcome, result.NotRun)
 	d = m.Begin(start, Call{ID: "h", Head: head, Until: start.Add(10 * time.Second)})
 	assert.Equal(t, d.Verdict, Refused)
--- a/internal/work/once/beside_test.go
+++ b/internal/work/once/beside_test.go
@@ -17,10 +17,10 @@
 	"mangowinch/internal/work/token"
 )
 
-// runs counts what runs at one process.
-type runs int
+// countingRunner counts the requests that run in one process.
+type countingRunner int
 
-func (n *runs) Run(_ context.Context, r *hand.Request, a hand.Answer) result.Result {
+func (n *countingRunner) Run(_ context.Context, r *hand.Request, a hand.Answer) result.Result {
 	*n++
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return result.Result{}
@@ -31,29 +31,29 @@
 	return result.Result{Outcome: result.Ran}
 }
 
-// nowhere takes an answer.
-type nowhere struct{}
+// discardAnswer discards an answer.
+type discardAnswer struct{}
 
-func (nowhere) Start(int, http.Header) error { return nil }
+func (discardAnswer) Start(int, http.Header) error { return nil }
 
-func (nowhere) Write(p []byte) (int, error) { return len(p), nil }
+func (discardAnswer) Write(p []byte) (int, error) { return len(p), nil }
 
 // process is one of two processes at one agent's address.
 type process struct {
-	guard *Guard
-	runs  runs
-	hands int // requests passed to it
-	other *process
-	alive bool
+	guard     *Guard
+	runs      countingRunner
+	handOvers int // requests handed over to the other process
+	other     *process
+	alive     bool
 }
 
-func (p *process) Hand(ctx context.Context, _ netip.AddrPort, r *hand.Request, a hand.Answer) result.Result {
-	p.other.hands++
+func (p *process) HandOver(ctx context.Context, _ netip.AddrPort, r *hand.Request, a hand.Answer) result.Result {
+	p.other.handOvers++
 	return p.other.guard.Run(ctx, r, a, &p.other.runs)
 }
 
-func (p *process) beside() (Other, bool) {
-	return Other{Incarnation: p.other.guard.View().Owner.Incarnation}, p.other.alive
+func (p *process) otherProcess() (Process, bool) {
+	return Process{Incarnation: p.other.guard.View().Owner.Incarnation}, p.other.alive
 }
 
 func newProcess(t *testing.T, incarnation uint64) *process {
@@ -65,44 +65,46 @@
 		Start: time.Now().Add(-time.Minute), Lifetime: token.DefaultLifetime,
 	}}
 	p := &process{alive: true}
-	p.guard = &Guard{View: func() *View { return v }, Memory: memo.New(memo.DefaultLimits), Client: p, Beside: p.beside}
+	p.guard = &Guard{View: func() *View { return v }, Outcomes: memo.New(memo.DefaultLimits), Client: p, OtherProcess: p.otherProcess}
 	return p
 }
 
-func lookup(key string) *hand.Request {
+func newLookup(key string) *hand.Request {
 	return &hand.Request{
 		Service: "tracing-core", Class: "lookup", Method: "POST", Path: "/lookup/7", Key: key,
 		Body: io.NopCloser(strings.NewReader("claim")), Deadline: time.Now().Add(time.Second),
 	}
 }
 
-// A fund holds a request key when its agent's process is replaced. Its lookup reaches
-// the successor, and later once more. The successor used to know nothing of the key
-// and said unknown to a lookup that nobody had run. The old process runs it, once.
+// Guards against a successor that returns unknown for a key of its predecessor. A caller gets a
+// request key from an agent whose process is then replaced, and sends its lookup, and a repeat, to
+// the successor. The successor doesn't know the key; the old process must run the lookup, exactly
+// once. After the old process has terminated, the outcome is unknown.
 func TestKeyOutlivesReplacement(t *testing.T) {
 	old, successor := newProcess(t, 1), newProcess(t, 2)
 	old.other, successor.other = successor, old
 	v := old.guard.View()
 	key := v.Ring.Seal(v.Owner.Issue(time.Now().Add(-time.Second), 7))
 	for range 2 {
-		end := successor.guard.Run(t.Context(), lookup(key), nowhere{}, &successor.runs)
+		end := successor.guard.Run(t.Context(), newLookup(key), discardAnswer{}, &successor.runs)
 		assert.Equal(t, end.Outcome, result.Ran)
 	}
-	assert.Equal(t, old.runs, runs(1))
-	assert.Equal(t, successor.runs, runs(0))
+	assert.Equal(t, old.runs, countingRunner(1))
+	assert.Equal(t, successor.runs, countingRunner(0))
 	old.alive = false
-	end := successor.guard.Run(t.Context(), lookup(key), nowhere{}, &successor.runs)
-	assert.Equal(t, end, result.Result{Outcome: result.Unknown, Reason: result.OwnerGone})
+	end := successor.guard.Run(t.Context(), newLookup(key), discardAnswer{}, &successor.runs)
+	assert.Equal(t, end, result.Result{Outcome: result.Unknown, Reason: result.OwnerUnavailable})
 }
 
-// A key of a third process, long gone, must not travel between the two.
+// Guards against handing over a key of a third process, long terminated, from one process to the
+// other.
 func TestKeyOfNeitherProcessIsAnsweredHere(t *testing.T) {
 	old, successor := newProcess(t, 1), newProcess(t, 2)
 	old.other, successor.other = successor, old
 	third := newProcess(t, 3).guard.View()
 	key := third.Ring.Seal(third.Owner.Issue(time.Now(), 7))
-	end := successor.guard.Run(t.Context(), lookup(key), nowhere{}, &successor.runs)
+	end := successor.guard.Run(t.Context(), newLookup(key), discardAnswer{}, &successor.runs)
 	assert.Equal(t, end.Outcome, result.Unknown)
-	assert.Equal(t, old.hands+successor.hands, 0)
-	assert.Equal(t, old.runs+successor.runs, runs(0))
+	assert.Equal(t, old.handOvers+successor.handOvers, 0)
+	assert.Equal(t, old.runs+successor.runs, countingRunner(0))
 }
--- a/internal/work/once/once.go
+++ b/internal/work/once/once.go
@@ -1,18 +1,17 @@
-// Package once runs a request that carries a request key at most once, whichever
-// agents its caller sends it to and however often.
+// Package once runs a request that carries a request key at most once, no matter which agents its
+// caller sends it to or how often it sends it.
 //
-// It brings three parts together: the key names its owner (package token), the owner
-// remembers what became of the key (package memo), everybody else passes the request
-// to the owner (package hand). A request without a key, or of an idempotent class,
-// goes by untouched.
+// It combines three packages: the key names its owner (package token), the owner stores the outcome
+// recorded for the key (package memo), and every other agent hands the request over to the owner
+// (package hand). A request without a key, or of an idempotent class, bypasses the package.
 //
-// Of a request with a key "not run" is said only by the owner's memory, and holds
-// for the key: nothing ran under it, and nothing will. An agent that can't reach the
-// owner says unknown, since an earlier try may have run.
+// For a request with a key, "not run" comes only from the owner's outcome store and applies to the
+// key as a whole: no request has run under it, and none will. An agent that can't reach the owner
+// returns unknown, because an earlier attempt may have run.
 //
 // # Usage
 //
-//	g := &once.Guard{View: view, Memory: memo.New(memo.DefaultLimits), Client: client}
+//	g := &once.Guard{View: view, Outcomes: memo.New(memo.DefaultLimits), Client: client}
 //	end := g.Run(ctx, request, answer, ownServer)
 package once
 
@@ -32,38 +31,38 @@
 	"mangowinch/internal/work/token"
 )
 
-// View is what an agent knows now. It is immutable.
+// View is the agent's current configuration as it affects request keys. It is immutable.
 type View struct {
 	Ring    *token.Ring
 	Owner   token.Owner   // this agent
-	Servers []docs.Server // of the documents in force and just before
+	Servers []docs.Server // of the current and the previous service document
 }
 
-// Passer hands requests to other agents.
-type Passer interface {
-	Hand(ctx context.Context, to netip.AddrPort, r *hand.Request, a hand.Answer) result.Result
+// Client hands requests over to other agents.
+type Client interface {
+	HandOver(ctx context.Context, to netip.AddrPort, r *hand.Request, a hand.Answer) result.Result
 }
 
-// Guard decides about requests with a key.
+// Guard ensures that a request with a key runs at most once.
 type Guard struct {
-	View   func() *View
-	Memory *memo.Memo
-	Client Passer
-	// Beside names the other process at this agent's address, its predecessor or
-	// its successor, while it runs; nil if there can be none.
-	Beside func() (other Other, runs bool)
+	View     func() *View
+	Outcomes *memo.Store
+	Client   Client
+	// OtherProcess returns the other process at this agent's address, its predecessor or its
+	// successor, while that process runs. It is nil if there can be none.
+	OtherProcess func() (other Process, running bool)
 }
 
-// Other is a process that shares this agent's address.
-type Other struct {
+// Process is a process that shares this agent's address.
+type Process struct {
 	Incarnation uint64
-	Address     netip.AddrPort // its own
+	Address     netip.AddrPort // the process's own address
 }
 
-// Applies reports whether a request's key is looked at.
+// Applies reports whether the guard evaluates the request's key.
 func Applies(r *hand.Request) bool { return r.Key != "" && !r.Idempotent }
 
-// Run gives a request's outcome. Next runs it here, or places it without its key.
+// Run returns the result of a request. Next runs the request here, or places it without its key.
 func (g *Guard) Run(ctx context.Context, r *hand.Request, a hand.Answer, next hand.Runner) (end result.Result) {
 	if !Applies(r) {
 		return next.Run(ctx, r, a)
@@ -71,90 +70,91 @@
 	v := g.View()
 	key, err := v.Ring.Open(r.Key)
 	if err != nil {
-		g.count(v, verdictOf(err))
-		// The key may have been good once: damaged since, or its secret rotated out.
-		return result.Result{Outcome: result.Unknown, Reason: result.KeyBad}
+		g.count(v, keyErrorVerdict(err))
+		// The key may have been valid earlier: it may have been damaged since, or its secret
+		// rotated out.
+		return result.Result{Outcome: result.Unknown, Reason: result.KeyInvalid}
 	}
 	now := time.Now()
-	ruling := g.rule(v, now, key)
-	switch ruling.Place {
-	case token.Here:
-		return g.own(ctx, r, a, next, memo.Call{
+	decision := g.decide(v, now, key)
+	switch decision.Action {
+	case token.Local:
+		return g.runAsOwner(ctx, r, a, next, memo.Call{
 			ID:    key.ID(),
 			Head:  memo.HeadDigest(r.Method, r.Path),
-			Until: ruling.Until,
+			Until: decision.Until,
 		})
-	case token.Pass:
-		return g.pass(ctx, v, ruling.Agent, r, a)
+	case token.HandOver:
+		return g.handOver(ctx, v, decision.Agent, r, a)
 	default:
-		g.count(v, string(ruling.Result.Reason))
-		return ruling.Result
+		g.count(v, string(decision.Result.Reason))
+		return decision.Result
 	}
 }
 
-// rule decides who decides. An agent's process that is being replaced still owns the
-// keys it issued; the two know each other's incarnations, so that a key of a third
-// goes to neither.
-func (g *Guard) rule(v *View, now time.Time, key token.Key) token.Ruling {
-	ruling := v.Owner.Rule(now, key, v.Servers)
-	if ruling.Place != token.Refuse || key.Server != v.Owner.Server || g.Beside == nil {
-		return ruling
+// decide determines which agent decides about the key. While an agent's process is being replaced,
+// the old process still owns the keys that it issued. The two processes know each other's
+// incarnations, so a key of any third process is handed over to neither.
+func (g *Guard) decide(v *View, now time.Time, key token.Key) token.Decision {
+	decision := v.Owner.Decide(now, key, v.Servers)
+	if decision.Action != token.Refuse || key.Server != v.Owner.Server || g.OtherProcess == nil {
+		return decision
 	}
-	other, runs := g.Beside()
-	if !runs || other.Incarnation != key.Incarnation {
-		return ruling
+	other, running := g.OtherProcess()
+	if !running || other.Incarnation != key.Incarnation {
+		return decision
 	}
-	return token.Ruling{Place: token.Pass, Agent: other.Address}
+	return token.Decision{Action: token.HandOver, Agent: other.Address}
 }
 
-// pass gives a request to the owner of its key. The owner may be unreachable for a
-// while only, so the caller is told when to come back.
-func (g *Guard) pass(ctx context.Context, v *View, owner netip.AddrPort, r *hand.Request, a hand.Answer) result.Result {
+// handOver hands a request over to the owner of its key. The owner may be unreachable only
+// temporarily, so the caller is given a retry delay.
+func (g *Guard) handOver(ctx context.Context, v *View, owner netip.AddrPort, r *hand.Request, a hand.Answer) result.Result {
 	g.count(v, "passed")
-	end := g.Client.Hand(ctx, owner, r, a)
-	if end.Outcome == result.Unknown && end.Reason == result.PeerLost {
-		end.Reason, end.After = result.OwnerGone, token.ComeBack
+	end := g.Client.HandOver(ctx, owner, r, a)
+	if end.Outcome == result.Unknown && end.Reason == result.PeerUnreachable {
+		end.Reason, end.RetryAfter = result.OwnerUnavailable, token.RetryAfter
 	}
 	return end
 }
 
-// own decides as the key's owner.
-func (g *Guard) own(ctx context.Context, r *hand.Request, a hand.Answer, next hand.Runner, call memo.Call) result.Result {
-	d := g.Memory.Begin(time.Now(), call)
+// runAsOwner handles a request whose key this agent owns.
+func (g *Guard) runAsOwner(ctx context.Context, r *hand.Request, a hand.Answer, next hand.Runner, call memo.Call) result.Result {
+	d := g.Outcomes.Begin(time.Now(), call)
 	switch d.Verdict {
 	case memo.Run:
-		return g.first(ctx, r, a, next, call.ID)
+		return g.runFirst(ctx, r, a, next, call.ID)
 	case memo.Refused:
 		g.count(g.View(), string(d.Result.Reason))
 		return d.Result
 	default:
-		return g.again(ctx, r, a, d.Record)
+		return g.repeat(ctx, r, a, d.Record)
 	}
 }
 
-// first runs a request and records its outcome, also if next panics.
-func (g *Guard) first(ctx context.Context, r *hand.Request, a hand.Answer, next hand.Runner, id string) result.Result {
+// runFirst runs the first request of a key and records its outcome, even if next panics.
+func (g *Guard) runFirst(ctx context.Context, r *hand.Request, a hand.Answer, next hand.Runner, id string) result.Result {
 	g.count(g.View(), "first")
 	outcome := memo.Outcome{}
-	defer func() { g.Memory.Finish(time.Now(), id, outcome) }()
-	plain := *r
-	plain.Key = "" // whoever it is placed at decides nothing about the key
-	body := newHashed(r.Body)
-	plain.Body = body
-	kept := &keeping{Answer: a, keeper: memo.NewKeeper(g.Memory.AnswerLimit())}
-	outcome.Result = next.Run(ctx, &plain, kept)
+	defer func() { g.Outcomes.Finish(time.Now(), id, outcome) }()
+	keyless := *r
+	keyless.Key = "" // the agent where the request is placed must not evaluate the key
+	body := newHashingReader(r.Body)
+	keyless.Body = body
+	recording := &recordingAnswer{Answer: a, recorder: memo.NewRecorder(g.Outcomes.AnswerLimit())}
+	outcome.Result = next.Run(ctx, &keyless, recording)
 	outcome.Body = body.digest()
 	end := outcome.Result
 	if end.Outcome == result.Ran {
-		outcome.Answer = kept.keeper.Answer()
+		outcome.Answer = recording.recorder.Answer()
 	}
-	// Whoever repeats the key is told the same, but not when to come back with it.
-	outcome.Result.After = 0
+	// A repeat of the key gets the same result, but no retry delay.
+	outcome.Result.RetryAfter = 0
 	return end
 }
 
-// again answers a repeat with the first outcome, once that is there.
-func (g *Guard) again(ctx context.Context, r *hand.Request, a hand.Answer, record *memo.Record) result.Result {
+// repeat answers a repeat with the outcome of the first request, and waits for it if necessary.
+func (g *Guard) repeat(ctx context.Context, r *hand.Request, a hand.Answer, record *memo.Record) result.Result {
 	g.count(g.View(), "repeated")
 	timer := time.NewTimer(time.Until(r.Deadline))
 	defer timer.Stop()
@@ -163,13 +163,13 @@
 	case <-timer.C:
 		return result.Result{Outcome: result.Unknown, Reason: result.Expired}
 	case <-ctx.Done():
-		return result.Result{Outcome: result.Unknown, Reason: result.Gone}
+		return result.Result{Outcome: result.Unknown, Reason: result.CallerGone}
 	}
-	body := newHashed(r.Body)
+	body := newHashingReader(r.Body)
 	if err := body.drain(); err != nil {
-		return result.Result{Outcome: result.Unknown, Reason: result.Gone}
+		return result.Result{Outcome: result.Unknown, Reason: result.CallerGone}
 	}
-	outcome, same := record.Outcome().Repeated(body.digest())
+	outcome, same := record.Outcome().ForRepeat(body.digest())
 	if !same {
 		g.count(g.View(), string(result.KeyReused))
 		return result.Result{Outcome: result.NotRun, Reason: result.KeyReused}
@@ -178,15 +178,15 @@
 		return outcome.Result
 	}
 	if a.Start(outcome.Answer.Status, outcome.Answer.Header.Clone()) != nil {
-		return result.Result{Outcome: result.Unknown, Reason: result.Gone}
+		return result.Result{Outcome: result.Unknown, Reason: result.CallerGone}
 	}
 	if _, err := a.Write(outcome.Answer.Body); err != nil {
-		return result.Result{Outcome: result.Unknown, Reason: result.Gone}
+		return result.Result{Outcome: result.Unknown, Reason: result.CallerGone}
 	}
 	return outcome.Result
 }
 
-func verdictOf(err error) string {
+func keyErrorVerdict(err error) string {
 	switch {
 	case errors.Is(err, token.ErrService):
 		return "service"
@@ -197,7 +197,7 @@
 	}
 }
 
-// count counts what was decided about a key.
+// count increments the counter of verdicts about keys.
 func (g *Guard) count(v *View, verdict string) {
 	metrics.GetOrCreateCounter(fmt.Sprintf(`mangowinch_keys_total{service=%q,verdict=%q}`, v.Owner.Service, verdict)).Inc()
 }
--- a/internal/work/once/stream.go
+++ b/internal/work/once/stream.go
@@ -13,62 +13,62 @@
 	"mangowinch/internal/work/memo"
 )
 
-// hashed digests a request body while it is read.
-type hashed struct {
+// hashingReader computes the digest of a request body while the body is read.
+type hashingReader struct {
 	source io.Reader
 
-	mu   sync.Mutex // the body may still be read when the outcome is there
+	mu   sync.Mutex // the body may still be read after the outcome is known
 	hash hash.Hash
-	end  bool
+	eof  bool
 }
 
-func newHashed(source io.Reader) *hashed {
+func newHashingReader(source io.Reader) *hashingReader {
 	if source == nil {
 		source = http.NoBody
 	}
-	return &hashed{source: source, hash: sha256.New()}
+	return &hashingReader{source: source, hash: sha256.New()}
 }
 
 // Read implements io.Reader.
-func (h *hashed) Read(p []byte) (int, error) {
+func (h *hashingReader) Read(p []byte) (int, error) {
 	n, err := h.source.Read(p)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.hash.Write(p[:n])
-	h.end = h.end || errors.Is(err, io.EOF)
+	h.eof = h.eof || errors.Is(err, io.EOF)
 	return n, err
 }
 
-// digest is zero unless the body was read to its end.
-func (h *hashed) digest() (d memo.Digest) {
+// digest returns the digest of the body, or zero if the body was not read to its end.
+func (h *hashingReader) digest() (d memo.Digest) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.end {
+	if h.eof {
 		h.hash.Sum(d[:0])
 	}
 	return d
 }
 
-// drain reads the rest of the body without keeping it.
-func (h *hashed) drain() error {
+// drain reads and discards the rest of the body.
+func (h *hashingReader) drain() error {
 	_, err := io.Copy(io.Discard, h)
 	return err
 }
 
-// keeping notes an answer for repeats while it goes to the first caller.
-type keeping struct {
+// recordingAnswer records an answer for repeats while it is sent to the first caller.
+type recordingAnswer struct {
 	hand.Answer
-	keeper *memo.Keeper
+	recorder *memo.Recorder
 }
 
 // Start implements hand.Answer.
-func (k *keeping) Start(status int, header http.Header) error {
-	k.keeper.Start(status, header)
+func (k *recordingAnswer) Start(status int, header http.Header) error {
+	k.recorder.Start(status, header)
 	return k.Answer.Start(status, header)
 }
 
 // Write implements hand.Answer.
-func (k *keeping) Write(p []byte) (int, error) {
-	_, _ = k.keeper.Write(p)
+func (k *recordingAnswer) Write(p []byte) (int, error) {
+	_, _ = k.recorder.Write(p)
 	return k.Answer.Write(p)
 }
--- a/internal/work/spread/spread.go
+++ b/internal/work/spread/spread.go
@@ -31,16 +31,16 @@
 	"mangowinch/internal/work/result"
 )
 
-// Passer hands requests to other agents.
-type Passer interface {
-	Hand(ctx context.Context, to netip.AddrPort, r *hand.Request, a hand.Answer) result.Result
+// Client hands requests to other agents.
+type Client interface {
+	HandOver(ctx context.Context, to netip.AddrPort, r *hand.Request, a hand.Answer) result.Result
 }
 
-// Spreader places the requests of one agent.
-type Spreader struct {
-	self   uint32
-	client Passer
-	own    func() place.Hint
+// Dispatcher places the requests of one agent.
+type Dispatcher struct {
+	self    uint32
+	client  Client
+	ownHint func() place.Hint
 
 	mu       sync.Mutex // guards all below; place and retry are not safe for concurrent use
 	placer   *place.Placer
@@ -52,19 +52,19 @@
 }
 
 // New gives a spreader that knows of no server yet. Own tells the state of the own server.
-func New(self place.Self, client Passer, own func() place.Hint) *Spreader {
+func New(self place.Self, client Client, ownHint func() place.Hint) *Dispatcher {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	return &Spreader{
-		self:   self.ID,
-		client: client,
-		own:    own,
-		placer: place.New(self, random),
-		budget: retry.New(retry.Default),
+	return &Dispatcher{
+		self:    self.ID,
+		client:  client,
+		ownHint: ownHint,
+		placer:  place.New(self, random),
+		budget:  retry.New(retry.Default),
 	}
 }
 
 // SetServers puts a new document in force.
-func (s *Spreader) SetServers(d *docs.Service) {
+func (s *Dispatcher) SetServers(d *docs.Service) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.service = d.Name
@@ -82,7 +82,7 @@
 }
 
 // Report takes what another agent says of its server.
-func (s *Spreader) Report(agent netip.AddrPort, h place.Hint) {
+func (s *Dispatcher) Report(agent netip.AddrPort, h place.Hint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if id, ok := s.agentIDs[agent]; ok {
@@ -94,41 +94,41 @@
 type attempt struct {
 	request hand.Request
 	body    *hand.Body // nil if there is none
-	answer  *begun
+	answer  *trackedAnswer
 	tried   []uint32
 }
 
 // Run gives a request's outcome. Own runs it on the own server. A request that
 // another agent has placed here runs here or not at all: two agents that each think
 // the other idle would pass it to and fro.
-func (s *Spreader) Run(ctx context.Context, r *hand.Request, a hand.Answer, own hand.Runner) result.Result {
+func (s *Dispatcher) Run(ctx context.Context, r *hand.Request, a hand.Answer, ownServer hand.Runner) result.Result {
 	if r.Placed {
-		return own.Run(ctx, r, a)
+		return ownServer.Run(ctx, r, a)
 	}
-	t := &attempt{request: *r, answer: &begun{Answer: a}}
+	t := &attempt{request: *r, answer: &trackedAnswer{Answer: a}}
 	if r.Body != nil && r.Body != http.NoBody {
 		t.body = hand.NewBody(r.Body)
 	}
-	s.fresh()
-	end := result.Result{Outcome: result.NotRun, Reason: result.LeavingServer, After: comeBack}
+	s.countFirstAttempt()
+	end := result.Result{Outcome: result.NotRun, Reason: result.ServerLeaving, RetryAfter: retryAfter}
 	for {
 		server, address := s.choose(t.tried)
 		if server == 0 {
 			return end // nobody else to try: the last refusal stands
 		}
-		end = s.try(ctx, t, server, address, own)
+		end = s.runOn(ctx, t, server, address, ownServer)
 		t.tried = append(t.tried, server)
-		if !s.again(t, end) {
+		if !s.shouldRetry(t, end) {
 			return end
 		}
 	}
 }
 
-// comeBack is when a caller is to try again that met no server which takes work: a
+// retryAfter is when a caller is to try again that met no server which takes work: a
 // planned replacement of a server takes seconds.
-const comeBack = time.Second
+const retryAfter = time.Second
 
-func (s *Spreader) try(ctx context.Context, t *attempt, server uint32, address netip.AddrPort, own hand.Runner) (end result.Result) {
+func (s *Dispatcher) runOn(ctx context.Context, t *attempt, server uint32, address netip.AddrPort, ownServer hand.Runner) (end result.Result) {
 	r := t.request
 	if t.body != nil {
 		reader := t.body.Reader()
@@ -137,28 +137,28 @@
 	}
 	started := time.Now()
 	var once sync.Once
-	note := func(end result.Result) {
-		once.Do(func() { s.ended(server, t, end, time.Since(started)) })
+	record := func(end result.Result) {
+		once.Do(func() { s.recordEnd(server, t, end, time.Since(started)) })
 	}
 	if r.Feed { // holds no slot after its first byte, and may be open for hours
-		t.answer.first = func() { note(result.Result{Outcome: result.Ran}) }
+		t.answer.onStart = func() { record(result.Result{Outcome: result.Ran}) }
 	}
-	defer func() { note(end) }()
+	defer func() { record(end) }()
 	if server == s.self {
-		return own.Run(ctx, &r, t.answer)
+		return ownServer.Run(ctx, &r, t.answer)
 	}
 	r.Placed = true
-	return s.client.Hand(ctx, address, &r, t.answer)
+	return s.client.HandOver(ctx, address, &r, t.answer)
 }
 
-func (s *Spreader) fresh() {
+func (s *Dispatcher) countFirstAttempt() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.budget.Fresh()
 }
 
-func (s *Spreader) choose(tried []uint32) (server uint32, address netip.AddrPort) {
-	hint := s.own()
+func (s *Dispatcher) choose(tried []uint32) (server uint32, address netip.AddrPort) {
+	hint := s.ownHint()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.placer.Choose(time.Now(), hint, tried)
@@ -169,22 +169,22 @@
 	return c.Server, s.agents[c.Server]
 }
 
-func (s *Spreader) ended(server uint32, t *attempt, end result.Result, took time.Duration) {
+func (s *Dispatcher) recordEnd(server uint32, t *attempt, end result.Result, took time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.kinds[t.request.Class] == docs.Upload {
 		took = 0 // long by nature
 	}
-	s.placer.Ended(time.Now(), server, howEnded(end, t.answer.status.Load()), took)
+	s.placer.Ended(time.Now(), server, placementOutcome(end, t.answer.status.Load()), took)
 }
 
-// howEnded says what an end tells of the server. A server that fails each request within a
+// placementOutcome says what an end tells of the server. A server that fails each request within a
 // millisecond gives whole answers and looks idle; its status says that they are failures.
-func howEnded(end result.Result, status int32) place.Outcome {
+func placementOutcome(end result.Result, status int32) place.Outcome {
 	switch {
-	case end.Reason == result.Gone:
+	case end.Reason == result.CallerGone:
 		return place.Answered // the caller's doing; the time it took is a lower bound
-	case end.Outcome == result.NotRun && (end.Reason == result.PeerLost || end.Reason == result.ServerDown):
+	case end.Outcome == result.NotRun && (end.Reason == result.PeerUnreachable || end.Reason == result.ServerUnreachable):
 		return place.Unreachable
 	case end.Outcome == result.NotRun:
 		return place.Shed
@@ -194,12 +194,12 @@
 	return place.Answered
 }
 
-// again decides whether one more try is made.
-func (s *Spreader) again(t *attempt, end result.Result) bool {
+// shouldRetry decides whether one more try is made.
+func (s *Dispatcher) shouldRetry(t *attempt, end result.Result) bool {
 	if end.Outcome == result.Ran {
 		return false
 	}
-	if t.answer.started.Load() || t.body != nil && !t.body.Again() {
+	if t.answer.started.Load() || t.body != nil && !t.body.CanReplay() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.count("retries", "consumed")
@@ -210,7 +210,7 @@
 	// A server that leaves gives back all that waits for it at once. It took no slot, so
 	// placing it is no repeated load and not what the budget is for. Each server gives
 	// it back once.
-	if end.Outcome == result.NotRun && end.Reason == result.LeavingServer {
+	if end.Outcome == result.NotRun && end.Reason == result.ServerLeaving {
 		s.count("retries", string(retry.ServerLeaving))
 		return true
 	}
@@ -226,24 +226,24 @@
 }
 
 // count needs mu.
-func (s *Spreader) count(what, why string) {
+func (s *Dispatcher) count(what, why string) {
 	metrics.GetOrCreateCounter(fmt.Sprintf(`mangowinch_%s_total{service=%q,reason=%q}`, what, s.service, why)).Inc()
 }
 
-// begun notes whether any of an answer has been passed on.
-type begun struct {
+// trackedAnswer notes whether any of an answer has been passed on.
+type trackedAnswer struct {
 	hand.Answer
 	started atomic.Bool
 	status  atomic.Int32
-	first   func() // called when an answer starts, if set
+	onStart func() // called when an answer starts, if set
 }
 
 // Start implements hand.Answer.
-func (b *begun) Start(status int, header http.Header) error {
+func (b *trackedAnswer) Start(status int, header http.Header) error {
 	b.started.Store(true)
 	b.status.Store(int32(status))
-	if b.first != nil {
-		b.first()
+	if b.onStart != nil {
+		b.onStart()
 	}
 	return b.Answer.Start(status, header)
 }
--- a/internal/work/spread/spread_test.go
+++ b/internal/work/spread/spread_test.go
@@ -19,44 +19,44 @@
 )
 
 var (
-	ran     = result.Result{Outcome: result.Ran}
-	shed    = result.Result{Outcome: result.NotRun, Reason: result.ServerShed}
-	leaving = result.Result{Outcome: result.NotRun, Reason: result.LeavingServer}
-	lost    = result.Result{Outcome: result.Unknown, Reason: result.ServerLost}
+	ran          = result.Result{Outcome: result.Ran}
+	shed         = result.Result{Outcome: result.NotRun, Reason: result.ServerShed}
+	leaving      = result.Result{Outcome: result.NotRun, Reason: result.ServerLeaving}
+	disconnected = result.Result{Outcome: result.Unknown, Reason: result.ServerDisconnected}
 )
 
-// servers answer as they are told, the own one by server 1. They note what they read.
-type servers struct {
-	own, others result.Result
-	begin       bool // the own server's answer begins before it ends
-	log         []string
+// fakeServers answer as they are told, the own one by server 1. They note what they read.
+type fakeServers struct {
+	own, others  result.Result
+	startsAnswer bool // the own server's answer begins before it ends
+	log          []string
 }
 
-func (s *servers) Run(_ context.Context, r *hand.Request, a hand.Answer) result.Result {
+func (s *fakeServers) Run(_ context.Context, r *hand.Request, a hand.Answer) result.Result {
 	s.read("own", r)
-	if s.begin {
+	if s.startsAnswer {
 		_ = a.Start(http.StatusOK, nil)
 	}
 	return s.own
 }
 
-func (s *servers) Hand(_ context.Context, _ netip.AddrPort, r *hand.Request, _ hand.Answer) result.Result {
+func (s *fakeServers) HandOver(_ context.Context, _ netip.AddrPort, r *hand.Request, _ hand.Answer) result.Result {
 	s.read("other", r)
 	return s.others
 }
 
-func (s *servers) read(where string, r *hand.Request) {
+func (s *fakeServers) read(where string, r *hand.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, 8))
 	s.log = append(s.log, fmt.Sprintf("%s %s %v", where, body, err))
 }
 
-type nowhere struct{}
+type discardAnswer struct{}
 
-func (nowhere) Start(int, http.Header) error { return nil }
+func (discardAnswer) Start(int, http.Header) error { return nil }
 
-func (nowhere) Write(p []byte) (int, error) { return len(p), nil }
+func (discardAnswer) Write(p []byte) (int, error) { return len(p), nil }
 
-func (s *servers) spreader() *Spreader {
+func (s *fakeServers) spreader() *Dispatcher {
 	sp := New(place.Self{ID: 1}, s, func() place.Hint { return place.Hint{} })
 	d := &docs.Service{Name: "tracing-core"}
 	for id := uint32(1); id <= 3; id++ {
@@ -70,40 +70,40 @@
 	return &hand.Request{Body: strings.NewReader("document"), Length: 8, Idempotent: idempotent, Deadline: time.Now().Add(time.Minute)}
 }
 
-func (s *servers) run(r *hand.Request) result.Result {
-	return s.spreader().Run(context.Background(), r, nowhere{}, s)
+func (s *fakeServers) run(r *hand.Request) result.Result {
+	return s.spreader().Run(context.Background(), r, discardAnswer{}, s)
 }
 
 // The own server refuses an upload; another gets it with its whole body.
-func TestRefusedWorkGoesElsewhereWhole(t *testing.T) {
-	s := &servers{own: shed, others: ran}
+func TestRefusedRequestIsRetriedWithWholeBody(t *testing.T) {
+	s := &fakeServers{own: shed, others: ran}
 	assert.Equal(t, s.run(request(false)), ran)
 	assert.DeepEqual(t, s.log, []string{"own document <nil>", "other document <nil>"})
 }
 
 // Story: a server breaks off after it was sent a claim. Nobody knows whether it ran, so no
 // other server gets it, unless the class may run twice.
-func TestUnknownWorkStays(t *testing.T) {
-	s := &servers{own: lost, others: ran}
-	assert.Equal(t, s.run(request(false)), lost)
+func TestUnknownOutcomeIsNotRetried(t *testing.T) {
+	s := &fakeServers{own: disconnected, others: ran}
+	assert.Equal(t, s.run(request(false)), disconnected)
 	assert.Equal(t, len(s.log), 1)
-	s = &servers{own: lost, others: ran}
+	s = &fakeServers{own: disconnected, others: ran}
 	assert.Equal(t, s.run(request(true)), ran)
 	assert.Equal(t, len(s.log), 2)
 }
 
 // Story: a feed's server breaks off in the middle. Another server's lines behind those that
 // the caller has would be the answer of two.
-func TestBegunAnswerIsNotTriedAgain(t *testing.T) {
-	s := &servers{own: lost, others: ran, begin: true}
-	assert.Equal(t, s.run(request(true)), lost)
+func TestStartedAnswerIsNotRetried(t *testing.T) {
+	s := &fakeServers{own: disconnected, others: ran, startsAnswer: true}
+	assert.Equal(t, s.run(request(true)), disconnected)
 	assert.Equal(t, len(s.log), 1)
 }
 
 // Story: two agents each think the other idle. What one has placed at the other is not
 // passed on.
-func TestPlacedWorkIsNotPlacedAgain(t *testing.T) {
-	s := &servers{own: shed, others: ran}
+func TestPlacedRequestIsNotPlacedAgain(t *testing.T) {
+	s := &fakeServers{own: shed, others: ran}
 	r := request(false)
 	r.Placed = true
 	assert.Equal(t, s.run(r), shed)
@@ -112,34 +112,34 @@
 
 // Story: a server drains and gives back 100 waiting claims at once, many more than the
 // budget for retries. All are placed elsewhere; none was a retry.
-func TestLeavingServersWorkIsAllPlaced(t *testing.T) {
-	s := &servers{own: leaving, others: ran}
+func TestAllRequestsOfLeavingServerArePlaced(t *testing.T) {
+	s := &fakeServers{own: leaving, others: ran}
 	sp := s.spreader()
 	for range 100 {
-		assert.Equal(t, sp.Run(context.Background(), request(false), nowhere{}, s), ran)
+		assert.Equal(t, sp.Run(context.Background(), request(false), discardAnswer{}, s), ran)
 	}
 }
 
 // Story: all servers shed. The service must not get three times the load for it.
-func TestRetriesAreFew(t *testing.T) {
-	s := &servers{own: shed, others: shed}
+func TestRetryBudgetBoundsLoad(t *testing.T) {
+	s := &fakeServers{own: shed, others: shed}
 	sp := s.spreader()
 	for range 1000 {
-		assert.Equal(t, sp.Run(context.Background(), request(false), nowhere{}, s), shed)
+		assert.Equal(t, sp.Run(context.Background(), request(false), discardAnswer{}, s), shed)
 	}
 	assert.Assert(t, len(s.log) < 1200, "%d tries", len(s.log))
 }
 
-// failing answers 500 at once on the own server and 200 elsewhere.
-type failing struct{ own, other int }
+// failFastServer answers 500 at once on the own server and 200 elsewhere.
+type failFastServer struct{ own, other int }
 
-func (f *failing) Run(_ context.Context, _ *hand.Request, a hand.Answer) result.Result {
+func (f *failFastServer) Run(_ context.Context, _ *hand.Request, a hand.Answer) result.Result {
 	f.own++
 	_ = a.Start(http.StatusInternalServerError, nil)
 	return ran
 }
 
-func (f *failing) Hand(_ context.Context, _ netip.AddrPort, _ *hand.Request, a hand.Answer) result.Result {
+func (f *failFastServer) HandOver(_ context.Context, _ netip.AddrPort, _ *hand.Request, a hand.Answer) result.Result {
 	f.other++
 	_ = a.Start(http.StatusOK, nil)
 	return ran
@@ -147,33 +147,33 @@
 
 // Story: a backend server answers 500 within a millisecond. It always has idle slots, so all its
 // agent's callers got 500 for as long as it lasted. After a few, others get the requests.
-func TestFailFastServerIsLeftAlone(t *testing.T) {
-	f := &failing{}
+func TestFailFastServerIsAvoided(t *testing.T) {
+	f := &failFastServer{}
 	sp := New(place.Self{ID: 1}, f, func() place.Hint { return place.Hint{} })
 	sp.SetServers(&docs.Service{Servers: []docs.Server{{ID: 1, Slots: 4}, {ID: 2, Slots: 4}, {ID: 3, Slots: 4}}})
 	for range 50 {
-		sp.Run(context.Background(), request(false), nowhere{}, f)
+		sp.Run(context.Background(), request(false), discardAnswer{}, f)
 	}
 	assert.Assert(t, f.own < 10 && f.other > 40, "own %d, others %d", f.own, f.other)
 }
 
-// opening hands feeds over; each opens the next one while it is open itself.
-type opening struct {
-	sp    *Spreader
+// nestedFeeds hands feeds over; each opens the next one while it is open itself.
+type nestedFeeds struct {
+	sp    *Dispatcher
 	depth int
 	log   []string
 }
 
-func (o *opening) Run(_ context.Context, _ *hand.Request, _ hand.Answer) result.Result {
+func (o *nestedFeeds) Run(_ context.Context, _ *hand.Request, _ hand.Answer) result.Result {
 	o.log = append(o.log, "own")
 	return ran
 }
 
-func (o *opening) Hand(ctx context.Context, _ netip.AddrPort, r *hand.Request, a hand.Answer) result.Result {
+func (o *nestedFeeds) HandOver(ctx context.Context, _ netip.AddrPort, r *hand.Request, a hand.Answer) result.Result {
 	o.log = append(o.log, "other")
 	_ = a.Start(http.StatusOK, nil)
 	if o.depth--; o.depth > 0 {
-		return o.sp.Run(ctx, &hand.Request{Feed: true, Deadline: r.Deadline}, nowhere{}, o)
+		return o.sp.Run(ctx, &hand.Request{Feed: true, Deadline: r.Deadline}, discardAnswer{}, o)
 	}
 	return ran
 }
@@ -181,9 +181,9 @@
 // Story: a full server's agent hands feeds to its peers, where they stay open for hours. They
 // hold no slot there, so the tenth one still finds its peers idle, not full.
 func TestOpenFeedsDoNotFillPeers(t *testing.T) {
-	o := &opening{depth: 10}
+	o := &nestedFeeds{depth: 10}
 	o.sp = New(place.Self{ID: 1}, o, func() place.Hint { return place.Hint{Running: 4, Waiting: 4} })
 	o.sp.SetServers(&docs.Service{Servers: []docs.Server{{ID: 1, Slots: 4}, {ID: 2, Slots: 4}, {ID: 3, Slots: 4}}})
-	o.sp.Run(context.Background(), &hand.Request{Feed: true, Deadline: time.Now().Add(time.Minute)}, nowhere{}, o)
+	o.sp.Run(context.Background(), &hand.Request{Feed: true, Deadline: time.Now().Add(time.Minute)}, discardAnswer{}, o)
 	assert.Equal(t, strings.Count(strings.Join(o.log, " "), "other"), 10)
 }
--- a/internal/work/token/token.go
+++ b/internal/work/token/token.go
@@ -40,12 +40,12 @@
 )
 
 const (
-	version     = 1
-	tagSize     = 16  // bytes of the HMAC kept: 2^-128 a guess, and the text stays under 100 characters
-	maxText     = 256 // characters; a longer text is damaged and is not even decoded
-	minSecret   = 16  // bytes
-	maxService  = 64  // bytes of a service name
-	derivedInfo = "mangowinch request key v1"
+	version        = 1
+	tagSize        = 16  // bytes of the HMAC kept: 2^-128 a guess, and the text stays under 100 characters
+	maxTextLen     = 256 // characters; a longer text is damaged and is not even decoded
+	minMaterialLen = 16  // bytes
+	maxServiceLen  = 64  // bytes of a service name
+	hkdfInfo       = "mangowinch request key v1"
 )
 
 // Key is the content of a request key. Keys are equal exactly if they are the same key.
@@ -101,15 +101,15 @@
 // serve other purposes too, since the secrets used here are derived from it.
 func NewRing(service string, current []byte, former ...[]byte) (r *Ring, err error) {
 	defer func() { err = errors.Wrapf(err, "request keys of %q", service) }()
-	if service == "" || len(service) > maxService {
-		return nil, errors.Newf("service name must have 1 to %d bytes", maxService)
+	if service == "" || len(service) > maxServiceLen {
+		return nil, errors.Newf("service name must have 1 to %d bytes", maxServiceLen)
 	}
 	r = &Ring{service: service}
 	for _, m := range append([][]byte{current}, former...) {
-		if len(m) < minSecret {
-			return nil, errors.Newf("key material must have at least %d bytes, has %d", minSecret, len(m))
+		if len(m) < minMaterialLen {
+			return nil, errors.Newf("key material must have at least %d bytes, has %d", minMaterialLen, len(m))
 		}
-		secret, err := hkdf.Key(sha256.New, m, []byte(service), derivedInfo, sha256.Size)
+		secret, err := hkdf.Key(sha256.New, m, []byte(service), hkdfInfo, sha256.Size)
 		if err != nil {
 			return nil, err
 		}
@@ -126,7 +126,7 @@
 
 // Open checks a text and gives the key in it, or ErrDamaged, ErrForged or ErrService.
 func (r *Ring) Open(text string) (Key, error) {
-	if len(text) > maxText {
+	if len(text) > maxTextLen {
 		return Key{}, ErrDamaged
 	}
 	b, err := base64.RawURLEncoding.DecodeString(text)
@@ -155,21 +155,21 @@
 
 // Tag authenticates a message between the service's own processes.
 func (r *Ring) Tag(p Purpose, message []byte) []byte {
-	return tag(r.secrets[0], labelled(p, message))
+	return tag(r.secrets[0], withPurpose(p, message))
 }
 
 // Check reports whether a process of the service made the tag for this message.
 func (r *Ring) Check(p Purpose, message, mac []byte) bool {
 	for _, s := range r.secrets {
-		if hmac.Equal(mac, tag(s, labelled(p, message))) {
+		if hmac.Equal(mac, tag(s, withPurpose(p, message))) {
 			return true
 		}
 	}
 	return false
 }
 
-// labelled can't be the body of a key, which begins with its version.
-func labelled(p Purpose, message []byte) []byte {
+// withPurpose can't be the body of a key, which begins with its version.
+func withPurpose(p Purpose, message []byte) []byte {
 	return append([]byte{0, byte(p)}, message...)
 }
 
--- a/internal/work/token/token_test.go
+++ b/internal/work/token/token_test.go
@@ -82,7 +82,7 @@
 	})
 }
 
-func TestOpenTellsWhatIsWrong(t *testing.T) {
+func TestOpenErrors(t *testing.T) {
 	r := ring(t, "tracing-core", secretA)
 	k := Key{Service: "tracing-core", Server: 3}
 	other := Key{Service: "doc-intake", Server: 3}
@@ -118,7 +118,7 @@
 func TestOnlyTheIssuingProcessDecides(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		issuer := owner(rapid.Uint32Range(1, 4).Draw(t, "issuer"), rapid.Uint64Range(1, 3).Draw(t, "then"))
-		mine := owner(rapid.Uint32Range(1, 4).Draw(t, "mine"), rapid.Uint64Range(1, 3).Draw(t, "now"))
+		self := owner(rapid.Uint32Range(1, 4).Draw(t, "mine"), rapid.Uint64Range(1, 3).Draw(t, "now"))
 		age := rapid.SampledFrom([]time.Duration{0, time.Minute - 1, time.Minute, time.Hour}).Draw(t, "age")
 		var servers []docs.Server
 		known := false
@@ -128,16 +128,16 @@
 				known = known || id == issuer.Server
 			}
 		}
-		got := mine.Rule(start.Add(age), issuer.Issue(start, 1), servers)
+		got := self.Decide(start.Add(age), issuer.Issue(start, 1), servers)
 		switch {
-		case mine.Server == issuer.Server && mine.Incarnation == issuer.Incarnation && age < time.Minute:
-			assert.Equal(t, got.Place, Here)
+		case self.Server == issuer.Server && self.Incarnation == issuer.Incarnation && age < time.Minute:
+			assert.Equal(t, got.Action, Local)
 			assert.Equal(t, got.Until, start.Add(time.Minute))
-		case mine.Server != issuer.Server && known:
-			assert.Equal(t, got.Place, Pass)
+		case self.Server != issuer.Server && known:
+			assert.Equal(t, got.Action, HandOver)
 			assert.Equal(t, got.Agent.Addr().As4()[3], byte(issuer.Server))
 		default:
-			assert.Equal(t, got.Place, Refuse)
+			assert.Equal(t, got.Action, Refuse)
 			assert.Equal(t, got.Result.Outcome, result.Unknown)
 		}
 	})
@@ -148,7 +148,7 @@
 // caller repeats the key. The new process knows nothing of the run: unknown.
 func TestRestartedOwnerWithClockSetBack(t *testing.T) {
 	then, now := uint64(start.UnixNano()), uint64(start.Add(-time.Hour).UnixNano())
-	got := owner(3, now).Rule(start, owner(3, then).Issue(start, 1), nil)
-	assert.Equal(t, got.Place, Refuse)
-	assert.Equal(t, got.Result, result.Result{Outcome: result.Unknown, Reason: result.OwnerGone})
+	got := owner(3, now).Decide(start, owner(3, then).Issue(start, 1), nil)
+	assert.Equal(t, got.Action, Refuse)
+	assert.Equal(t, got.Result, result.Result{Outcome: result.Unknown, Reason: result.OwnerUnavailable})
 }
