--- a/internal/work/hand/answer.go
+++ b/internal/work/hand/answer.go
@@ -12,20 +12,21 @@
 	"mangowinch/internal/work/wire"
 )
 
-// ErrAbandoned is what a runner gets for the answer to a request that nobody waits for.
-var ErrAbandoned = errors.New("the answer is not wanted any more")
+// ErrAbandoned is returned to a runner that writes an answer nobody waits for any longer.
+var ErrAbandoned = errors.New("request abandoned: its sender no longer waits for the answer")
 
-// answerSender sends an answer to the sender of a request. Once the request is cancelled
-// or past its deadline nothing more is sent: the stream may already serve another.
+// answerSender sends an answer to the sender of a request. After the request has been cancelled or
+// its deadline has passed, it sends nothing more, because the stream may already serve another
+// request.
 type answerSender struct {
 	stream interface{ Send(*wire.Down) error }
 	//nolint:containedctx // it belongs to one request, like the stream
 	ctx      context.Context
 	server   *Server
-	recorder *memo.Recorder // nil if the answer is not kept
+	recorder *memo.Recorder // nil if the answer is not recorded
 
-	mu     sync.Mutex // the upload sends credits on the same stream
-	broken bool       // the link broke; the answer is kept all the same
+	mu     sync.Mutex // uploadReader sends credits on the same stream
+	broken bool       // the link broke; the answer is still recorded
 }
 
 // Start implements Answer.
@@ -51,8 +52,8 @@
 	return n, nil
 }
 
-// send passes a part on. With the link lost, an answer that is kept goes on for the
-// sender's question; any other is of no use to anybody.
+// send sends one part. After the link has broken, an answer that is recorded continues, so that a
+// later query by the sender finds it. Any other answer is abandoned.
 func (a *answerSender) send(d *wire.Down) error {
 	if a.ctx.Err() != nil {
 		event("late", a.server.Service)
@@ -81,7 +82,7 @@
 	return a.stream.Send(encodeEnd(r, decided, a.server.load()))
 }
 
-// replay waits for the first outcome of an ID and gives it.
+// replay waits for the outcome of the first request with an ID and sends it.
 func (a *answerSender) replay(ctx context.Context, record *memo.Record) error {
 	select {
 	case <-record.Done():
--- a/internal/work/hand/ask.go
+++ b/internal/work/hand/ask.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	maxQueries   = 6                     // with askPause doubled each time: 1.55 s in all, if the deadline allows
-	queryBackoff = 50 * time.Millisecond // before the second try
+	maxQueries   = 6                     // with queryBackoff doubled after each: 1.55 s in total, if the deadline allows
+	queryBackoff = 50 * time.Millisecond // before the second query
 )
 
-// queryOutcome settles a request whose link broke after its head had been sent. Only the same
-// process can tell what became of it, and only it is asked.
+// queryOutcome determines the result of a request whose link broke after its head had been sent.
+// Only the process that the head was sent to can know the outcome, so no other is queried.
 func (x *exchange) queryOutcome(ctx context.Context) result.Result {
 	event("lost", x.client.service)
 	if x.request.Idempotent {
@@ -41,11 +41,12 @@
 	return unknown(result.PeerUnreachable)
 }
 
-// queryOnce puts the question once. It reports false if no answer came.
+// queryOnce sends one query. It returns false if no answer arrived.
 func (x *exchange) queryOnce(ctx context.Context) (end result.Result, known bool) {
 	l, err := x.link.peer.connectTo(ctx, x.link.incarnation)
 	if errors.Is(err, errOtherProcess) {
-		// Restarted: its memory went with the process that may have run the request.
+		// The receiver was restarted. The records of the process that may have run the request are
+		// lost.
 		return unknown(result.PeerUnreachable), true
 	}
 	if err != nil {
@@ -68,7 +69,7 @@
 		return result.Result{}, false
 	}
 	event("questions", x.client.service)
-	x.answer.restart()
+	x.answer.skipDelivered()
 	for {
 		d, err := stream.Recv()
 		if err != nil {
@@ -83,46 +84,47 @@
 	}
 }
 
-// resumableAnswer passes an answer on, and after a broken link passes on only what had not
-// been delivered yet: the receiver gives the very same bytes once more.
+// resumableAnswer delivers an answer. After a broken link the receiver sends the same bytes again,
+// and resumableAnswer delivers only those that it has not delivered before.
 type resumableAnswer struct {
 	answer Answer
 
 	mu      sync.Mutex
-	onStart chan struct{}
+	startCh chan struct{}
 	started bool
 	closed  bool
 	sent    int64 // bytes of the body delivered
-	skip    int64 // bytes of the body to come that were delivered before
+	skip    int64 // bytes of the body still to come that were delivered before
 }
 
-// startDelivered is closed when the answer's start has been delivered, which may have been
-// before the call: the other side answers at once, and who asks comes late.
+// startDelivered returns a channel that is closed once the start of the answer has been delivered.
+// The start may have been delivered before the call, because the receiver may answer immediately.
 func (s *resumableAnswer) startDelivered() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.onStart = make(chan struct{})
+	s.startCh = make(chan struct{})
 	if s.started {
-		close(s.onStart)
+		close(s.startCh)
 	}
-	return s.onStart
+	return s.startCh
 }
 
-func (s *resumableAnswer) restart() {
+// skipDelivered prepares for an answer that is sent again from its beginning.
+func (s *resumableAnswer) skipDelivered() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.skip = s.sent
 }
 
-// close makes sure that a late part of the answer is not delivered: by the time Hand has
-// returned, whoever took the answer may be serving another request.
-func (s *resumableAnswer) close() {
+// stop prevents the delivery of late parts: after HandOver has returned, the taker of the answer
+// may already serve another request.
+func (s *resumableAnswer) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
 }
 
-// deliver delivers one part of the answer. After an error nothing more is delivered.
+// deliver delivers one part of the answer. After an error it delivers nothing more.
 func (s *resumableAnswer) deliver(d *wire.Down) (err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,8 +153,8 @@
 		header = http.Header{}
 	}
 	s.started = true
-	if s.onStart != nil {
-		close(s.onStart)
+	if s.startCh != nil {
+		close(s.startCh)
 	}
 	return s.answer.Start(int(p.Status), header)
 }
--- a/internal/work/hand/bench_test.go
+++ b/internal/work/hand/bench_test.go
@@ -16,8 +16,8 @@
 	"mangowinch/internal/work/result"
 )
 
-// BenchmarkHand gives the cost of one hop over TCP on loopback: a claim with a short body
-// and answer, both ends in this process.
+// BenchmarkHand measures one hop over TCP on loopback: a claim with a short body and answer, with
+// both ends in this process.
 func BenchmarkHand(b *testing.B) {
 	f := newReceiver(b, "tracing-core", 1)
 	f.server.Outcomes = memo.New(memo.Limits{Records: 1 << 30, Bytes: 1 << 40, Answer: 1 << 10})
--- a/internal/work/hand/body.go
+++ b/internal/work/hand/body.go
@@ -7,25 +7,25 @@
 	"github.com/cockroachdb/errors"
 )
 
-// MaxReplay is how much of a body a Body can give again: what may be under way when the
-// receiver refuses, before it has read any of it.
+// MaxReplay is the number of bytes of a body that a Body can replay. It covers what may be in
+// transit when the receiver refuses the request before it has read any of the body.
 const MaxReplay = (window + 1) * partSize
 
-// ErrConsumed is given by a reader of a body whose beginning is gone.
+// ErrConsumed is returned by a reader of a body whose beginning is no longer available.
 var ErrConsumed = errors.New("body can't be read again")
 
-// Body is a request body that can be read again from its beginning as long as no
-// more than KeptBody bytes of it were read. It lets a request that was refused as
-// not run be placed elsewhere without holding a whole upload.
+// Body is a request body that can be read again from its beginning as long as no more than
+// MaxReplay bytes of it have been read. A request that was refused as not run can thus be placed
+// elsewhere without buffering a whole upload.
 type Body struct {
 	mu     sync.Mutex
 	source io.Reader
-	prefix []byte // from the beginning
-	read   int64  // bytes read from the source; more than are kept once some were dropped
+	prefix []byte // the first bytes of the body
+	read   int64  // bytes read from the source; exceeds len(prefix) once some were not kept
 	err    error  // of the source
 }
 
-// NewBody wraps the body as it came from the caller.
+// NewBody returns a Body that reads from source.
 func NewBody(source io.Reader) *Body { return &Body{source: source} }
 
 // CanReplay reports whether a new reader could start at the beginning.
@@ -35,8 +35,8 @@
 	return b.read == int64(len(b.prefix))
 }
 
-// Reader gives a reader from the beginning. Only the latest one is to be read; an
-// earlier one that is still blocked in the source must have been closed.
+// Reader returns a reader that starts at the beginning. Only the latest reader may be read. An
+// earlier reader that is still blocked in the source must have been closed.
 func (b *Body) Reader() *BodyReader { return &BodyReader{body: b, closed: make(chan struct{})} }
 
 // BodyReader reads a Body.
@@ -47,7 +47,7 @@
 	closed chan struct{}
 }
 
-// Close makes the reader leave everything that it has not returned yet to the next one.
+// Close leaves all data that the reader has not returned yet to the next reader.
 func (r *BodyReader) Close() error {
 	r.once.Do(func() { close(r.closed) })
 	return nil
@@ -74,7 +74,7 @@
 	}
 	n, err := b.source.Read(p)
 	b.err = err
-	// A reader that was closed while it waited leaves what it got to the next one.
+	// A reader that was closed while it waited leaves the data that it read to the next reader.
 	if whole := b.read == int64(len(b.prefix)); whole && (r.isClosed() || len(b.prefix)+n <= MaxReplay) {
 		b.prefix = append(b.prefix, p[:n]...)
 	}
--- a/internal/work/hand/client.go
+++ b/internal/work/hand/client.go
@@ -12,7 +12,7 @@
 	"mangowinch/internal/work/token"
 )
 
-// Client hands requests to other agents of one service.
+// Client hands requests over to other agents of one service.
 type Client struct {
 	service string
 	ring    func() *token.Ring
@@ -23,17 +23,17 @@
 	peers map[netip.AddrPort]*peer
 }
 
-// Report takes what an agent says of its server.
+// Report receives the load hint that an agent sends for its server.
 type Report func(agent netip.AddrPort, h place.Hint)
 
-// NewClient gives a client of one service. Ring gives the keys of the document in force.
-// Report gets what agents say of themselves whenever they answer; it may be nil.
+// NewClient returns a client of one service. Ring returns the key ring of the document in force.
+// Report receives the load hint of an agent with each of the agent's replies; it may be nil.
 func NewClient(service string, ring func() *token.Ring, dial Dial, report Report) *Client {
 	return &Client{service: service, ring: ring, dial: dial, report: report, peers: map[netip.AddrPort]*peer{}}
 }
 
-// Retain closes the idle links to all agents but the given ones. It is called with each
-// new document, so that what is held for addresses is bounded by the document.
+// Retain closes the idle links to all agents other than the given ones. It is called with each new
+// document, so that the state held per address is bounded by the document.
 func (c *Client) Retain(agents []netip.AddrPort) {
 	known := make(map[netip.AddrPort]bool, len(agents))
 	for _, a := range agents {
@@ -64,14 +64,14 @@
 	return p
 }
 
-// HandOver gives a request to the agent at an address and its answer to a. It returns at
-// the deadline or when ctx ends, whatever the other agent does.
+// HandOver hands a request over to the agent at an address and delivers its answer to a. It returns
+// by the deadline or when ctx ends, even if the other agent does not respond.
 //
-// NotRun means that the request did not run at that agent and never will; it may be
-// placed elsewhere if its body can be read again. With a key it means that nothing ran
-// under the key. After Unknown only an idempotent
-// request may. An answer may have been started whatever the outcome; it is whole only
-// after Ran without a reason. Writes of a must fail once ctx has ended.
+// NotRun means that the request has not run at that agent and never will. It may be placed
+// elsewhere if its body can be read again. For a request with a key it means that nothing has run
+// under the key. After Unknown, only an idempotent request may be placed elsewhere. The answer may
+// have been started whatever the outcome; it is complete only after Ran without a reason. Writes to
+// a must fail once ctx has ended.
 func (c *Client) HandOver(ctx context.Context, to netip.AddrPort, r *Request, a Answer) (end result.Result) {
 	defer func() { count("ends", c.service, "near", end) }()
 	if r.Hops >= MaxHops {
@@ -88,8 +88,8 @@
 		event("unreached", c.service)
 		return r.notSent(result.PeerUnreachable)
 	}
-	// The time is taken here once more: the process may have been paused since. Up to
-	// this point nothing of the request has left.
+	// The process may have been paused since the request arrived, so the time left is computed
+	// here. Nothing of the request has been sent yet.
 	now := time.Now()
 	left := r.Deadline.Sub(now) - HopMargin
 	if left <= 0 {
@@ -104,8 +104,8 @@
 	return x.run(ctx, now, left)
 }
 
-// notSent is the end of a request that has not left. A request with a key asks about
-// earlier tries too, of which this agent knows nothing.
+// notSent returns the result of a request that has not been sent. The result of a request with a
+// key also covers earlier attempts, which are not known to this agent, so it is unknown.
 func (r *Request) notSent(reason result.Reason) result.Result {
 	if r.Key != "" {
 		return unknown(reason)
--- a/internal/work/hand/codec.go
+++ b/internal/work/hand/codec.go
@@ -29,9 +29,9 @@
 	}}}
 }
 
-// decodeEnd takes an outcome it does not know as unknown. With a key, "not run" is
-// believed only on the runner's word: that this try of the request did not run says
-// nothing of an earlier one, which its caller is asking about.
+// decodeEnd decodes the end of a request. It treats an outcome that it doesn't know as unknown. For
+// a request with a key, "not run" is accepted only if the receiver's runner decided it: that this
+// attempt did not run proves nothing about earlier attempts under the key.
 func decodeEnd(e *wire.End, keyed bool) result.Result {
 	r := result.Result{Reason: result.Reason(e.Reason), RetryAfter: time.Duration(min(e.After, 1<<40)) * time.Millisecond}
 	switch e.Outcome {
@@ -78,7 +78,7 @@
 
 func decodeFields(fields []*wire.Field) (http.Header, error) {
 	if len(fields) > maxFields {
-		return nil, errors.Newf("%d headers, at most %d are taken", len(fields), maxFields)
+		return nil, errors.Newf("%d headers, at most %d are allowed", len(fields), maxFields)
 	}
 	h := make(http.Header, len(fields))
 	for _, f := range fields {
@@ -87,16 +87,16 @@
 	return h, nil
 }
 
-// What seals are for.
+// The purposes of seals.
 const (
 	headPurpose     token.Purpose = 1
 	questionPurpose token.Purpose = 2
 )
 
-var errForged = errors.New("not made by a process of the service")
+var errForged = errors.New("message is not authenticated by a process of the service")
 
-// seal authenticates a message. Without it whoever reaches an agent's address could
-// have requests run as any caller's, past every limit of the service's document.
+// seal authenticates a message. Otherwise anyone who can reach an agent's address could run
+// requests under the name of any caller and bypass all limits of the service document.
 func seal(ring *token.Ring, p token.Purpose, m proto.Message) (*wire.Sealed, error) {
 	b, err := proto.Marshal(m)
 	if err != nil {
@@ -121,9 +121,9 @@
 }
 
 func decodeHead(h *wire.Head) (r *Request, err error) {
-	defer func() { err = errors.Wrap(err, "head of a handed request") }()
+	defer func() { err = errors.Wrap(err, "head of a request handed over") }()
 	if len(h.GetId()) != idSize || h.GetTime() == nil {
-		return nil, errors.New("no ID or no deadline")
+		return nil, errors.New("ID of wrong length or no deadline")
 	}
 	header, err := decodeFields(h.Headers)
 	if err != nil {
--- a/internal/work/hand/exchange.go
+++ b/internal/work/hand/exchange.go
@@ -12,7 +12,7 @@
 	"mangowinch/internal/work/wire"
 )
 
-// exchange is one request on one link, seen from the sender.
+// exchange is the sender's side of one request on one link.
 type exchange struct {
 	client       *Client
 	link         *link
@@ -20,19 +20,19 @@
 	answer       *resumableAnswer
 	credits      chan struct{}
 	stream       wire.DRPCHand_RunClient
-	cancelStream context.CancelFunc // cuts the stream, and the link with it
+	cancelStream context.CancelFunc // closes the stream and its link
 }
 
-// downResult is what came down: an end, or that the link broke.
+// downResult is the result of receiving an answer: the end of the request, or why there is none.
 type downResult struct {
 	end     result.Result
 	err     error // the link broke before the end
-	refused bool  // the answer was refused by its taker
+	refused bool  // the taker of the answer returned an error
 }
 
 func (x *exchange) run(ctx context.Context, now time.Time, left time.Duration) result.Result {
-	// The stream outlives ctx: a cancellation is a message of its own, since a link that
-	// is just cut must not end what may run only once.
+	// The stream outlives ctx. A cancellation is sent as a message, because a link that merely
+	// breaks must not stop a request that may run only once.
 	var streaming context.Context
 	streaming, x.cancelStream = context.WithCancel(context.WithoutCancel(ctx))
 	stream, err := x.link.client.Run(streaming)
@@ -51,7 +51,7 @@
 		return x.request.notSent(result.PeerUnreachable)
 	}
 	if err := stream.Send(&wire.Up{Part: &wire.Up_Head{Head: head}}); err != nil {
-		// Some of it may have arrived.
+		// A part of the head may have arrived.
 		x.cancelStream()
 		x.link.close()
 		return x.queryOutcome(ctx)
@@ -86,18 +86,18 @@
 				expiry = nil
 			}
 		case <-ctx.Done():
-			x.answer.close()
+			x.answer.stop()
 			go x.cancel(down)
 			return unknown(result.CallerGone)
 		case <-expiry:
-			x.answer.close()
+			x.answer.stop()
 			go x.cancel(down)
 			return unknown(result.Expired)
 		}
 	}
 }
 
-// receive passes the answer on until its end.
+// receive delivers the answer until its end.
 func (x *exchange) receive() downResult {
 	for {
 		d, err := x.stream.Recv()
@@ -123,7 +123,7 @@
 	}
 }
 
-// sendBody sends the body in parts, only as many ahead as the receiver has granted.
+// sendBody sends the body in parts, no more of them ahead than the receiver has granted.
 func (x *exchange) sendBody(ctx context.Context) {
 	body := x.request.Body
 	if body == nil {
@@ -161,7 +161,8 @@
 	}
 }
 
-// partSize is no larger than a short body, with one byte more to see its end.
+// partSize returns the size of the buffer for a part. A short body gets a buffer of its own size
+// plus one byte, which is needed to detect its end.
 func (x *exchange) partSize() int64 {
 	if n := x.request.Length; n >= 0 && n < partSize {
 		return n + 1
@@ -169,8 +170,8 @@
 	return partSize
 }
 
-// finish ends the call in order and keeps the link. The stream's context is not
-// cancelled: drpc would close the link if it saw that before the end.
+// finish ends the call normally and keeps the link. It doesn't cancel the stream's context, because
+// drpc would close the link if it noticed the cancellation before the end.
 func (x *exchange) finish() {
 	timer := time.AfterFunc(drainTimeout, func() { _ = x.link.conn.Close() })
 	defer timer.Stop()
@@ -181,10 +182,10 @@
 	x.link.release()
 }
 
-// cancel tells the receiver that nobody waits any more and lets the rest of the answer
-// fall. The link is closed only after the receiver's end or drainTimeout: closing it with
-// bytes unread would reset it, and the reset may overtake the cancellation. Down is nil
-// if receive has returned already.
+// cancel notifies the receiver that nobody waits any longer, and discards the rest of the answer.
+// It closes the link only after the receiver's end or after drainTimeout: closing a link with
+// unread bytes would reset it, and the reset may overtake the cancellation. Down is nil if receive
+// has returned already.
 func (x *exchange) cancel(down <-chan downResult) {
 	defer x.cancelStream()
 	defer x.link.close()
--- a/internal/work/hand/fake_test.go
+++ b/internal/work/hand/fake_test.go
@@ -23,10 +23,10 @@
 
 var address = netip.MustParseAddrPort("127.0.2.1:7000")
 
-// runner is a stand-in for the far agent's chain and server. It logs executions.
+// runner is a fake of the receiver's request chain and server. It logs executions.
 type runner struct {
 	mu     sync.Mutex
-	ran    map[string]int // by path
+	ran    map[string]int // number of runs by path
 	handle func(ctx context.Context, r *Request, a Answer) result.Result
 }
 
@@ -46,7 +46,7 @@
 	return f.ran[path]
 }
 
-// echo reads the whole body, runs, and answers with the path and the body.
+// echo reads the whole body, logs a run, and answers with the path and the body.
 func (f *runner) echo(ctx context.Context, r *Request, a Answer) result.Result {
 	body, err := io.ReadAll(r.Body)
 	if err != nil || ctx.Err() != nil || r.Expired(time.Now()) {
@@ -62,7 +62,7 @@
 	return result.Result{Outcome: result.Ran}
 }
 
-// receiver is an agent that requests are handed to.
+// receiver is an agent that requests are handed over to.
 type receiver struct {
 	*runner
 	server *Server
@@ -83,19 +83,19 @@
 	return func() *token.Ring { return ring }
 }
 
-// network connects a client with whichever far agent answers at the address, over
-// links that can be cut after a number of bytes, and held back.
+// network connects a client to the current receiver at the address, over links that can be cut
+// after a number of bytes, or held back.
 type network struct {
 	ctx           context.Context
 	mu            sync.Mutex
 	receiver      *receiver   // nil: connection refused
-	nextReceivers []*receiver // answer the links to come, the first dialled first; then far
-	cuts          []cut       // for the links to come, the first dialled first; the others last
+	nextReceivers []*receiver // accept the next links in dialling order; after them receiver does
+	cuts          []cut       // for the links in dialling order; links beyond them are not cut
 	links         []*FakeLink
 }
 
-// cut breaks a link once more than up bytes have gone to the far agent, or down bytes back;
-// negative: never.
+// cut breaks a link once more than up bytes have been sent to the receiver, or more than down bytes
+// back. A negative number means never.
 type cut struct{ up, down int }
 
 var neverCut = cut{-1, -1}
@@ -122,7 +122,7 @@
 	return up, nil
 }
 
-// hold keeps what goes to the far agent on the present links in its socket's buffer.
+// hold keeps the data sent to the receiver on the present links in its socket buffer until release.
 func (n *network) hold() (release func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -151,11 +151,10 @@
 	n.receiver = f
 }
 
-// FakeLink is one end of a link with a socket buffer: what was written before a close still
-// arrives.
+// FakeLink is one end of a link with a socket buffer: data written before a close still arrives.
 type FakeLink struct {
 	net.Conn
-	remaining int // bytes until it breaks; negative: never
+	remaining int // bytes until the link breaks; negative: never
 	queue     chan []byte
 	once      sync.Once
 	done      chan struct{}
@@ -169,14 +168,14 @@
 	return l
 }
 
-// Hold keeps what is written from now on in the other end's socket buffer.
+// Hold keeps the data written from now on in the other end's socket buffer until release.
 func (l *FakeLink) Hold() (release func()) {
 	held := make(chan struct{})
 	l.held.Store(&held)
 	return func() { close(held) }
 }
 
-// Break makes this end find the link broken; what it wrote still arrives.
+// Break makes reads at this end fail. Data that it has written still arrives.
 func (l *FakeLink) Break() { _ = l.SetReadDeadline(time.Now()) }
 
 func (l *FakeLink) deliver() {
@@ -187,7 +186,7 @@
 			if held := l.held.Load(); held != nil {
 				<-*held
 			}
-			_ = l.SetWriteDeadline(time.Now().Add(10 * time.Second)) // the other end may be gone
+			_ = l.SetWriteDeadline(time.Now().Add(10 * time.Second)) // the other end may be closed
 			if _, err := l.Conn.Write(p); err != nil {
 				return
 			}
@@ -220,44 +219,44 @@
 	return nil
 }
 
-// answerBuffer is the caller's end of an answer.
+// answerBuffer collects an answer on behalf of the caller.
 type answerBuffer struct {
 	mu     sync.Mutex
 	status int
 	body   []byte
-	wrote  chan struct{} // one for each Write, if it is set
+	wrote  chan struct{} // receives one value per Write, if set
 }
 
-func (k *answerBuffer) Start(status int, _ http.Header) error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.status = status
+func (b *answerBuffer) Start(status int, _ http.Header) error {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.status = status
 	return nil
 }
 
-func (k *answerBuffer) Write(p []byte) (int, error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.body = append(k.body, p...)
-	if k.wrote != nil {
-		k.wrote <- struct{}{}
+func (b *answerBuffer) Write(p []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.body = append(b.body, p...)
+	if b.wrote != nil {
+		b.wrote <- struct{}{}
 	}
 	return len(p), nil
 }
 
-func (k *answerBuffer) got() string {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return string(k.body)
+func (b *answerBuffer) got() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return string(b.body)
 }
 
 func claim(path string) *Request {
 	return &Request{Service: "tracing-core", Class: "lookup", Method: http.MethodPost, Path: path, Length: -1, Deadline: time.Now().Add(2 * time.Second)}
 }
 
-// newPair gives a client, a far agent and the network between them for one test.
+// newPair returns a client, a receiver and the network between them for one test.
 func newPair(t *testing.T) (*Client, *receiver, *network) {
-	t.Cleanup(func() { time.Sleep(2 * time.Minute) }) // for whatever still waits
+	t.Cleanup(func() { time.Sleep(2 * time.Minute) }) // for goroutines that still wait
 	f := newReceiver(t, "tracing-core", 1)
 	n := &network{ctx: t.Context(), receiver: f}
 	return NewClient("tracing-core", newRing(t, "0123456789abcdef"), n.dial, nil), f, n
--- a/internal/work/hand/fleet_test.go
+++ b/internal/work/hand/fleet_test.go
@@ -33,28 +33,28 @@
 	deadline = 2 * time.Second
 )
 
-// fleet is the agents of one service with the real code above the network and fakes below:
-// pipes for links, a log for servers.
+// fleet is all agents of one service. They run the real code on top of a fake network of pipes, and
+// a log replaces the servers.
 type fleet struct {
 	seed     uint64
 	document *docs.Service
 	limits   memo.Limits
-	// behave says what an agent's server does with a claim.
+	// behave returns how an agent's server treats a claim.
 	behave func(agent uint32, path string) behaviour
 
 	mu      sync.Mutex
 	nodes   map[uint32]*node
-	blocked map[[2]uint32]bool // links that can't be dialled, by both ends
+	blocked map[[2]uint32]bool // pairs of agents, by server ID, that can't dial each other
 	links   []*fleetLink
 	log     []execution
 }
 
-// behaviour is what a server does with a claim.
+// behaviour is how a server treats a claim.
 type behaviour struct {
-	sheds    bool          // refuses it, not run
-	delay    time.Duration // before it runs
-	duration time.Duration // from running to the answer
-	crashes  bool          // after it ran, before it answers
+	sheds    bool          // refuses the claim without running it
+	delay    time.Duration // before the claim runs
+	duration time.Duration // from the start of the run to the answer
+	crashes  bool          // after the claim has run, before it is answered
 }
 
 type execution struct {
@@ -82,7 +82,7 @@
 }
 
 func newFleet(t *testing.T) *fleet {
-	t.Cleanup(func() { time.Sleep(10 * time.Minute) }) // for whatever still waits
+	t.Cleanup(func() { time.Sleep(10 * time.Minute) }) // for goroutines that still wait
 	f := &fleet{nodes: map[uint32]*node{}, blocked: map[[2]uint32]bool{}, limits: memo.DefaultLimits, document: &docs.Service{Name: "tracing-core"}}
 	f.behave = func(uint32, string) behaviour { return behaviour{duration: 20 * time.Millisecond} }
 	for id := uint32(1); id <= agents; id++ {
@@ -94,7 +94,7 @@
 	return f
 }
 
-// start puts a new process in the place of an agent's present one.
+// start starts a process of an agent, which replaces the present one if there is one.
 func (f *fleet) start(t *testing.T, id uint32, incarnation uint64) {
 	n := &node{fleet: f, server: f.document.Servers[id-1], incarnation: incarnation, mux: drpcmux.New()}
 	n.ctx, n.kill = context.WithCancel(t.Context())
@@ -114,7 +114,7 @@
 	f.nodes[id] = n
 }
 
-// stop ends a process: its links break, and it does nothing more.
+// stop terminates the process of an agent and breaks its links.
 func (f *fleet) stop(id uint32) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -122,7 +122,7 @@
 	f.cut(func(l *fleetLink) bool { return l.from == id || l.to == id })
 }
 
-// partition separates one agent from the others, or ends that.
+// partition separates one agent from the others, or reconnects it.
 func (f *fleet) partition(id uint32, apart bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -152,7 +152,8 @@
 		return nil, errors.New("connection refused")
 	}
 	near, far := net.Pipe()
-	// Of a seeded run, two links in three break after some bytes, one way or the other.
+	// In a run with a seed, two links in three break after a number of bytes, in one direction or
+	// the other.
 	up, down := -1, -1
 	switch r := f.random("link", n.server.ID, id, len(f.links)); {
 	case f.seed != 0 && r%3 == 0:
@@ -166,14 +167,14 @@
 	return l, nil
 }
 
-// random gives the same number for the same things in every run of a seed.
+// random returns a number that depends only on its arguments and the seed.
 func (f *fleet) random(things ...any) uint32 {
 	h := fnv.New32a()
 	_, _ = fmt.Fprint(h, f.seed, things)
 	return h.Sum32()
 }
 
-// Run implements hand.Runner: the agent's filters.
+// Run implements hand.Runner with the agent's filters.
 func (n *node) Run(ctx context.Context, r *hand.Request, a hand.Answer) result.Result {
 	return n.guard.Run(ctx, r, a, runnerFunc(func(ctx context.Context, r *hand.Request, a hand.Answer) result.Result {
 		return n.spreader.Run(ctx, r, a, runnerFunc(n.runOnServer))
@@ -186,7 +187,7 @@
 	return f(ctx, r, a)
 }
 
-// runOnServer is the last filter and the backend server.
+// runOnServer is the last filter together with the backend server.
 func (n *node) runOnServer(ctx context.Context, r *hand.Request, a hand.Answer) result.Result {
 	b := n.fleet.behave(n.server.ID, r.Path)
 	if b.sheds {
@@ -226,7 +227,7 @@
 	}
 }
 
-// issue gives a fresh key of an agent.
+// issue returns a new key of an agent.
 func (f *fleet) issue(agent uint32) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -235,8 +236,8 @@
 	return n.view.Ring.Seal(n.view.Owner.Issue(time.Now(), n.nonce))
 }
 
-// call sends a claim to an agent as a caller does. It gives the outcome and the answer; a
-// caller whose agent dies knows nothing.
+// call sends a claim to an agent as a caller does, and returns the outcome and the answer. If the
+// agent terminates, the caller gets unknown.
 func (f *fleet) call(agent uint32, path, key string) (end result.Result, body string) {
 	f.mu.Lock()
 	n := f.nodes[agent]
@@ -255,7 +256,7 @@
 	return end, a.String()
 }
 
-// runs gives how often a claim ran, at whichever server.
+// runs returns how often a claim ran, on all servers together.
 func (f *fleet) runs(path string) (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/work/hand/hand_test.go
+++ b/internal/work/hand/hand_test.go
@@ -18,7 +18,8 @@
 
 var ran = result.Result{Outcome: result.Ran}
 
-// A lookup, and an upload of several windows, come back whole; links are used again.
+// Checks that a lookup, and an upload of several windows, are answered completely, and that their
+// link is reused.
 func TestHandOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, f, n := newPair(t)
@@ -35,9 +36,9 @@
 	})
 }
 
-// Story: the link to the agent that a claim was handed to breaks, at any byte of the
-// exchange, in either direction. The caller is told what is true: "ran" with the whole
-// answer, "not run" only if the server never saw it, else "unknown"; never two runs.
+// Guards against a second run or a false outcome when the link breaks during a hand-over, at any
+// byte of the exchange and in either direction. The caller must get "ran" with the whole answer,
+// "not run" only if the server never got the claim, and "unknown" otherwise.
 func TestLinkLostAtEachStep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ends := map[result.Outcome]int{}
@@ -46,7 +47,7 @@
 				for _, first := range []cut{{at, -1}, {-1, at}} {
 					c, f, n := newPair(t)
 					n.cuts = []cut{first}
-					if !again { // the questions fail too
+					if !again { // the queries fail too
 						for range 2 * maxQueries {
 							n.cuts = append(n.cuts, cut{0, 0})
 						}
@@ -64,7 +65,7 @@
 					case result.Ran:
 						assert.Equal(t, a.got(), "/claim/7 "+strings.Repeat("form", 20))
 					case result.NotRun:
-						assert.Equal(t, runs, 0, "%v: said %v", first, end)
+						assert.Equal(t, runs, 0, "%v: returned %v", first, end)
 					case result.Unknown:
 						assert.Assert(t, !again, "%v: unknown although the receiver answers", first)
 					}
@@ -76,9 +77,9 @@
 	})
 }
 
-// Story: a link breaks with a claim still unread at the receiver. The sender asks on a new
-// link, hears "not run" and places the claim elsewhere; then the receiver reads the
-// old link. It must not run it.
+// Guards against running a claim after "not run" was returned for it. A link breaks with the claim
+// still unread at the receiver. The sender queries the outcome on a new link, gets "not run" and
+// places the claim elsewhere; then the receiver reads the old link.
 func TestOldLinkIsReadAfterTheQuestion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, f, n := newPair(t)
@@ -97,8 +98,8 @@
 	})
 }
 
-// Story: the receiver restarts right after it ran a claim. It comes back at the same
-// address with an empty memory: asked about the ID it must not say "not run".
+// Guards against "not run" from a receiver that restarted right after it had run the claim. It is
+// back at the same address with an empty store when it is queried.
 func TestReceiverRestarted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, f, n := newPair(t)
@@ -106,7 +107,7 @@
 			f.log(r.Path)
 			n.replace(newReceiver(t, "tracing-core", 2))
 			n.cutAll()
-			time.Sleep(time.Minute) // the old process never gets to answer
+			time.Sleep(time.Minute) // the old process never answers
 			return unknown(result.CallerGone)
 		}
 		assert.Equal(t, c.HandOver(t.Context(), address, claim("/claim/7"), &answerBuffer{}), unknown(result.PeerUnreachable))
@@ -115,9 +116,10 @@
 	})
 }
 
-// Story: an agent is being replaced when the link to it breaks. Its successor has the same
-// address and gets the question's connection. The old process still knows; it is found.
-func TestQueryReachesOldProcessDuringReplacement(t *testing.T) {
+// Guards against an unknown outcome when a link breaks while its agent is being replaced. The
+// successor listens at the same address and accepts the connection of the query, but only the old
+// process knows the outcome. The sender must reach the old process.
+func TestQuestionFindsTheProcessBesideItsSuccessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, f, n := newPair(t)
 		successor := newReceiver(t, "tracing-core", 2)
@@ -134,9 +136,9 @@
 	})
 }
 
-// Story: a caller hangs up while its lookup runs at another agent. The far server's slot
-// must be free at once, not at the deadline.
-func TestCancellationReachesReceiver(t *testing.T) {
+// Guards against a slot that stays occupied until the deadline when a caller disconnects while its
+// lookup runs at another agent. The receiver must cancel the lookup immediately.
+func TestCancelTravels(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, f, _ := newPair(t)
 		freed := make(chan error, 1)
@@ -151,7 +153,7 @@
 			hangUp()
 		}()
 		r := claim("/claim/7")
-		r.Body = strings.NewReader(strings.Repeat("x", 100*partSize)) // nobody reads it
+		r.Body = strings.NewReader(strings.Repeat("x", 100*partSize)) // never read
 		assert.Equal(t, c.HandOver(ctx, address, r, &answerBuffer{}), unknown(result.CallerGone))
 		synctest.Wait()
 		assert.ErrorIs(t, <-freed, errCancelled)
@@ -159,8 +161,8 @@
 	})
 }
 
-// Story: a link breaks while a claim runs. Cancelling it would make the outcome
-// unknown; it runs on, and the question gets the answer.
+// Guards against an unknown outcome when a link breaks while a claim runs. The receiver must not
+// cancel the claim, and the query must return its answer.
 func TestLostLinkDoesNotCancel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, f, n := newPair(t)
@@ -181,12 +183,12 @@
 	})
 }
 
-// Story: two agents' clocks are apart and a hop takes time. The deadline crosses as time
-// left: the far side's is earlier than the near side's, by the margin and no more.
+// Guards against a wrong deadline when the clocks of two agents differ. The deadline is transferred
+// as time left, and must be earlier at the receiver by exactly HopMargin.
 func TestDeadlineShrinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, f, _ := newPair(t)
-		f.server.Start = time.Now().Add(-1000 * time.Hour) // its clock shows something else
+		f.server.Start = time.Now().Add(-1000 * time.Hour) // a clock that differs from the sender's
 		var far time.Time
 		f.handle = func(ctx context.Context, r *Request, a Answer) result.Result {
 			far = r.Deadline
@@ -198,9 +200,9 @@
 	})
 }
 
-// Story: an agent is frozen with a claim in its socket buffer; the caller was answered
-// "unknown" at its deadline and has opened the case by telephone. The agent wakes and
-// reads the claim, which says "2 s left". It must not run.
+// Guards against running an expired claim. A receiver is paused with the claim in its socket
+// buffer, the caller gets "unknown" at its deadline and opens the case by other means. The receiver
+// then resumes and reads the claim, whose message states 2 s left.
 func TestFrozenReceiverWakesAfterTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, f, n := newPair(t)
@@ -215,8 +217,8 @@
 	})
 }
 
-// Story: an agent's instance is given to another service while a peer still has its
-// address. The request must not run there.
+// Guards against running a request at another service: an agent's instance has been assigned to
+// another service while a peer still uses its address.
 func TestOtherServiceIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, _, n := newPair(t)
@@ -226,8 +228,8 @@
 	})
 }
 
-// Story: somebody who is no process of the service reaches an agent's address and hands
-// over a claim, or asks about one so that it is barred. Nothing runs and nothing is barred.
+// Guards against messages from a process that does not belong to the service. It hands over a
+// claim, or queries an ID in order to block it. Nothing may run, and no ID may be blocked.
 func TestForgedMessagesAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, f, n := newPair(t)
@@ -244,8 +246,8 @@
 	})
 }
 
-// Story: a feed's parts must reach the caller as they are written, for long after the
-// deadline, which is that of the first byte.
+// Guards against a feed whose parts are held back, or that is cut at its deadline. The deadline of
+// a feed applies to the first byte only; each part must reach the caller as soon as it is written.
 func TestFeedStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, f, _ := newPair(t)
@@ -270,7 +272,7 @@
 	})
 }
 
-// Story: a claim is sent round between agents that each think another is idle.
+// Guards against a claim that circulates between agents that each consider another one idle.
 func TestHopsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, f, _ := newPair(t)
@@ -281,8 +283,8 @@
 	})
 }
 
-// Story: a peer is dead: nothing was sent, so the request may be placed elsewhere, and
-// its body is still whole.
+// Guards against a partly consumed body after a peer refused a request or could not be reached. The
+// request must remain replayable, so that it can be placed elsewhere.
 func TestUnreachedPeerLeavesTheBody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, f, n := newPair(t)
@@ -311,15 +313,15 @@
 	})
 }
 
-// Story: a feed is handed to another agent, whose server answers at once. The feed was
-// cut at the deadline for its first byte, though it had come: the sender began to
-// listen for the start after it had been delivered, and never heard of it.
+// Guards against cutting a feed at the deadline for its first byte although the byte has arrived.
+// This happened when the other agent's server answered immediately: the sender started to listen
+// for the start of the answer only after the start had been delivered, and missed it.
 func TestAnswerStartsBeforeListener(t *testing.T) {
 	s := &resumableAnswer{answer: &answerBuffer{}}
 	assert.NilError(t, s.deliver(&wire.Down{Part: &wire.Down_Start{Start: &wire.Start{Status: http.StatusOK}}}))
 	select {
 	case <-s.startDelivered():
 	default:
-		t.Fatal("the start was not told")
+		t.Fatal("no notification that the answer has started")
 	}
 }
--- a/internal/work/hand/history_test.go
+++ b/internal/work/hand/history_test.go
@@ -13,17 +13,17 @@
 	"mangowinch/internal/work/result"
 )
 
-// claimPlan is what one caller does: a claim, and its key again at other agents as long as
-// the outcome is unknown.
+// claimPlan is the behaviour of one caller: it sends a claim, and repeats its key at other agents
+// as long as the outcome is unknown.
 type claimPlan struct {
 	at     time.Duration
 	keyed  bool
 	issuer uint32
-	agents []uint32 // the first try and the repeats
+	agents []uint32 // of the first attempt and the repeats
 	pause  time.Duration
 }
 
-// faultPlan is one fault.
+// faultPlan is one fault to inject.
 type faultPlan struct {
 	at, lasts time.Duration
 	agent     uint32
@@ -65,14 +65,14 @@
 	}
 }
 
-// history is what callers were told of one claim.
+// history is the results that callers got for one claim.
 type history struct {
 	path string
 	ends []result.Result
-	body string // of the answer that came with "ran"
+	body string // of the answer with outcome Ran
 }
 
-// runPlan runs a plan and gives what each caller saw.
+// runPlan runs a plan and returns what each caller observed.
 func runPlan(t *testing.T, p plan) (*fleet, []history) {
 	f := newFleet(t)
 	f.seed = p.seed
@@ -137,8 +137,8 @@
 	}
 }
 
-// breakAndDelay breaks the links to an agent for their senders, while what they sent comes out of
-// the agent's socket buffers later.
+// breakAndDelay breaks the links to an agent at the senders' ends, while the data that they have
+// sent reaches the agent only later.
 func (f *fleet) breakAndDelay(agent uint32, lasts time.Duration) {
 	f.mu.Lock()
 	links := slices.Clone(f.links)
@@ -154,7 +154,7 @@
 	time.Sleep(lasts)
 }
 
-// check gives what must not be in a history.
+// check returns the violations of the guarantees in a history.
 func (f *fleet) check(seen []history) (violations []string) {
 	for _, h := range seen {
 		runs, last := f.runs(h.path), h.ends[len(h.ends)-1]
@@ -162,7 +162,7 @@
 			violations = append(violations, fmt.Sprintf("%s ran %d times: %v", h.path, runs, h.ends))
 		}
 		if last.Outcome == result.NotRun && runs > 0 {
-			violations = append(violations, fmt.Sprintf("%s was called not run and ran: %v", h.path, h.ends))
+			violations = append(violations, fmt.Sprintf("%s ran although not-run was returned: %v", h.path, h.ends))
 		}
 		if last.Outcome == result.Ran && (runs == 0 || last.Reason == result.NoReason && h.body != "case for "+h.path) {
 			violations = append(violations, fmt.Sprintf("%s got %q: %v", h.path, h.body, h.ends))
@@ -171,10 +171,10 @@
 	return violations
 }
 
-// Story: callers send claims and repeat those whose outcome is unknown, at other agents,
-// while links break, agents restart, the fleet is cut in two and servers shed, stall
-// and die. No claim runs twice, none runs that was called not run, and each caller gets
-// its own answer.
+// Checks the guarantees of at-most-once execution under random faults: callers send claims and
+// repeat those whose outcome is unknown at other agents, while links break, agents restart, the
+// network is partitioned, and servers shed, stall and crash. No claim may run twice, no claim may
+// run for which "not run" was returned, and each caller must get its own answer.
 func TestHistories(t *testing.T) {
 	ends, claims := map[result.Outcome]int{}, 0
 	rapid.Check(t, func(r *rapid.T) {
--- a/internal/work/hand/link.go
+++ b/internal/work/hand/link.go
@@ -16,40 +16,40 @@
 )
 
 const (
-	dialTimeout   = time.Second      // a peer is a few ms away; one that takes longer is as good as gone
-	greetInterval = 30 * time.Second // clocks that run 200 ppm apart have moved 6 ms by then
-	maxIdleLinks  = 8                // kept per peer: about as many as a server has slots
-	maxConnects   = 5                // connections opened to meet one of two processes: 1 in 32 misses it
+	dialTimeout   = time.Second      // a peer is a few ms away, so one that takes longer counts as unavailable
+	greetInterval = 30 * time.Second // clocks with a drift of 200 ppm diverge by 6 ms in this time
+	maxIdleLinks  = 8                // per peer: about as many as a server has slots
+	maxConnects   = 5                // connections opened to reach one of two processes: 1 in 32 queries misses it
 	maxOpenLinks  = 512              // per peer, feeds included
-	maxMessage    = 256 << 10        // bytes; a head with all its fields is well below
-	drainTimeout  = time.Second      // for the end of a request that was cancelled
+	maxMessage    = 256 << 10        // bytes; a head with all its fields is well below this
+	drainTimeout  = time.Second      // wait for the end of a request that was cancelled
 )
 
 // Dial opens a link to another agent.
 type Dial func(ctx context.Context, to netip.AddrPort) (net.Conn, error)
 
-// DialTCP is the Dial of a process; the kernel chooses the local address.
+// DialTCP dials over TCP. The kernel chooses the local address.
 func DialTCP(ctx context.Context, to netip.AddrPort) (net.Conn, error) {
 	return new(net.Dialer).DialContext(ctx, "tcp", to.String())
 }
 
 var (
 	errTooManyLinks = errors.New("too many links to this agent")
-	errOtherService = errors.New("the agent serves another service")
-	errOtherProcess = errors.New("another process answers at the agent's address")
+	errOtherService = errors.New("agent serves another service")
+	errOtherProcess = errors.New("another process listens at the agent's address")
 )
 
-// link is one drpc connection. drpc carries one call at a time on it.
+// link is one drpc connection. drpc runs one call at a time on it.
 type link struct {
 	conn        *drpcconn.Conn
 	peer        *peer
 	client      wire.DRPCHandClient
-	incarnation uint64        // incarnation of the process at the other end
-	peerClock   time.Duration // its clock when greeted came in
+	incarnation uint64        // of the process at the other end
+	peerClock   time.Duration // clock of that process, as received at greetedAt
 	greetedAt   time.Time
 }
 
-// peer holds the links to one agent. A call takes a link and gives it back or closes it.
+// peer holds the links to one agent. A call acquires a link, and releases or closes it at its end.
 type peer struct {
 	service string
 	address netip.AddrPort
@@ -61,7 +61,7 @@
 	open int
 }
 
-// acquire gives a link with a fresh view of the other process.
+// acquire returns a link whose estimate of the other process's clock is recent.
 func (p *peer) acquire(ctx context.Context) (l *link, err error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -75,8 +75,8 @@
 	return p.connect(ctx)
 }
 
-// connectTo gives a link to one process. At the address of an agent that is being replaced
-// two processes answer, and a new connection reaches either.
+// connectTo returns a new link to the process with the given incarnation. At the address of an
+// agent that is being replaced two processes listen, and a new connection reaches either of them.
 func (p *peer) connectTo(ctx context.Context, incarnation uint64) (l *link, err error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -110,7 +110,7 @@
 	return l, nil
 }
 
-// popIdle gives an idle link that is not known to be closed, the latest used first.
+// popIdle returns the most recently used idle link that is not known to be closed, or nil.
 func (p *peer) popIdle() *link {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -147,7 +147,7 @@
 	p.open--
 }
 
-// closeIdle closes the links that nobody uses.
+// closeIdle closes the idle links.
 func (p *peer) closeIdle() {
 	for l := p.popIdle(); l != nil; l = p.popIdle() {
 		l.close()
@@ -167,10 +167,10 @@
 	return nil
 }
 
-// deadline is a deadline as the other process is to read it. Its clock is taken to
-// have stood at the greeting's value only when that came in here, so the estimate is
-// behind by at most that answer's way and never ahead: a request may be held for
-// older than it is, by a millisecond, but not for younger.
+// deadline encodes a deadline for the other process. It assumes that the other process's clock
+// showed the value in its greeting only when the greeting arrived here. The estimate is therefore
+// behind by at most the transit time of the greeting, and never ahead: a request may appear up to a
+// millisecond older than it is, but never younger.
 func (l *link) deadline(now time.Time, left time.Duration) *wire.Time {
 	return &wire.Time{
 		Left: uint64(max(left, 0).Microseconds()),
@@ -192,7 +192,7 @@
 	l.peer.unreserve()
 }
 
-// release keeps a link whose call has ended in order.
+// release returns a link whose call has ended normally to the idle links.
 func (l *link) release() {
 	l.peer.mu.Lock()
 	keep := len(l.peer.idle) < maxIdleLinks && !l.closed()
--- a/internal/work/hand/server.go
+++ b/internal/work/hand/server.go
@@ -14,15 +14,15 @@
 	"mangowinch/internal/work/wire"
 )
 
-// Server takes requests from other agents. Its fields are set before Register.
+// Server receives requests from other agents. Its fields must be set before Register.
 type Server struct {
 	Service     string
 	Incarnation uint64
-	Start       time.Time          // of the process, with its monotonic reading
+	Start       time.Time          // start of the process, with its monotonic reading
 	Ring        func() *token.Ring // of the document in force
 	Runner      Runner
-	Outcomes    *memo.Store       // of IDs; another one than that of request keys
-	Load        func() place.Hint // of the own server, told with each end; nil: nothing is told
+	Outcomes    *memo.Store       // by ID; not the store that is used for request keys
+	Load        func() place.Hint // load of this agent's server, sent with each end; may be nil
 }
 
 func (s *Server) load() *wire.Load {
@@ -32,12 +32,13 @@
 	return encodeLoad(s.Load())
 }
 
-// Register puts the server on the process's mux.
+// Register registers the server on the process's mux.
 func Register(mux drpc.Mux, s *Server) error {
 	return errors.Wrap(wire.DRPCRegisterHand(mux, s), "register hand service")
 }
 
-// Greet implements the drpc service.
+// Greet implements the drpc service. It returns the identity, the clock and the load of this
+// process.
 func (s *Server) Greet(context.Context, *wire.Greeting) (*wire.Greeted, error) {
 	return &wire.Greeted{
 		Service:     s.Service,
@@ -47,9 +48,9 @@
 	}, nil
 }
 
-// deadline reads a deadline as it arrives. What the message lay in buffers, here or
-// on its way, is taken off: a process that was frozen must not start work that
-// nobody waits for, and only the sender's note of this clock tells how long that was.
+// deadline decodes a received deadline. It subtracts the time that the message spent in buffers
+// here or in transit, which follows only from the sender's estimate of this process's clock. A
+// process that was paused must not start work that nobody waits for any longer.
 func (s *Server) deadline(now time.Time, t *wire.Time) time.Time {
 	clock := now.Sub(s.Start)
 	delay := max(clock-fromMicros(t.GetSent()), 0)
@@ -61,7 +62,7 @@
 	return time.Duration(min(n, 10000*day)) * time.Microsecond
 }
 
-// Run implements the drpc service: one request.
+// Run implements the drpc service. It handles one request.
 func (s *Server) Run(stream wire.DRPCHand_RunStream) error {
 	up, err := stream.Recv()
 	if err != nil {
@@ -70,8 +71,8 @@
 	answer := &answerSender{stream: stream, server: s}
 	head := &wire.Head{}
 	if err := unseal(s.Ring(), headPurpose, up.GetHead(), head); err != nil {
-		// While keys are rotated two agents may not have one in common for a moment. The
-		// sender needs a proof that nothing ran; with an error it would have to ask.
+		// During a key rotation two agents may briefly have no key in common. The sender gets a
+		// proof that nothing ran; after an error it would have to query the outcome.
 		_ = s.countRefused(err)
 		return answer.sendEnd(notRun(result.OtherService), false)
 	}
@@ -100,7 +101,7 @@
 	}
 }
 
-// countRefused counts a message that can't be taken and gives its error.
+// countRefused counts a message that can't be accepted and returns its error.
 func (s *Server) countRefused(err error) error {
 	if errors.Is(err, errForged) {
 		event("forged", s.Service)
@@ -110,8 +111,8 @@
 	return err
 }
 
-// retainUntil is when an ID may be forgotten. The outcome of a feed is settled long after
-// its deadline, but nobody asks once its first byte is there.
+// retainUntil returns when the record of an ID may be evicted. A feed ends long after its deadline,
+// but its outcome is not queried once its first byte has arrived.
 func (s *Server) retainUntil(r *Request) time.Time {
 	if r.Feed {
 		return r.Deadline.Add(FeedRetention)
@@ -119,16 +120,17 @@
 	return r.Deadline
 }
 
-// reject gives the end of a request that may not be run here, or nil.
+// reject returns the result of a request that must not run here, or nil.
 func (s *Server) reject(now time.Time, r *Request, incarnation uint64) *result.Result {
 	var end result.Result
 	switch {
 	case r.Service != s.Service:
-		// A server's address that was given to another service: never run here.
+		// The address of a server has been assigned to another service. The request must not run
+		// here.
 		end = notRun(result.OtherService)
 	case incarnation != s.Incarnation:
-		// Meant for the process before this one. Nothing was run here, and the sender
-		// has sent this head once only.
+		// The request was sent to the previous process at this address. It has not run here, and
+		// its sender has sent this head only once.
 		end = notRun(result.PeerUnreachable)
 	case r.Hops > MaxHops:
 		end = notRun(result.TooManyHops)
@@ -140,9 +142,9 @@
 	return &end
 }
 
-// runOnce runs a request whose outcome is remembered. The outcome is recorded before
-// it is sent: once the sender has it, or the link breaks, a question finds it. If the
-// runner panics the outcome is unknown.
+// runOnce runs a request and records its outcome. The outcome is recorded before it is sent, so
+// that a query finds it as soon as the sender has received it or the link has broken. If the runner
+// panics, the outcome is unknown.
 func (s *Server) runOnce(stream wire.DRPCHand_RunStream, r *Request, answer *answerSender) (end result.Result) {
 	outcome := memo.Outcome{}
 	defer func() { s.Outcomes.Finish(time.Now(), r.ID, outcome) }()
@@ -168,8 +170,8 @@
 	r.Body = up
 	go func() {
 		cause := up.receive()
-		// The sender asks here for the outcome of what may run only once, so a broken
-		// link alone does not end it; its deadline does.
+		// The sender queries this process for the outcome of a request that may run only once. A
+		// broken link alone therefore does not cancel such a request, but its deadline does.
 		if errors.Is(cause, errLinkBroken) && !r.Idempotent && !r.Feed {
 			event("detached", s.Service)
 			return
@@ -183,7 +185,7 @@
 	return end
 }
 
-// Ask implements the drpc service: what became of an ID.
+// Ask implements the drpc service. It returns the outcome recorded for an ID.
 func (s *Server) Ask(sealed *wire.Sealed, stream wire.DRPCHand_AskStream) error {
 	answer := &answerSender{stream: stream, server: s, ctx: stream.Context()}
 	q := &wire.Question{}
@@ -196,7 +198,7 @@
 		return answer.sendEnd(unknown(result.PeerUnreachable), false)
 	}
 	if len(q.Id) != idSize || q.Time == nil {
-		return s.countRefused(errors.New("question without ID or deadline"))
+		return s.countRefused(errors.New("query with an ID of wrong length or without a deadline"))
 	}
 	now := time.Now()
 	d := s.Outcomes.Query(now, string(q.Id), s.deadline(now, q.Time))
--- a/internal/work/hand/story_test.go
+++ b/internal/work/hand/story_test.go
@@ -15,16 +15,16 @@
 
 const claimPath = "/claim/widow"
 
-// assertRan reports that a call ran and brought the widow's case.
+// assertRan checks that a call ran and returned the answer for claimPath.
 func assertRan(t *testing.T, end result.Result, body string) {
 	t.Helper()
 	assert.Equal(t, end, result.Result{Outcome: result.Ran})
 	assert.Equal(t, body, "case for "+claimPath)
 }
 
-// Story: a server opens the widow's case and dies before it answers. The caller is told
-// "unknown" and repeats its key, at the same and at another agent. The case is not
-// opened again; nobody can say more than "unknown".
+// Guards against a second run after a server has opened a case and crashed before it answered. The
+// caller gets "unknown" and repeats its key at the same agent and at others. The case must not be
+// opened again, and every outcome must be "unknown".
 func TestServerDiesAfterRunning(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -38,9 +38,10 @@
 	})
 }
 
-// Story: the fleet is cut in two while a claim runs at its key's owner. The caller finds
-// itself on the other side and repeats the key there. That side serves, but this key
-// only its owner can decide: unknown, come back. After the cut it gets the first answer.
+// Guards against a second run when a partition separates the caller from the owner of its key while
+// the claim runs. The caller repeats the key on its side, which serves other requests, but only the
+// owner can decide about this key: the outcome is unknown, with a retry delay. After the partition
+// has healed, a repeat must get the first answer.
 func TestPartitionAndCallerChangesSides(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -60,9 +61,8 @@
 	})
 }
 
-// Story: the owner of a key runs the claim, is replaced, and the new process has the same
-// server ID and address. It remembers nothing, so the repeat is unknown, at whichever
-// agent it arrives.
+// Guards against a second run after the owner of a key has restarted with the same server ID and
+// address. The new process has no records, so a repeat at any agent must be unknown.
 func TestOwnerRestarted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -79,8 +79,8 @@
 	})
 }
 
-// Story: a caller with two connections sends the same key to all agents at once, none of
-// which is asked first. One of them, the owner, lets it run; all get that answer.
+// Guards against several runs when a caller sends the same key to all agents at the same time. The
+// owner must run the claim once, and all calls must get that answer.
 func TestAgentsRaceForAKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -99,8 +99,9 @@
 	})
 }
 
-// Story: a caller loses patience after a second and repeats the key while the claim runs.
-// It waits for the first try's answer; when its own deadline comes first it is unknown.
+// Guards against a second run when a caller gives up after a second and repeats the key while the
+// claim still runs. The repeat must wait for the first answer; if its own deadline passes first,
+// its outcome is unknown.
 func TestRepeatWhileTheFirstRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -114,8 +115,9 @@
 	})
 }
 
-// Story: the owner's own server sheds. The claim is placed at another agent, but the key
-// stays with its owner: a repeat gets the same answer, and not a turn at a third server.
+// Guards against a second run when the owner's server sheds the claim and the owner places it at
+// another agent. The key stays with its owner: a repeat must get the same answer, and must not be
+// placed at a third server.
 func TestOwnerPlacesTheClaimElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -129,9 +131,9 @@
 	})
 }
 
-// Story: every server sheds and the caller is told "not run", so the case is opened by
-// hand. A copy of the claim that was delayed on its way then reaches the owner, whose
-// server is idle again. "Not run" was final for the key.
+// Guards against running a claim after "not run" was returned for it. Every server sheds, so the
+// caller gets "not run" and opens the case by other means. A delayed copy of the claim then reaches
+// the owner, whose server is idle again. The copy must not run.
 func TestNotRunIsFinal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -148,8 +150,8 @@
 	})
 }
 
-// Story: an agent remembers as much as it may. New claims are refused, at once and
-// truthfully; what it remembers it still knows.
+// Guards against evicting records early when the store of an agent is full. New claims must be
+// refused immediately as not run, and recorded outcomes must remain available.
 func TestOwnersMemoryIsFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -167,8 +169,8 @@
 	})
 }
 
-// Story: a caller sends another claim under a used key, or a key that was cut in a log file.
-// It gets neither the first claim's answer nor a run.
+// Guards against a run or a wrong answer when a caller sends a different claim under a used key, or
+// a key that was truncated, for example in a log file.
 func TestKeyOfAnotherClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
--- a/internal/work/hand/upload.go
+++ b/internal/work/hand/upload.go
@@ -11,20 +11,20 @@
 )
 
 var (
-	errLinkBroken     = errors.New("link to the sender lost")
-	errCancelled      = errors.Newf("sender cancelled: %s", result.CallerGone)
-	errWindowExceeded = errors.New("sender sent more than was granted")
+	errLinkBroken     = errors.New("link to the sender broke")
+	errCancelled      = errors.Newf("sender cancelled the request: %s", result.CallerGone)
+	errWindowExceeded = errors.New("sender exceeded the granted window")
 )
 
-// uploadReader is the body of a request that is being received. The link is always read,
-// so that a cancellation is seen at once; the sender may have only window parts under
-// way, so that this takes no more memory than that.
+// uploadReader is the body of a request that is being received. The link is read continuously, so
+// that a cancellation is noticed immediately. The sender may have at most window parts in transit,
+// which bounds the memory that is used.
 type uploadReader struct {
 	stream interface{ Recv() (*wire.Up, error) }
 	answer *answerSender
 	parts  chan []byte
 
-	rest []byte // of the part being read
+	rest []byte // unread rest of the current part
 	mu   sync.Mutex
 	err  error // why the body ended early; set before parts is closed
 }
@@ -33,8 +33,8 @@
 	return &uploadReader{stream: stream, answer: answer, parts: make(chan []byte, window)}
 }
 
-// receive reads the link until the request's end. It gives nil when the sender closed
-// the stream in order, and otherwise why nothing more comes.
+// receive reads the link until the end of the request. It returns nil if the sender closed the
+// stream normally, and otherwise the reason why nothing more arrives.
 func (u *uploadReader) receive() error {
 	open := true
 	finish := func(err error) {
--- a/internal/work/memo/answer.go
+++ b/internal/work/memo/answer.go
@@ -45,27 +45,27 @@
 func NewRecorder(limit int) *Recorder { return &Recorder{limit: limit} }
 
 // Start records the status and the headers.
-func (k *Recorder) Start(status int, header http.Header) {
-	k.answer = Answer{Status: status, Header: header.Clone()}
-	k.tooLarge = k.answer.size() > k.limit
+func (r *Recorder) Start(status int, header http.Header) {
+	r.answer = Answer{Status: status, Header: header.Clone()}
+	r.tooLarge = r.answer.size() > r.limit
 }
 
 // Write records a part of the body. It never fails.
-func (k *Recorder) Write(p []byte) (int, error) {
-	if k.tooLarge || len(k.answer.Body)+len(p) > k.limit {
-		k.tooLarge, k.answer.Body = true, nil
+func (r *Recorder) Write(p []byte) (int, error) {
+	if r.tooLarge || len(r.answer.Body)+len(p) > r.limit {
+		r.tooLarge, r.answer.Body = true, nil
 		return len(p), nil
 	}
-	k.answer.Body = append(k.answer.Body, p...)
+	r.answer.Body = append(r.answer.Body, p...)
 	return len(p), nil
 }
 
 // Answer returns the complete answer, or nil if there was none or it exceeded the limit.
-func (k *Recorder) Answer() *Answer {
-	if k.tooLarge || k.answer.Status == 0 {
+func (r *Recorder) Answer() *Answer {
+	if r.tooLarge || r.answer.Status == 0 {
 		return nil
 	}
-	return &k.answer
+	return &r.answer
 }
 
 // ForRepeat returns the outcome for a repeat with the given body digest, and false if the body
--- a/internal/work/memo/memo.go
+++ b/internal/work/memo/memo.go
@@ -114,84 +114,84 @@
 }
 
 // Begin decides about a call. Of all calls with the same ID, exactly one gets the verdict Run.
-func (m *Store) Begin(now time.Time, c Call) Decision {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if r, ok := m.records[c.ID]; ok {
+func (s *Store) Begin(now time.Time, c Call) Decision {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if r, ok := s.records[c.ID]; ok {
 		if r.head != c.Head {
 			return refuse(result.NotRun, result.KeyReused)
 		}
 		return existing(r)
 	}
-	m.evict(now)
+	s.evict(now)
 	// A process that was paused may resume with requests that have expired. Within the margin a
 	// record would still exist, so a request without one never ran. After the margin, whether it
 	// ran is unknown.
-	if !now.Before(c.Until.Add(m.limits.Margin)) {
+	if !now.Before(c.Until.Add(s.limits.Margin)) {
 		return refuse(result.Unknown, result.Expired)
 	}
 	if !now.Before(c.Until) {
 		return refuse(result.NotRun, result.Expired)
 	}
-	if m.blocked.has(c.ID) {
+	if s.blocked.has(c.ID) {
 		return refuse(result.NotRun, result.KeyExpired)
 	}
-	if m.full() {
+	if s.full() {
 		// A delayed copy must not run after this refusal.
-		m.block(now, c.ID, c.Until)
+		s.block(now, c.ID, c.Until)
 		return refuse(result.NotRun, result.StoreFull)
 	}
-	m.records[c.ID] = &Record{id: c.ID, head: c.Head, until: c.Until, done: make(chan struct{})}
+	s.records[c.ID] = &Record{id: c.ID, head: c.Head, until: c.Until, done: make(chan struct{})}
 	return Decision{Verdict: Run}
 }
 
 // Query returns the state of an ID. An ID that has not arrived is blocked: a copy that is still in
 // the buffers of a broken link must not run after Query has returned "not run".
-func (m *Store) Query(now time.Time, id string, until time.Time) Decision {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if r, ok := m.records[id]; ok {
+func (s *Store) Query(now time.Time, id string, until time.Time) Decision {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if r, ok := s.records[id]; ok {
 		return existing(r)
 	}
-	m.evict(now)
-	if !now.Before(until.Add(m.limits.Margin)) {
+	s.evict(now)
+	if !now.Before(until.Add(s.limits.Margin)) {
 		return refuse(result.Unknown, result.Expired)
 	}
-	m.block(now, id, until)
+	s.block(now, id, until)
 	return refuse(result.NotRun, result.PeerUnreachable)
 }
 
 // block adds an ID to the filter of IDs that must not run.
-func (m *Store) block(now time.Time, id string, until time.Time) {
-	m.blocked.add(now, id, until.Add(m.limits.Margin))
+func (s *Store) block(now time.Time, id string, until time.Time) {
+	s.blocked.add(now, id, until.Add(s.limits.Margin))
 }
 
 // Finish records the end of a request that Begin allowed to run. Only the first call for an ID
 // counts.
-func (m *Store) Finish(now time.Time, id string, o Outcome) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if r, ok := m.records[id]; ok && !r.ended {
-		m.complete(now, r, o)
+func (s *Store) Finish(now time.Time, id string, o Outcome) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if r, ok := s.records[id]; ok && !r.ended {
+		s.complete(now, r, o)
 	}
 }
 
 // AnswerLimit returns the size in bytes beyond which an answer is not kept.
-func (m *Store) AnswerLimit() int { return m.limits.Answer }
+func (s *Store) AnswerLimit() int { return s.limits.Answer }
 
 // Size returns the number of records and the total size in bytes of the kept answers.
-func (m *Store) Size() (records, bytes int) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return len(m.records), m.bytes
+func (s *Store) Size() (records, bytes int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.records), s.bytes
 }
 
-func (m *Store) full() bool {
-	return len(m.records) >= m.limits.Records || m.bytes >= m.limits.Bytes
+func (s *Store) full() bool {
+	return len(s.records) >= s.limits.Records || s.bytes >= s.limits.Bytes
 }
 
-func (m *Store) complete(now time.Time, r *Record, o Outcome) {
-	if size := o.Answer.size(); size > m.limits.Answer || m.bytes+size > m.limits.Bytes {
+func (s *Store) complete(now time.Time, r *Record, o Outcome) {
+	if size := o.Answer.size(); size > s.limits.Answer || s.bytes+size > s.limits.Bytes {
 		o.Answer = nil
 	}
 	if o.Result.Outcome == result.Ran && o.Answer == nil {
@@ -202,22 +202,22 @@
 		r.until = now // it ran past its deadline: repeats may still be in transit
 	}
 	close(r.done)
-	if o.Result.Outcome == result.NotRun && len(m.records) > m.limits.Records/2 {
-		m.block(now, r.id, r.until)
-		delete(m.records, r.id)
+	if o.Result.Outcome == result.NotRun && len(s.records) > s.limits.Records/2 {
+		s.block(now, r.id, r.until)
+		delete(s.records, r.id)
 		return
 	}
-	m.bytes += o.Answer.size()
-	heap.Push(&m.expiring, r)
+	s.bytes += o.Answer.size()
+	heap.Push(&s.expiring, r)
 }
 
 // evict removes the records whose deadline and margin have passed. Running requests are never
 // removed.
-func (m *Store) evict(now time.Time) {
-	for len(m.expiring) > 0 && !now.Before(m.expiring[0].until.Add(m.limits.Margin)) {
-		r := heap.Pop(&m.expiring).(*Record)
-		m.bytes -= r.outcome.Answer.size()
-		delete(m.records, r.id)
+func (s *Store) evict(now time.Time) {
+	for len(s.expiring) > 0 && !now.Before(s.expiring[0].until.Add(s.limits.Margin)) {
+		r := heap.Pop(&s.expiring).(*Record)
+		s.bytes -= r.outcome.Answer.size()
+		delete(s.records, r.id)
 	}
 }
 
--- a/internal/work/memo/memo_test.go
+++ b/internal/work/memo/memo_test.go
@@ -130,7 +130,7 @@
 
 // Guards against evicting outcomes early when the store is full of requests that their callers may
 // still repeat. New requests must be refused, and the oldest record must stay until it expires.
-func TestFullStoreRefusesAndEvictsNothing(t *testing.T) {
+func TestFullMemoryRefusesAndForgetsNothing(t *testing.T) {
 	m := New(limits)
 	for _, id := range []string{"a", "b", "c", "d"} {
 		assert.Equal(t, m.Begin(start, call(id)).Verdict, Run)
@@ -161,7 +161,7 @@
 // refused, faster than their keys expire. The refusals must not displace the claims of others, and
 // none of the refused claims may run when a delayed copy arrives. The rate of false positives must
 // stay low.
-func TestRefusalsDoNotFillStore(t *testing.T) {
+func TestRefusalsDoNotFillTheMemory(t *testing.T) {
 	l := limits
 	l.Records, l.Blocked = 100, 16<<10
 	m := New(l)
--- a/internal/work/once/once.go
+++ b/internal/work/once/once.go
@@ -1,8 +1,8 @@
 // Package once runs a request that carries a request key at most once, no matter which agents its
 // caller sends it to or how often it sends it.
 //
-// It combines three packages: the key names its owner (package token), the owner stores the outcome
-// recorded for the key (package memo), and every other agent hands the request over to the owner
+// It combines three packages: the key names its owner (package token), the owner records the
+// outcome of the key (package memo), and every other agent hands the request over to the owner
 // (package hand). A request without a key, or of an idempotent class, bypasses the package.
 //
 // For a request with a key, "not run" comes only from the owner's outcome store and applies to the
@@ -128,7 +128,7 @@
 		g.count(g.View(), string(d.Result.Reason))
 		return d.Result
 	default:
-		return g.repeat(ctx, r, a, d.Record)
+		return g.answerRepeat(ctx, r, a, d.Record)
 	}
 }
 
@@ -153,8 +153,8 @@
 	return end
 }
 
-// repeat answers a repeat with the outcome of the first request, and waits for it if necessary.
-func (g *Guard) repeat(ctx context.Context, r *hand.Request, a hand.Answer, record *memo.Record) result.Result {
+// answerRepeat answers a repeat with the outcome of the first request, and waits for it if necessary.
+func (g *Guard) answerRepeat(ctx context.Context, r *hand.Request, a hand.Answer, record *memo.Record) result.Result {
 	g.count(g.View(), "repeated")
 	timer := time.NewTimer(time.Until(r.Deadline))
 	defer timer.Stop()
--- a/internal/work/once/stream.go
+++ b/internal/work/once/stream.go
@@ -62,13 +62,13 @@
 }
 
 // Start implements hand.Answer.
-func (k *recordingAnswer) Start(status int, header http.Header) error {
-	k.recorder.Start(status, header)
-	return k.Answer.Start(status, header)
+func (a *recordingAnswer) Start(status int, header http.Header) error {
+	a.recorder.Start(status, header)
+	return a.Answer.Start(status, header)
 }
 
 // Write implements hand.Answer.
-func (k *recordingAnswer) Write(p []byte) (int, error) {
-	_, _ = k.recorder.Write(p)
-	return k.Answer.Write(p)
+func (a *recordingAnswer) Write(p []byte) (int, error) {
+	_, _ = a.recorder.Write(p)
+	return a.Answer.Write(p)
 }
