--- a/internal/work/result/names_test.go
+++ b/internal/work/result/names_test.go
@@ -7,7 +7,8 @@
 	"gotest.tools/v3/golden"
 )
 
-// Guards against outcomes that change their words or numbers: callers read them in a header, and metrics are labelled with them.
+// Guards against changed names or numbers of outcomes: callers read the names in a header, and
+// metrics carry them as labels.
 func TestNames(t *testing.T) {
 	text := ""
 	for o := Unknown; o <= NotRun+1; o++ {
--- a/internal/work/result/result.go
+++ b/internal/work/result/result.go
@@ -1,31 +1,30 @@
-// Package result names what became of a request: it ran, it did not run, or
-// nobody can tell.
+// Package result defines the outcomes of a request: it ran, it did not run, or its execution is
+// unknown.
 //
-// The three outcomes are types of their own because the difference decides
-// whether a request may be tried again. Only a request that is provably not run
-// may be tried elsewhere when its class is not idempotent. NotRun is said only by
-// whoever knows: the process that held the request before the first byte left for
-// a backend server, or the backend server's own word.
+// The outcomes are distinct because they decide whether a request may be retried. A request whose
+// class is not idempotent may be retried elsewhere only if it provably did not run. NotRun is
+// returned only on the authority of a process that can prove it: the process that held the request
+// before its first byte was sent to a backend server, or the backend server itself.
 //
 // # Usage
 //
 //	switch r.Outcome {
 //	case result.Ran: // deliver the answer
-//	case result.NotRun: // may be tried elsewhere
-//	case result.Unknown: // never tried elsewhere unless idempotent
+//	case result.NotRun: // may be retried elsewhere
+//	case result.Unknown: // never retried elsewhere unless idempotent
 //	}
 package result
 
 import "time"
 
-// Outcome is what is known of a request's execution.
+// Outcome is what is known about the execution of a request.
 type Outcome uint8
 
-// The outcomes. The zero value is Unknown, so that a forgotten assignment is
-// never taken for a proof.
+// The outcomes. The zero value is Unknown, so that a missing assignment is never mistaken for a
+// proof.
 const (
 	Unknown Outcome = iota // may or may not have run
-	Ran                    // ran, and the whole answer is at hand (but see AnswerGone)
+	Ran                    // ran, and the whole answer is available (but see AnswerNotKept)
 	NotRun                 // provably did not run
 )
 
@@ -41,41 +40,40 @@
 	}
 }
 
-// Reason says why a request was refused or its outcome is unknown. Each reason
-// has a counter of its own.
+// Reason is why a request was refused or its outcome is unknown. Each reason has its own counter.
 type Reason string
 
-// The reasons. An operator's page lists what to do about each.
+// The reasons. The operator documentation states what to do about each.
 const (
 	NoReason           Reason = ""
 	QueueFull          Reason = "queue"     // the queue of its class is full
-	DeadlineUnmeetable Reason = "late"      // cannot make its deadline by the estimate
-	Expired            Reason = "expired"   // its deadline passed while it waited
-	OverFairShare      Reason = "share"     // its caller is over its fair share of the queue
+	DeadlineUnmeetable Reason = "late"      // the estimated completion is after the deadline
+	Expired            Reason = "expired"   // the deadline passed while the request waited
+	OverFairShare      Reason = "share"     // the caller exceeds its fair share of the queue
 	ServerShed         Reason = "shed"      // the backend server refused it
 	ServerUnreachable  Reason = "down"      // the backend server could not be reached
-	ServerDisconnected Reason = "lost"      // the backend server broke off after the request was sent
-	ServerLeaving      Reason = "leaving"   // the server takes no new work
+	ServerDisconnected Reason = "lost"      // the backend server disconnected after the request was sent
+	ServerLeaving      Reason = "leaving"   // the server accepts no new requests
 	NoClass            Reason = "class"     // the document has no class for the path
 	NoDocument         Reason = "unready"   // no document is in force yet
 	RetryBudget        Reason = "budget"    // the retry budget is spent
-	OwnerUnavailable   Reason = "owner"     // the owner of the request key is gone
-	PeerUnreachable    Reason = "peer"      // the link to the other agent broke and it does not answer
-	StoreFull          Reason = "memory"    // outcomes may not be forgotten, so no new request is taken
+	OwnerUnavailable   Reason = "owner"     // the owner of the request key is unavailable or has been restarted
+	PeerUnreachable    Reason = "peer"      // the other agent is unreachable, or its link broke and it does not answer
+	StoreFull          Reason = "memory"    // the store of outcomes is full, and no outcome may be evicted early
 	KeyInvalid         Reason = "key"       // the request key is damaged, forged or of another service
-	KeyReused          Reason = "reused"    // the request key came with another request
-	KeyExpired         Reason = "old"       // the request key's lifetime is over, or it was refused before
-	AnswerNotKept      Reason = "unkept"    // ran, but its answer was too big to keep for a repeat
-	CallerGone         Reason = "gone"      // the caller went away
-	TooManyHops        Reason = "hops"      // handed on too often
-	OtherService       Reason = "service"   // arrived at an agent of another service, or of other keys
-	StaleBelief        Reason = "stale"     // woken late: beliefs are refreshed first
-	ConnectionLimit    Reason = "connlimit" // the agent holds as many connections as it may
+	KeyReused          Reason = "reused"    // the request key was used for a different request
+	KeyExpired         Reason = "old"       // the lifetime of the request key has passed, or the key was refused before
+	AnswerNotKept      Reason = "unkept"    // the request ran, but its answer was too large to keep for a repeat
+	CallerGone         Reason = "gone"      // the caller disconnected
+	TooManyHops        Reason = "hops"      // the request was handed over too often
+	OtherService       Reason = "service"   // arrived at an agent of another service, or with other secrets
+	StaleBelief        Reason = "stale"     // the process resumed after a long pause and must refresh its belief first
+	ConnectionLimit    Reason = "connlimit" // the agent holds the maximum number of connections
 )
 
 // Result is the end of one request.
 type Result struct {
 	Outcome    Outcome
 	Reason     Reason
-	RetryAfter time.Duration // when to come back, 0 if there is no point in waiting
+	RetryAfter time.Duration // when the caller may retry; 0 if waiting is of no use
 }
--- a/internal/work/result/result_test.go
+++ b/internal/work/result/result_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// A forgotten assignment must never read as a proof that a request did not run.
+// Guards against a missing assignment that is taken for a proof that a request did not run.
 func TestZeroOutcomeIsUnknown(t *testing.T) {
 	var r Result
 	assert.Equal(t, r.Outcome, Unknown)
--- a/internal/work/spread/spread.go
+++ b/internal/work/spread/spread.go
@@ -1,15 +1,15 @@
-// Package spread runs a request on the agent's own server or hands it to another
-// agent, and tries again elsewhere what was refused as not run.
+// Package spread runs a request on the agent's own server or hands it over to another agent, and
+// retries a refused request elsewhere.
 //
-// It carries out what packages place and retry decide, and adds what only the one
-// who carries it out can know: whether an answer has begun, and whether the request's
-// body can still be read from its beginning.
+// It carries out the decisions of packages place and retry. It also tracks what those packages
+// can't know: whether the answer has been started, and whether the request's body can still be read
+// from its beginning.
 //
 // # Usage
 //
-//	s := spread.New(place.Self{ID: 3, Domain: "zg-a"}, client, ownHint)
-//	s.SetServers(service)
-//	end := s.Run(ctx, request, answer, ownServer)
+//	d := spread.New(place.Self{ID: 3, Domain: "zg-a"}, client, ownHint)
+//	d.SetServers(service)
+//	end := d.Run(ctx, request, answer, ownServer)
 package spread
 
 import (
@@ -31,7 +31,7 @@
 	"mangowinch/internal/work/result"
 )
 
-// Client hands requests to other agents.
+// Client hands requests over to other agents.
 type Client interface {
 	HandOver(ctx context.Context, to netip.AddrPort, r *hand.Request, a hand.Answer) result.Result
 }
@@ -51,7 +51,7 @@
 	kinds    map[string]docs.Kind // by class
 }
 
-// New gives a spreader that knows of no server yet. Own tells the state of the own server.
+// New returns a Dispatcher without servers. OwnHint returns the state of the agent's own server.
 func New(self place.Self, client Client, ownHint func() place.Hint) *Dispatcher {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	return &Dispatcher{
@@ -63,30 +63,30 @@
 	}
 }
 
-// SetServers puts a new document in force.
-func (s *Dispatcher) SetServers(d *docs.Service) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.service = d.Name
-	s.placer.SetServers(time.Now(), place.ServersOf(d))
-	s.agents = make(map[uint32]netip.AddrPort, len(d.Servers))
-	s.agentIDs = make(map[netip.AddrPort]uint32, len(d.Servers))
-	s.kinds = make(map[string]docs.Kind, len(d.Classes))
-	for _, c := range d.Classes {
-		s.kinds[c.Name] = c.Kind
+// SetServers applies a new service document.
+func (d *Dispatcher) SetServers(doc *docs.Service) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.service = doc.Name
+	d.placer.SetServers(time.Now(), place.ServersOf(doc))
+	d.agents = make(map[uint32]netip.AddrPort, len(doc.Servers))
+	d.agentIDs = make(map[netip.AddrPort]uint32, len(doc.Servers))
+	d.kinds = make(map[string]docs.Kind, len(doc.Classes))
+	for _, c := range doc.Classes {
+		d.kinds[c.Name] = c.Kind
 	}
-	for _, v := range d.Servers {
-		s.agents[v.ID] = v.Agent
-		s.agentIDs[v.Agent] = v.ID
+	for _, v := range doc.Servers {
+		d.agents[v.ID] = v.Agent
+		d.agentIDs[v.Agent] = v.ID
 	}
 }
 
-// Report takes what another agent says of its server.
-func (s *Dispatcher) Report(agent netip.AddrPort, h place.Hint) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if id, ok := s.agentIDs[agent]; ok {
-		s.placer.Report(time.Now(), id, h)
+// Report records the load hint that another agent has sent for its server.
+func (d *Dispatcher) Report(agent netip.AddrPort, h place.Hint) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if id, ok := d.agentIDs[agent]; ok {
+		d.placer.Report(time.Now(), id, h)
 	}
 }
 
@@ -98,10 +98,10 @@
 	tried   []uint32
 }
 
-// Run gives a request's outcome. Own runs it on the own server. A request that
-// another agent has placed here runs here or not at all: two agents that each think
-// the other idle would pass it to and fro.
-func (s *Dispatcher) Run(ctx context.Context, r *hand.Request, a hand.Answer, ownServer hand.Runner) result.Result {
+// Run returns the result of a request. OwnServer runs a request on the agent's own server. A
+// request that another agent has placed here runs here or not at all, because two agents that each
+// consider the other one idle would otherwise hand it back and forth.
+func (d *Dispatcher) Run(ctx context.Context, r *hand.Request, a hand.Answer, ownServer hand.Runner) result.Result {
 	if r.Placed {
 		return ownServer.Run(ctx, r, a)
 	}
@@ -109,26 +109,26 @@
 	if r.Body != nil && r.Body != http.NoBody {
 		t.body = hand.NewBody(r.Body)
 	}
-	s.countFirstAttempt()
+	d.countFirstAttempt()
 	end := result.Result{Outcome: result.NotRun, Reason: result.ServerLeaving, RetryAfter: retryAfter}
 	for {
-		server, address := s.choose(t.tried)
+		server, address := d.choose(t.tried)
 		if server == 0 {
-			return end // nobody else to try: the last refusal stands
+			return end // no other server left: the last refusal is the result
 		}
-		end = s.runOn(ctx, t, server, address, ownServer)
+		end = d.runOn(ctx, t, server, address, ownServer)
 		t.tried = append(t.tried, server)
-		if !s.shouldRetry(t, end) {
+		if !d.shouldRetry(t, end) {
 			return end
 		}
 	}
 }
 
-// retryAfter is when a caller is to try again that met no server which takes work: a
-// planned replacement of a server takes seconds.
+// retryAfter is the retry delay for a caller if no server accepts its request: a planned
+// replacement of a server takes seconds.
 const retryAfter = time.Second
 
-func (s *Dispatcher) runOn(ctx context.Context, t *attempt, server uint32, address netip.AddrPort, ownServer hand.Runner) (end result.Result) {
+func (d *Dispatcher) runOn(ctx context.Context, t *attempt, server uint32, address netip.AddrPort, ownServer hand.Runner) (end result.Result) {
 	r := t.request
 	if t.body != nil {
 		reader := t.body.Reader()
@@ -138,52 +138,53 @@
 	started := time.Now()
 	var once sync.Once
 	record := func(end result.Result) {
-		once.Do(func() { s.recordEnd(server, t, end, time.Since(started)) })
+		once.Do(func() { d.recordEnd(server, t, end, time.Since(started)) })
 	}
-	if r.Feed { // holds no slot after its first byte, and may be open for hours
+	if r.Feed { // a feed occupies no slot after its first byte, and may stay open for hours
 		t.answer.onStart = func() { record(result.Result{Outcome: result.Ran}) }
 	}
 	defer func() { record(end) }()
-	if server == s.self {
+	if server == d.self {
 		return ownServer.Run(ctx, &r, t.answer)
 	}
 	r.Placed = true
-	return s.client.HandOver(ctx, address, &r, t.answer)
+	return d.client.HandOver(ctx, address, &r, t.answer)
 }
 
-func (s *Dispatcher) countFirstAttempt() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.budget.Fresh()
+func (d *Dispatcher) countFirstAttempt() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.budget.Fresh()
 }
 
-func (s *Dispatcher) choose(tried []uint32) (server uint32, address netip.AddrPort) {
-	hint := s.ownHint()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	c := s.placer.Choose(time.Now(), hint, tried)
-	s.count("placed", string(c.Reason))
+func (d *Dispatcher) choose(tried []uint32) (server uint32, address netip.AddrPort) {
+	hint := d.ownHint()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	c := d.placer.Choose(time.Now(), hint, tried)
+	d.count("placed", string(c.Reason))
 	if c.Server != 0 {
-		s.placer.Sent(c.Server)
+		d.placer.Sent(c.Server)
 	}
-	return c.Server, s.agents[c.Server]
+	return c.Server, d.agents[c.Server]
 }
 
-func (s *Dispatcher) recordEnd(server uint32, t *attempt, end result.Result, took time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.kinds[t.request.Class] == docs.Upload {
-		took = 0 // long by nature
+func (d *Dispatcher) recordEnd(server uint32, t *attempt, end result.Result, took time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.kinds[t.request.Class] == docs.Upload {
+		took = 0 // the duration of an upload depends on its size
 	}
-	s.placer.Ended(time.Now(), server, placementOutcome(end, t.answer.status.Load()), took)
+	d.placer.Ended(time.Now(), server, placementOutcome(end, t.answer.status.Load()), took)
 }
 
-// placementOutcome says what an end tells of the server. A server that fails each request within a
-// millisecond gives whole answers and looks idle; its status says that they are failures.
+// placementOutcome classifies the result of a request as an observation of the server. A server
+// that fails every request within a millisecond returns complete answers and appears idle, so the
+// status decides whether it failed.
 func placementOutcome(end result.Result, status int32) place.Outcome {
 	switch {
 	case end.Reason == result.CallerGone:
-		return place.Answered // the caller's doing; the time it took is a lower bound
+		return place.Answered // the caller disconnected; the duration is a lower bound
 	case end.Outcome == result.NotRun && (end.Reason == result.PeerUnreachable || end.Reason == result.ServerUnreachable):
 		return place.Unreachable
 	case end.Outcome == result.NotRun:
@@ -194,48 +195,48 @@
 	return place.Answered
 }
 
-// shouldRetry decides whether one more try is made.
-func (s *Dispatcher) shouldRetry(t *attempt, end result.Result) bool {
+// shouldRetry reports whether the request is to be tried at another server.
+func (d *Dispatcher) shouldRetry(t *attempt, end result.Result) bool {
 	if end.Outcome == result.Ran {
 		return false
 	}
 	if t.answer.started.Load() || t.body != nil && !t.body.CanReplay() {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		s.count("retries", "consumed")
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		d.count("retries", "consumed")
 		return false
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	// A server that leaves gives back all that waits for it at once. It took no slot, so
-	// placing it is no repeated load and not what the budget is for. Each server gives
-	// it back once.
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	// A leaving server returns all its waiting requests at once. They occupied no slot, so placing
+	// them elsewhere repeats no load and doesn't use the retry budget. Each server returns a
+	// request at most once.
 	if end.Outcome == result.NotRun && end.Reason == result.ServerLeaving {
-		s.count("retries", string(retry.ServerLeaving))
+		d.count("retries", string(retry.ServerLeaving))
 		return true
 	}
-	v := s.budget.Decide(time.Now(), retry.Attempt{
+	v := d.budget.Decide(time.Now(), retry.Attempt{
 		Result:      end,
 		Idempotent:  t.request.Idempotent,
 		Tries:       len(t.tried),
 		Deadline:    t.request.Deadline,
 		ServiceTime: hand.HopMargin,
 	})
-	s.count("retries", string(v.Reason))
+	d.count("retries", string(v.Reason))
 	return v.Retry
 }
 
-// count needs mu.
-func (s *Dispatcher) count(what, why string) {
-	metrics.GetOrCreateCounter(fmt.Sprintf(`mangowinch_%s_total{service=%q,reason=%q}`, what, s.service, why)).Inc()
+// count increments a counter by reason. The caller must hold mu.
+func (d *Dispatcher) count(what, why string) {
+	metrics.GetOrCreateCounter(fmt.Sprintf(`mangowinch_%s_total{service=%q,reason=%q}`, what, d.service, why)).Inc()
 }
 
-// trackedAnswer notes whether any of an answer has been passed on.
+// trackedAnswer tracks whether an answer has been started, and its status.
 type trackedAnswer struct {
 	hand.Answer
 	started atomic.Bool
 	status  atomic.Int32
-	onStart func() // called when an answer starts, if set
+	onStart func() // called when the answer starts, if set
 }
 
 // Start implements hand.Answer.
--- a/internal/work/spread/spread_test.go
+++ b/internal/work/spread/spread_test.go
@@ -25,10 +25,11 @@
 	disconnected = result.Result{Outcome: result.Unknown, Reason: result.ServerDisconnected}
 )
 
-// fakeServers answer as they are told, the own one by server 1. They note what they read.
+// fakeServers return fixed results and log the bodies that they read. Run is the agent's own
+// server, which is server 1, and HandOver all others.
 type fakeServers struct {
 	own, others  result.Result
-	startsAnswer bool // the own server's answer begins before it ends
+	startsAnswer bool // the own server starts an answer before it returns
 	log          []string
 }
 
@@ -74,15 +75,15 @@
 	return s.spreader().Run(context.Background(), r, discardAnswer{}, s)
 }
 
-// The own server refuses an upload; another gets it with its whole body.
+// Guards against a truncated upload when the own server refuses it and another server gets it.
 func TestRefusedRequestIsRetriedWithWholeBody(t *testing.T) {
 	s := &fakeServers{own: shed, others: ran}
 	assert.Equal(t, s.run(request(false)), ran)
 	assert.DeepEqual(t, s.log, []string{"own document <nil>", "other document <nil>"})
 }
 
-// Story: a server breaks off after it was sent a claim. Nobody knows whether it ran, so no
-// other server gets it, unless the class may run twice.
+// Guards against a second run when a server disconnects after it was sent a claim. The claim may
+// have run, so no other server may get it unless its class is idempotent.
 func TestUnknownOutcomeIsNotRetried(t *testing.T) {
 	s := &fakeServers{own: disconnected, others: ran}
 	assert.Equal(t, s.run(request(false)), disconnected)
@@ -92,16 +93,16 @@
 	assert.Equal(t, len(s.log), 2)
 }
 
-// Story: a feed's server breaks off in the middle. Another server's lines behind those that
-// the caller has would be the answer of two.
+// Guards against mixing the answers of two servers when a server disconnects in the middle of a
+// feed and another server continues after the lines that the caller already has.
 func TestStartedAnswerIsNotRetried(t *testing.T) {
 	s := &fakeServers{own: disconnected, others: ran, startsAnswer: true}
 	assert.Equal(t, s.run(request(true)), disconnected)
 	assert.Equal(t, len(s.log), 1)
 }
 
-// Story: two agents each think the other idle. What one has placed at the other is not
-// passed on.
+// Guards against a request that circulates between two agents that each consider the other one
+// idle. A request that one agent has placed at another is not placed again.
 func TestPlacedRequestIsNotPlacedAgain(t *testing.T) {
 	s := &fakeServers{own: shed, others: ran}
 	r := request(false)
@@ -110,8 +111,8 @@
 	assert.Equal(t, len(s.log), 1)
 }
 
-// Story: a server drains and gives back 100 waiting claims at once, many more than the
-// budget for retries. All are placed elsewhere; none was a retry.
+// Guards against losing requests when a server drains and returns 100 waiting claims at once, many
+// more than the retry budget. All of them must be placed elsewhere; none counts as a retry.
 func TestAllRequestsOfLeavingServerArePlaced(t *testing.T) {
 	s := &fakeServers{own: leaving, others: ran}
 	sp := s.spreader()
@@ -120,7 +121,8 @@
 	}
 }
 
-// Story: all servers shed. The service must not get three times the load for it.
+// Guards against multiplying the load while all servers shed. Without a budget, the service would
+// get three times the load.
 func TestRetryBudgetBoundsLoad(t *testing.T) {
 	s := &fakeServers{own: shed, others: shed}
 	sp := s.spreader()
@@ -130,7 +132,7 @@
 	assert.Assert(t, len(s.log) < 1200, "%d tries", len(s.log))
 }
 
-// failFastServer answers 500 at once on the own server and 200 elsewhere.
+// failFastServer answers 500 immediately on the own server and 200 elsewhere.
 type failFastServer struct{ own, other int }
 
 func (f *failFastServer) Run(_ context.Context, _ *hand.Request, a hand.Answer) result.Result {
@@ -145,8 +147,9 @@
 	return ran
 }
 
-// Story: a backend server answers 500 within a millisecond. It always has idle slots, so all its
-// agent's callers got 500 for as long as it lasted. After a few, others get the requests.
+// Guards against sending all requests to a backend server that answers 500 within a millisecond.
+// Such a server always has idle slots, so all callers of its agent got 500 as long as the fault
+// lasted. After a few failures, other servers must get the requests.
 func TestFailFastServerIsAvoided(t *testing.T) {
 	f := &failFastServer{}
 	sp := New(place.Self{ID: 1}, f, func() place.Hint { return place.Hint{} })
@@ -157,7 +160,7 @@
 	assert.Assert(t, f.own < 10 && f.other > 40, "own %d, others %d", f.own, f.other)
 }
 
-// nestedFeeds hands feeds over; each opens the next one while it is open itself.
+// nestedFeeds hands feeds over and, while each feed is open, opens the next one.
 type nestedFeeds struct {
 	sp    *Dispatcher
 	depth int
@@ -178,8 +181,9 @@
 	return ran
 }
 
-// Story: a full server's agent hands feeds to its peers, where they stay open for hours. They
-// hold no slot there, so the tenth one still finds its peers idle, not full.
+// Guards against counting open feeds as occupied slots. The agent of a full server hands feeds over
+// to its peers, where they stay open for hours. They occupy no slot, so the tenth one must still
+// find its peers idle.
 func TestOpenFeedsDoNotFillPeers(t *testing.T) {
 	o := &nestedFeeds{depth: 10}
 	o.sp = New(place.Self{ID: 1}, o, func() place.Hint { return place.Hint{Running: 4, Waiting: 4} })
--- a/internal/work/token/bench_test.go
+++ b/internal/work/token/bench_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// BenchmarkKey gives the cost of a key with each answer, and of opening one.
+// BenchmarkKey measures the cost of the key that is sent with each answer, and of opening one.
 func BenchmarkKey(b *testing.B) {
 	r := ring(b, "tracing-core", secretA)
 	o := owner(3, 1)
--- a/internal/work/token/owner.go
+++ b/internal/work/token/owner.go
@@ -8,27 +8,28 @@
 	"mangowinch/internal/work/result"
 )
 
-// DefaultLifetime is how long a key may be used, the first time and again: so long
-// its outcome is remembered. It is several times the deadline of a short request;
-// each minute more costs the owner's memory one record a request it ran in a minute.
+// DefaultLifetime is how long a key may be used, for the first request and for repeats, and thus
+// how long its outcome is kept. It is several times the deadline of a short request. Each
+// additional minute adds one record to the owner's store for each request that the owner runs in a
+// minute.
 const DefaultLifetime = 2 * time.Minute
 
-// RetryAfter is said when the owner's address is not known here. It is the time in
-// which a new document reaches every process: by then either the address is known,
-// or the owner is gone for good.
+// RetryAfter is the retry delay that is returned when the owner's address is not known. Within this
+// time a new document reaches every process. After it, either the address is known or the owner has
+// been removed permanently.
 const RetryAfter = 7 * time.Second
 
 // Owner is one incarnation of an agent in its role as issuer of keys. It is immutable.
 type Owner struct {
 	Service     string
 	Server      uint32
-	Incarnation uint64        // never the same for two processes
-	Start       time.Time     // with its monotonic reading: ages of keys are measured by it alone
-	Lifetime    time.Duration // the same for the whole life of the process
+	Incarnation uint64        // unique per process
+	Start       time.Time     // with its monotonic reading, which alone determines the age of keys
+	Lifetime    time.Duration // constant while the process runs
 }
 
-// Issue gives a fresh key. Nonce comes from the process's random source; it need
-// not be secret, because a key is authenticated.
+// Issue returns a new key. Nonce comes from the process's random source. It need not be secret,
+// because a key is authenticated.
 func (o Owner) Issue(now time.Time, nonce uint64) Key {
 	return Key{
 		Service:     o.Service,
@@ -39,31 +40,30 @@
 	}
 }
 
-// Action says who decides about a request that carries a key.
+// Action is what to do with a request that carries a key.
 type Action uint8
 
-// The places. The zero value refuses.
+// The actions. The zero value refuses.
 const (
-	Refuse   Action = iota // nobody: Ruling.Result is the answer
+	Refuse   Action = iota // answer with Decision.Result
 	Local                  // this agent is the owner
-	HandOver               // the owner is at Ruling.Agent
+	HandOver               // the owner is at Decision.Agent
 )
 
-// Decision is what is to be done with a request that carries a key.
+// Decision is the result of Decide.
 type Decision struct {
 	Action Action
-	Agent  netip.AddrPort // of the owner, for Pass
-	Until  time.Time      // the key's outcome is remembered at least so long, for Here
-	Result result.Result  // for Refuse; never "not run", since an earlier try may have run
+	Agent  netip.AddrPort // address of the owner, for HandOver
+	Until  time.Time      // the key's outcome is kept at least until this time, for Local
+	Result result.Result  // for Refuse; never "not run", because an earlier attempt may have run
 }
 
-// Decide decides who decides. Servers are those that the service's documents in force
-// and just before name.
+// Decide determines which agent decides about a request with a key. Servers are those of the
+// current and the previous service document.
 //
-// An owner that was restarted has forgotten what its former process ran, so a key
-// of any other incarnation is unknown and never a run. Incarnations are compared
-// for equality only: an agent on an instance whose clock is behind may come after
-// one with a higher number.
+// A restarted owner has lost the records of its previous process, so the outcome of a key of any
+// other incarnation is unknown and the request must not run. Incarnations are compared for equality
+// only: on an instance whose clock is behind, a later process may have a lower incarnation.
 func (o Owner) Decide(now time.Time, k Key, servers []docs.Server) Decision {
 	if k.Service != o.Service {
 		return refuse(result.KeyInvalid, 0)
@@ -84,8 +84,8 @@
 	if issued.After(now) {
 		return refuse(result.KeyInvalid, 0)
 	}
-	// The memory of outcomes may have dropped this key, so it can neither run
-	// nor be called not run. Both times are by this process's clock.
+	// The record of this key may have been evicted, so the request must neither run nor be called
+	// not run. Both times are on this process's clock.
 	if !now.Before(until) {
 		return refuse(result.KeyExpired, 0)
 	}
--- a/internal/work/token/token.go
+++ b/internal/work/token/token.go
@@ -1,14 +1,14 @@
-// Package token makes and checks request keys: short texts that a caller sends
-// with a request so that a repeat of it is never run a second time.
+// Package token creates and verifies request keys. A request key is a short text that a caller
+// sends with a request so that a repeat of the request never runs a second time.
 //
-// A caller whose request ended as unknown may repeat it at any agent, across a
-// partition, with the first agent dead. Nothing is shared between agents, so the
-// key itself names the one agent that can know: its owner. The owner issued the
-// key, decides whether the request runs, and remembers. Everybody else passes the
-// request to the owner or answers unknown.
+// A caller whose request ended as unknown may repeat it at any agent, even across a partition or
+// after the first agent has failed. Agents share no state about requests, so the key itself names
+// the only agent that can know the outcome: its owner. The owner issued the key, decides whether
+// the request runs, and records the outcome. Every other agent hands the request over to the owner
+// or answers unknown.
 //
-// The package is not the memory of outcomes (package memo) and does not carry
-// requests (package hand). It uses no clock and no randomness of its own.
+// The package does not store outcomes (package memo) and does not transfer requests (package hand).
+// It reads no clock and generates no random numbers.
 //
 // # Usage
 //
@@ -17,7 +17,7 @@
 //	text := ring.Seal(owner.Issue(time.Now(), rng.Uint64()))
 //
 //	key, err := ring.Open(text) // ErrDamaged, ErrForged or ErrService
-//	ruling := owner.Rule(time.Now(), key, service.Servers)
+//	decision := owner.Decide(time.Now(), key, service.Servers)
 package token
 
 import (
@@ -31,8 +31,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// The errors of Open. A flipped bit in the body of a key can't be told from a
-// forgery; ErrDamaged is said only of texts that no ring could have made.
+// The errors of Open. A flipped bit in the body of a key can't be distinguished from a forgery, so
+// ErrDamaged is returned only for texts that no ring can have produced.
 var (
 	ErrDamaged = errors.New("request key is damaged")
 	ErrForged  = errors.New("request key is not authentic")
@@ -41,24 +41,24 @@
 
 const (
 	version        = 1
-	tagSize        = 16  // bytes of the HMAC kept: 2^-128 a guess, and the text stays under 100 characters
-	maxTextLen     = 256 // characters; a longer text is damaged and is not even decoded
+	tagSize        = 16  // bytes kept of the HMAC: a guess has a chance of 2^-128, and the text stays under 100 characters
+	maxTextLen     = 256 // characters; a longer text is damaged and is not decoded
 	minMaterialLen = 16  // bytes
 	maxServiceLen  = 64  // bytes of a service name
 	hkdfInfo       = "mangowinch request key v1"
 )
 
-// Key is the content of a request key. Keys are equal exactly if they are the same key.
+// Key is the content of a request key. Two keys are the same exactly if they compare equal.
 type Key struct {
 	Service     string
-	Server      uint32        // the owner's server ID within the service
-	Incarnation uint64        // of the owning agent's process
-	Issued      time.Duration // since the owner's start, by the owner's clock; whole milliseconds
+	Server      uint32        // server ID of the owner within the service
+	Incarnation uint64        // of the owner's process
+	Issued      time.Duration // since the owner's start, on the owner's clock; whole milliseconds
 	Nonce       uint64
 }
 
-// ID names the key in a memory of outcomes. It is the same for every text of the
-// key, whichever secret sealed it.
+// ID returns the ID under which the outcome of the key is recorded. It is the same for every text
+// of the key, regardless of the secret that sealed it.
 func (k Key) ID() string { return string(k.encode()) }
 
 func (k Key) encode() []byte {
@@ -90,15 +90,15 @@
 	return k, true
 }
 
-// Ring holds the secrets of one service: keys are sealed with the current one and
-// opened with any. It is immutable.
+// Ring holds the secrets of one service. It seals keys with the current secret and opens keys
+// sealed with any of its secrets. It is immutable.
 type Ring struct {
 	service string
-	secrets [][]byte // the current one first
+	secrets [][]byte // the current secret first
 }
 
-// NewRing derives a ring from the service's key material. The same material may
-// serve other purposes too, since the secrets used here are derived from it.
+// NewRing derives a ring from the service's key material. The material may also be used for other
+// purposes, because the secrets of the ring are derived from it.
 func NewRing(service string, current []byte, former ...[]byte) (r *Ring, err error) {
 	defer func() { err = errors.Wrapf(err, "request keys of %q", service) }()
 	if service == "" || len(service) > maxServiceLen {
@@ -118,19 +118,20 @@
 	return r, nil
 }
 
-// Seal gives the text of a key, fit for a header.
+// Seal returns the text of a key, which is valid in a header.
 func (r *Ring) Seal(k Key) string {
 	b := k.encode()
 	return base64.RawURLEncoding.EncodeToString(append(b, tag(r.secrets[0], b)...))
 }
 
-// Open checks a text and gives the key in it, or ErrDamaged, ErrForged or ErrService.
+// Open verifies a text and returns its key, or ErrDamaged, ErrForged or ErrService.
 func (r *Ring) Open(text string) (Key, error) {
 	if len(text) > maxTextLen {
 		return Key{}, ErrDamaged
 	}
 	b, err := base64.RawURLEncoding.DecodeString(text)
-	// The decoder passes over line ends and spare bits; one key has one text only.
+	// The decoder ignores line breaks and trailing padding bits, but a key has exactly one valid
+	// text.
 	if err != nil || len(b) < tagSize || base64.RawURLEncoding.EncodeToString(b) != text {
 		return Key{}, ErrDamaged
 	}
@@ -150,15 +151,15 @@
 	return Key{}, ErrForged
 }
 
-// Purpose keeps the tags of different kinds of messages apart.
+// Purpose distinguishes the tags of different kinds of messages.
 type Purpose byte
 
-// Tag authenticates a message between the service's own processes.
+// Tag returns the authentication tag of a message between the service's own processes.
 func (r *Ring) Tag(p Purpose, message []byte) []byte {
 	return tag(r.secrets[0], withPurpose(p, message))
 }
 
-// Check reports whether a process of the service made the tag for this message.
+// Check reports whether a process of the service created the tag for this message and purpose.
 func (r *Ring) Check(p Purpose, message, mac []byte) bool {
 	for _, s := range r.secrets {
 		if hmac.Equal(mac, tag(s, withPurpose(p, message))) {
@@ -168,7 +169,8 @@
 	return false
 }
 
-// withPurpose can't be the body of a key, which begins with its version.
+// withPurpose returns the authenticated form of a message. Its first byte is 0, so it can't equal
+// the body of a key, which begins with the version.
 func withPurpose(p Purpose, message []byte) []byte {
 	return append([]byte{0, byte(p)}, message...)
 }
--- a/internal/work/token/token_test.go
+++ b/internal/work/token/token_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// Whatever an owner seals comes back unchanged, also under the secret's successor,
-// and fits a header.
+// Checks that any sealed key opens unchanged, also after a rotation of the secret, and that its
+// text stays under 100 characters.
 func TestSealedKeyOpens(t *testing.T) {
 	before := ring(t, "tracing-core", secretA)
 	after := ring(t, "tracing-core", secretB, secretA)
@@ -57,8 +57,8 @@
 	})
 }
 
-// A key that was cut, or changed in any character, opens as nothing: it never
-// names another owner, and no other text stands for the same key.
+// Guards against accepting a key that was truncated or changed in any character: such a text must
+// not name another owner, and no second text may stand for the same key.
 func TestChangedKeyIsRefused(t *testing.T) {
 	r := ring(t, "tracing-core", secretA)
 	const alphabet = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_=\n "
@@ -93,7 +93,7 @@
 	assert.ErrorIs(t, err, ErrForged)
 	_, err = r.Open(ring(t, "doc-intake", secretA).Seal(other))
 	assert.ErrorIs(t, err, ErrService)
-	// The same material in two services gives different secrets.
+	// The same material results in different secrets for two services.
 	_, err = r.Open(ring(t, "doc-intake", secretA).Seal(k))
 	assert.ErrorIs(t, err, ErrForged)
 	_, err = NewRing("tracing-core", []byte("short"))
@@ -112,9 +112,9 @@
 	})
 }
 
-// Story: a caller's request ends as unknown and it repeats the key at whichever
-// agent it reaches. Every agent must send it to the one that issued the key, and
-// only that very process may decide that it runs.
+// Guards against a second run when a caller repeats a key at another agent after its request ended
+// as unknown. Every agent must hand the request over to the agent that issued the key, and only the
+// very process that issued it may decide that the request runs.
 func TestOnlyTheIssuingProcessDecides(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		issuer := owner(rapid.Uint32Range(1, 4).Draw(t, "issuer"), rapid.Uint64Range(1, 3).Draw(t, "then"))
@@ -143,9 +143,9 @@
 	})
 }
 
-// Story: an agent dies after its server ran a lookup; the instance comes back with
-// its clock set back, so that the new process has the lower incarnation. The
-// caller repeats the key. The new process knows nothing of the run: unknown.
+// Guards against accepting a key of a previous process that has the higher incarnation. An agent
+// fails after its server ran a lookup, and the instance restarts with its clock set back. The new
+// process has no record of the run, so a repeat of the key must be unknown.
 func TestRestartedOwnerWithClockSetBack(t *testing.T) {
 	then, now := uint64(start.UnixNano()), uint64(start.Add(-time.Hour).UnixNano())
 	got := owner(3, now).Decide(start, owner(3, then).Issue(start, 1), nil)
--- a/internal/work/token/wire_test.go
+++ b/internal/work/token/wire_test.go
@@ -11,15 +11,15 @@
 	"mangowinch/internal/stand/filled"
 )
 
-// wireKey returns a key with every field set; times of issue are whole milliseconds.
+// wireKey returns a key with every field set. Issued must be in whole milliseconds.
 func wireKey() (k Key) {
 	filled.Fill(&k)
 	k.Service, k.Issued = "tracing-core", DefaultLifetime/2
 	return k
 }
 
-// Guards against keys and tags that a process of another version refuses: old and new processes run side by side during
-// an update, and callers hold keys of both.
+// Guards against keys and tags that a process of another version refuses. Old and new processes run
+// side by side during an update, and callers hold keys of both.
 func TestWireText(t *testing.T) {
 	r := ring(t, "tracing-core", secretA)
 	k := wireKey()
@@ -27,7 +27,7 @@
 	golden.Assert(t, text, "wire.golden")
 }
 
-// Guards against an older process's key that names another owner.
+// Guards against reading the key of an older process as a key of another owner.
 func TestWireTextIsRead(t *testing.T) {
 	text, _, _ := strings.Cut(string(golden.Get(t, "wire.golden")), "\n")
 	got, err := ring(t, "tracing-core", secretA).Open(text)
