--- a/cmd/capacity/calls.go
+++ b/cmd/capacity/calls.go
@@ -56,7 +56,7 @@
 
 func callsOf(n int) (c callCosts) {
 	c.entries = n
-	f := scale.Start(scale.Size{Entries: n, Documents: 50, Text: 2000, Memory: true})
+	f := scale.Start(scale.Size{Entries: n, Documents: 50, TextSize: 2000, InMemory: true})
 	defer f.Stop()
 	if _, c.err = f.Await(f.Processes(), 2*time.Minute); c.err != nil {
 		return c
--- a/cmd/capacity/failures.go
+++ b/cmd/capacity/failures.go
@@ -13,14 +13,14 @@
 	var x, bytes, cpu, calls []float64
 	late := "\n| dead of 112 | p50 | p99 | max | not within 7 s |\n|---|---|---|---|---|\n"
 	for _, n := range []int{0, 8, 16, 32, 64} {
-		f, _, err := settled(scale.Size{Entries: 112, Documents: 50, Text: 2000})
+		f, _, err := settled(scale.Size{Entries: 112, Documents: 50, TextSize: 2000})
 		if err != nil {
 			f.Stop()
 			return err
 		}
 		f.Kill(n)
 		time.Sleep(time.Second)
-		times := f.Spread(1, 0, false)
+		times := f.MeasureSpread(1, 0, false)
 		over := 0
 		for _, t := range times {
 			if t > 7*time.Second {
--- a/cmd/capacity/main.go
+++ b/cmd/capacity/main.go
@@ -41,7 +41,7 @@
 func main() {
 	var o options
 	kong.Parse(&o)
-	scale.Base = o.Base
+	scale.AddressBase = o.Base
 	for _, t := range tables {
 		if len(o.Only) > 0 && !slices.Contains(o.Only, t.name) {
 			continue
--- a/cmd/capacity/partition.go
+++ b/cmd/capacity/partition.go
@@ -35,7 +35,7 @@
 }
 
 func partitionOf(n int) (row string, err error) {
-	f := scale.Start(scale.Size{Entries: n, Documents: 50, Text: 2000, Memory: true})
+	f := scale.Start(scale.Size{Entries: n, Documents: 50, TextSize: 2000, InMemory: true})
 	defer f.Stop()
 	if _, err := f.Await(f.Processes(), 2*time.Minute); err != nil {
 		return "", err
@@ -43,13 +43,13 @@
 	time.Sleep(settle)
 	f.Platform.SetDown(true)
 	before := f.Measure(20 * time.Second)
-	failed := f.Part(true)
+	failed := f.SetPartitioned(true)
 	f.Offer(3, 2)
 	parted := f.Measure(partitionFor)
-	have := f.Have(3, 2)
-	failed = f.Part(false) - failed
+	have := f.CountAtLeast(3, 2)
+	failed = f.SetPartitioned(false) - failed
 	start := time.Now()
-	for f.Have(3, 2) < n && time.Since(start) < time.Minute {
+	for f.CountAtLeast(3, 2) < n && time.Since(start) < time.Minute {
 		time.Sleep(20 * time.Millisecond)
 	}
 	took := time.Since(start).Round(10 * time.Millisecond)
--- a/cmd/capacity/slopes.go
+++ b/cmd/capacity/slopes.go
@@ -12,7 +12,7 @@
 func entries(o options) error {
 	var x, bytes, cpu, memory []float64
 	for _, n := range []int{28, 56, 112, 224} {
-		f, m, err := settled(scale.Size{Entries: n, Documents: 50, Text: 2000})
+		f, m, err := settled(scale.Size{Entries: n, Documents: 50, TextSize: 2000})
 		if err != nil {
 			f.Stop()
 			return err
@@ -35,7 +35,7 @@
 func documents(o options) error {
 	var x, bytes, cpu, memory, fill, got, silent []float64
 	for _, n := range []int{160, 325, 650, 1300} {
-		f, m, err := settled(scale.Size{Entries: 28, Documents: n, Text: 2000})
+		f, m, err := settled(scale.Size{Entries: 28, Documents: n, TextSize: 2000})
 		if err != nil {
 			f.Stop()
 			return err
@@ -78,7 +78,7 @@
 func agents(o options) error {
 	var x, entry, agent, cpu []float64
 	for _, n := range []int{8, 16, 24, 32} {
-		f, _, err := settled(scale.Size{Entries: 14, Documents: 50, Text: 2000, Services: n, Agents: 5})
+		f, _, err := settled(scale.Size{Entries: 14, Documents: 50, TextSize: 2000, Services: n, Agents: 5})
 		if err != nil {
 			f.Stop()
 			return err
@@ -102,7 +102,7 @@
 	var x, agent, cpu, memory []float64
 	for _, n := range []int{2, 3, 5, 7} {
 		services := 84 / n
-		f, m, err := settled(scale.Size{Entries: 3, Documents: services, Text: 2000, Services: services, Agents: n})
+		f, m, err := settled(scale.Size{Entries: 3, Documents: services, TextSize: 2000, Services: services, Agents: n})
 		if err != nil {
 			f.Stop()
 			return err
@@ -124,7 +124,7 @@
 // changes: what an entry spends with more changes.
 func changes(o options) error {
 	var x, bytes, cpu []float64
-	f, _, err := settled(scale.Size{Entries: 56, Documents: 100, Text: 2000})
+	f, _, err := settled(scale.Size{Entries: 56, Documents: 100, TextSize: 2000})
 	defer f.Stop()
 	if err != nil {
 		return err
@@ -164,7 +164,7 @@
 func spread(options) error {
 	fmt.Print("\n### From accepted by the platform to in force, at entries and agents (7 services of 5 agents)\n\n" +
 		"| case | processes | changes | p50 | p99 | max | not within 7 s |\n|---|---|---|---|---|---|---|\n")
-	healthy := scale.Size{Documents: 50, Text: 2000, Services: 7, Agents: 5}
+	healthy := scale.Size{Documents: 50, TextSize: 2000, Services: 7, Agents: 5}
 	for _, n := range []int{28, 56, 112, 224} {
 		s := healthy
 		s.Entries = n
@@ -183,12 +183,12 @@
 		return err
 	}
 	large := healthy
-	large.Entries, large.Text, large.Documents, large.Services = 56, 1_000_000, 1, 1
+	large.Entries, large.TextSize, large.Documents, large.Services = 56, 1_000_000, 1, 1
 	if err := spreadOne("a megabyte of plain text, platform down after one saw it", large, 1, true); err != nil {
 		return err
 	}
 	whole := healthy
-	whole.Entries, whole.Memory = 800, true
+	whole.Entries, whole.InMemory = 800, true
 	return spreadOne("800 entries in one process, 1 ms a way", whole, 10, false)
 }
 
@@ -198,10 +198,10 @@
 	if err != nil {
 		return err
 	}
-	if s.Text > 100_000 {
+	if s.TextSize > 100_000 {
 		time.Sleep(2 * time.Minute) // the budget that the start took has come back
 	}
-	times := f.Spread(changes, time.Second, byOne)
+	times := f.MeasureSpread(changes, time.Second, byOne)
 	late := 0
 	for _, t := range times {
 		if t > 7*time.Second {
--- a/internal/ctrl/belief/belief.go
+++ b/internal/ctrl/belief/belief.go
@@ -14,7 +14,7 @@
 // # Usage
 //
 //	log := belief.New()
-//	if applied := log.Apply(now, change); applied == belief.Behind { ask(log.Revision()) }
+//	if applied := log.Apply(now, change); applied == belief.Gap { ask(log.Revision()) }
 //	view := log.View() // immutable
 package belief
 
@@ -109,14 +109,14 @@
 	Items    []Item
 }
 
-// Applied is what Apply did.
-type Applied uint8
+// Outcome is what Apply did.
+type Outcome uint8
 
 // The outcomes of Apply. Behind means that changes between are missing.
 const (
-	Old Applied = iota
-	News
-	Behind
+	Stale Outcome = iota
+	Updated
+	Gap
 )
 
 // history bounds the deletions that are remembered so that they can be passed on. A process
@@ -156,14 +156,14 @@
 func (l *Log) Revision() order.Revision { return l.View().Revision }
 
 // Apply takes a change in.
-func (l *Log) Apply(now time.Time, c Change) Applied {
+func (l *Log) Apply(now time.Time, c Change) Outcome {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if c.To <= l.revision {
-		return Old
+		return Stale
 	}
 	if !c.Full && c.From > l.revision {
-		return Behind
+		return Gap
 	}
 	if c.Full {
 		l.removeMissing(now, c)
@@ -173,7 +173,7 @@
 	}
 	l.revision = c.To
 	l.rebuild()
-	return News
+	return Updated
 }
 
 // removeMissing deletes what a full change doesn't list and isn't newer than it.
--- a/internal/ctrl/belief/belief_test.go
+++ b/internal/ctrl/belief/belief_test.go
@@ -39,7 +39,7 @@
 func known(t *testing.T) *Log {
 	t.Helper()
 	l := New()
-	assert.Equal(t, l.Apply(now, Change{To: 5, Full: true, Items: []Item{config(7, 1), server(1, 2, Ready), server(2, 3, Ready)}}), News)
+	assert.Equal(t, l.Apply(now, Change{To: 5, Full: true, Items: []Item{config(7, 1), server(1, 2, Ready), server(2, 3, Ready)}}), Updated)
 	return l
 }
 
@@ -49,15 +49,15 @@
 	assert.Equal(t, len(v.Servers("tracing-core")), 2)
 	assert.Assert(t, v.Allows(netip.MustParseAddrPort("198.18.0.1:443"), "tracing-core"))
 	assert.Assert(t, !v.Allows(netip.MustParseAddrPort("198.18.0.1:443"), "doc-intake"))
-	assert.Equal(t, v.Lowest, 2)
+	assert.Equal(t, v.LowestPriority, 2)
 }
 
 // A change is missing between what a process knows and what it hears: it must not act on the later one alone.
 func TestGapIsNotSkipped(t *testing.T) {
 	l := known(t)
-	assert.Equal(t, l.Apply(now, Change{From: 8, To: 9, Items: []Item{config(9, 9)}}), Behind)
+	assert.Equal(t, l.Apply(now, Change{From: 8, To: 9, Items: []Item{config(9, 9)}}), Gap)
 	assert.Equal(t, l.View().Version(), int64(7))
-	assert.Equal(t, l.Apply(now, Change{From: 4, To: 5}), Old)
+	assert.Equal(t, l.Apply(now, Change{From: 4, To: 5}), Stale)
 }
 
 // A process woken from a pause tells what it knew before. Nobody goes back to it.
@@ -66,7 +66,7 @@
 	l.Apply(now, Change{From: 5, To: 6, Items: []Item{config(8, 6)}})
 	l.Apply(now, Change{To: 5, Full: true, Items: []Item{config(7, 1)}})
 	assert.Equal(t, l.View().Version(), int64(8))
-	assert.Equal(t, l.Apply(now, Change{From: 6, To: 10, Items: []Item{config(7, 10)}}), News)
+	assert.Equal(t, l.Apply(now, Change{From: 6, To: 10, Items: []Item{config(7, 10)}}), Updated)
 	assert.Equal(t, l.View().Version(), int64(8), "a lower version written later")
 }
 
@@ -187,11 +187,11 @@
 	asleep := New()
 	asleep.Apply(now, l.Since(0))
 	l.Apply(now, Change{From: 6, To: 7, Items: []Item{evacuation(7, true)}})
-	assert.Equal(t, l.Apply(now, asleep.Since(0)), Old)
+	assert.Equal(t, l.Apply(now, asleep.Since(0)), Stale)
 	assert.Assert(t, !l.View().Evacuated("zg-a"), "an old belief brought the order back")
 
 	again := Change{From: 7, To: 8, Items: []Item{evacuation(8, false)}}
-	assert.Equal(t, asleep.Apply(now, again), Behind)
+	assert.Equal(t, asleep.Apply(now, again), Gap)
 	l.Apply(now, again)
 	asleep.Apply(now, l.Since(asleep.Revision()))
 	assert.Assert(t, asleep.View().Evacuated("zg-a"))
--- a/internal/ctrl/belief/copies_test.go
+++ b/internal/ctrl/belief/copies_test.go
@@ -46,7 +46,7 @@
 	assert.Equal(t, s, Ready, "it has written since")
 
 	again := Change{From: order.At(1, 5), To: order.At(1, 6), Items: []Item{wrote(1, order.At(1, 6), Draining, 5)}}
-	assert.Equal(t, l.Apply(now, again), News)
+	assert.Equal(t, l.Apply(now, again), Updated)
 	s, _ = stateOf(l, 1)
 	assert.Equal(t, s, Draining)
 }
--- a/internal/ctrl/belief/view.go
+++ b/internal/ctrl/belief/view.go
@@ -13,14 +13,14 @@
 
 // View is an immutable snapshot of a belief, indexed for the path of a packet.
 type View struct {
-	Revision order.Revision
-	Config   *Config // nil: none known yet
-	Homes    *homes.List
-	Lowest   int // the lowest priority of a route, which is the highest number
-	routes   map[netip.AddrPort]*Route
-	services map[string][]Server
-	agents   map[netip.Addr]Server
-	emptied  []string // failure domains that are evacuated, in order
+	Revision       order.Revision
+	Config         *Config // nil: none known yet
+	Homes          *homes.List
+	LowestPriority int // the lowest priority of a route, which is the highest number
+	routes         map[netip.AddrPort]*Route
+	services       map[string][]Server
+	agents         map[netip.Addr]Server
+	emptied        []string // failure domains that are evacuated, in order
 }
 
 // content is what a view is made of.
@@ -45,7 +45,7 @@
 		for i := range c.Config.Routes {
 			r := &c.Config.Routes[i]
 			v.routes[r.Called] = r
-			v.Lowest = max(v.Lowest, r.Priority)
+			v.LowestPriority = max(v.LowestPriority, r.Priority)
 		}
 	}
 	// A server that starts at the address of one whose entry has not lapsed yet is
@@ -121,8 +121,8 @@
 	return v.Config.WarmUps[i]
 }
 
-// Hash names a service in messages.
-func Hash(service string) uint32 { return uint32(xxhash.Sum64String(service)) }
+// ServiceHash names a service in messages.
+func ServiceHash(service string) uint32 { return uint32(xxhash.Sum64String(service)) }
 
 // DomainHash names a failure domain in messages, for preferences only: two domains may have the same.
-func DomainHash(domain string) uint8 { return uint8(Hash(domain)) }
+func DomainHash(domain string) uint8 { return uint8(ServiceHash(domain)) }
--- a/internal/ctrl/budget/budget.go
+++ b/internal/ctrl/budget/budget.go
@@ -98,9 +98,9 @@
 	return &Meter{limiter: rate.NewLimiter(textRate, textBurst)}
 }
 
-// Spend waits until n bytes of text may be sent or received. It returns false
+// Acquire waits until n bytes of text may be sent or received. It returns false
 // at once when that would take more than half a second, or when ctx ends.
-func (m *Meter) Spend(ctx context.Context, n int) bool {
+func (m *Meter) Acquire(ctx context.Context, n int) bool {
 	r := m.limiter.ReserveN(time.Now(), min(n, textBurst))
 	d := r.Delay()
 	if d > maxWait {
@@ -132,11 +132,11 @@
 	}
 }
 
-// Room returns how many bytes of text may pass at once.
-func (m *Meter) Room() int { return int(m.limiter.Tokens()) }
+// Available returns how many bytes of text may pass at once.
+func (m *Meter) Available() int { return int(m.limiter.Tokens()) }
 
-// Work runs f and counts its processor time.
-func (m *Meter) Work(f func()) {
+// TimeCPU runs f and counts its processor time.
+func (m *Meter) TimeCPU(f func()) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	start := threadTime()
@@ -202,9 +202,9 @@
 	return s[0].Value.Uint64() - s[1].Value.Uint64()
 }
 
-// Answered counts a call that this process answered. Its connection may be shared
+// CountAnswered counts a call that this process answered. Its connection may be shared
 // with calls that are not control's, so its bytes aren't counted by Conn.
-func (m *Meter) Answered(received, sent int) {
+func (m *Meter) CountAnswered(received, sent int) {
 	m.received.Add(uint64(received) + segment)
 	m.sent.Add(uint64(sent) + segment)
 }
--- a/internal/ctrl/budget/budget_test.go
+++ b/internal/ctrl/budget/budget_test.go
@@ -20,7 +20,7 @@
 		m := budget.New()
 		start, sent, refused := time.Now(), 0, 0
 		for time.Since(start) < time.Minute {
-			if m.Spend(t.Context(), 16_000) {
+			if m.Acquire(t.Context(), 16_000) {
 				sent += 16_000
 				continue
 			}
@@ -42,7 +42,7 @@
 		m.Sample(time.Now())
 		_, err := c.Write(make([]byte, 2_000_000))
 		assert.NilError(t, err)
-		m.Work(func() {
+		m.TimeCPU(func() {
 			for n := range 200_000_000 {
 				_ = n
 			}
--- a/internal/ctrl/digest/digest.go
+++ b/internal/ctrl/digest/digest.go
@@ -29,9 +29,9 @@
 	"mangowinch/internal/flow/order"
 )
 
-// Parts is how many buckets a set is split into. With 1,300 documents a part has
+// BucketCount is how many buckets a set is split into. With 1,300 documents a part has
 // some 20 items, as much on the wire as the buckets themselves.
-const Parts = 64
+const BucketCount = 64
 
 // Item is what is known of one document.
 type Item struct {
@@ -43,23 +43,23 @@
 // Digest stands for one snapshot of a store. Nobody changes it.
 type Digest struct {
 	Root    uint64
-	Buckets [Parts]uint64
-	Items   [Parts][]Item // ordered by name
+	Buckets [BucketCount]uint64
+	Items   [BucketCount][]Item // ordered by name
 }
 
 // Of returns the digest of a snapshot.
 func Of(v *store.View) *Digest {
 	d := &Digest{}
 	names := map[string]bool{}
-	for name := range v.Entries {
+	for name := range v.Documents {
 		names[name] = true
 	}
 	for name := range v.Faults {
 		names[name] = true
 	}
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		n := Part(name)
-		d.Items[n] = append(d.Items[n], Know(v, name))
+		n := BucketOf(name)
+		d.Items[n] = append(d.Items[n], ItemOf(v, name))
 	}
 	var roots []byte
 	for n := range d.Items {
@@ -70,24 +70,24 @@
 	return d
 }
 
-// Know returns the item of one document.
-func Know(v *store.View, name string) Item {
+// ItemOf returns the item of one document.
+func ItemOf(v *store.View, name string) Item {
 	i := Item{Name: name, Newest: v.Revision(name)}
-	if e := v.Entries[name]; e != nil {
+	if e := v.Documents[name]; e != nil {
 		i.Revision = e.Revision
 	}
 	return i
 }
 
-// Part returns the bucket that a document belongs to.
-func Part(name string) int { return int(xxhash.Sum64String(name) % Parts) }
+// BucketOf returns the bucket that a document belongs to.
+func BucketOf(name string) int { return int(xxhash.Sum64String(name) % BucketCount) }
 
-// Differ returns the parts that the other's buckets show as different; all of
+// DifferingBuckets returns the parts that the other's buckets show as different; all of
 // them when the other has another number of parts.
-func (d *Digest) Differ(buckets []uint64) []int {
+func (d *Digest) DifferingBuckets(buckets []uint64) []int {
 	var parts []int
 	for n := range d.Buckets {
-		if len(buckets) != Parts || d.Buckets[n] != buckets[n] {
+		if len(buckets) != BucketCount || d.Buckets[n] != buckets[n] {
 			parts = append(parts, n)
 		}
 	}
--- a/internal/ctrl/digest/digest_test.go
+++ b/internal/ctrl/digest/digest_test.go
@@ -13,14 +13,14 @@
 )
 
 func view(revisions map[string]uint64) *store.View {
-	v := &store.View{Entries: map[string]*store.Entry{}, Faults: map[string]*store.Fault{}}
+	v := &store.View{Documents: map[string]*store.Document{}, Faults: map[string]*store.Fault{}}
 	for name, number := range revisions {
 		revision := order.Revision(number)
 		if revision%5 == 0 {
 			v.Faults[name] = &store.Fault{Name: name, Revision: revision}
 			revision -= 2
 		}
-		v.Entries[name] = &store.Entry{Name: name, Revision: revision}
+		v.Documents[name] = &store.Document{Name: name, Revision: revision}
 	}
 	return v
 }
@@ -33,15 +33,15 @@
 		a, b := view(sets.Draw(t, "a")), view(sets.Draw(t, "b"))
 		x, y := digest.Of(a), digest.Of(b)
 		found := map[int]bool{}
-		for _, n := range x.Differ(y.Buckets[:]) {
+		for _, n := range x.DifferingBuckets(y.Buckets[:]) {
 			found[n] = true
 		}
 		same := true
 		for _, v := range []*store.View{a, b} {
-			for name := range v.Entries {
-				if digest.Know(a, name) != digest.Know(b, name) {
+			for name := range v.Documents {
+				if digest.ItemOf(a, name) != digest.ItemOf(b, name) {
 					same = false
-					assert.Assert(t, found[digest.Part(name)], "%s is not found", name)
+					assert.Assert(t, found[digest.BucketOf(name)], "%s is not found", name)
 				}
 			}
 		}
@@ -59,7 +59,7 @@
 	a := digest.Of(view(revisions))
 	revisions["service-77"]++
 	b := digest.Of(view(revisions))
-	parts := a.Differ(b.Buckets[:])
-	assert.DeepEqual(t, parts, []int{digest.Part("service-77")})
+	parts := a.DifferingBuckets(b.Buckets[:])
+	assert.DeepEqual(t, parts, []int{digest.BucketOf("service-77")})
 	assert.Assert(t, len(a.Items[parts[0]]) < 50)
 }
--- a/internal/ctrl/duty/duty.go
+++ b/internal/ctrl/duty/duty.go
@@ -13,9 +13,9 @@
 //
 // # Usage
 //
-//	if duty.Watches(self, table.Live(peers.Entries)) {
+//	if duty.IsWatcher(self, table.Live(peers.Entries)) {
 //		watch()
-//	} else if duty.Probes(age, members, r) {
+//	} else if duty.ShouldProbe(age, members, r) {
 //		probe()
 //	}
 package duty
@@ -32,18 +32,18 @@
 
 // What was chosen, and why.
 const (
-	PerDomain = 3                // watchers: one may be dead and one frozen
-	Stale     = 40 * time.Second // a watch is answered after 25 s at the latest; the rest is for passing it on
-	Tick      = 10 * time.Second // between two decisions to probe
-	probes    = 20               // of the whole fleet in one tick, so two calls a second
+	WatchersPerDomain = 3                // watchers: one may be dead and one frozen
+	StaleAge          = 40 * time.Second // a watch is answered after 25 s at the latest; the rest is for passing it on
+	ProbeInterval     = 10 * time.Second // between two decisions to probe
+	probes            = 20               // of the whole fleet in one tick, so two calls a second
 
-	EntryStart = 2 * time.Second  // 800 entries that start at once make 400 first calls a second
-	AgentStart = 10 * time.Second // 6,800 agents that find no peer make 680
+	MaxEntryDelay = 2 * time.Second  // 800 entries that start at once make 400 first calls a second
+	MaxAgentDelay = 10 * time.Second // 6,800 agents that find no peer make 680
 )
 
-// Watches says whether self is one of the few in its failure domain that watch
+// IsWatcher says whether self is one of the few in its failure domain that watch
 // the platform. Members are those believed live, self among them or not.
-func Watches(self peers.Member, members []peers.Member) bool {
+func IsWatcher(self peers.Member, members []peers.Member) bool {
 	if self.Role != peers.Entry || self.State == peers.Leaving {
 		return false
 	}
@@ -53,22 +53,22 @@
 			before++
 		}
 	}
-	return before < PerDomain
+	return before < WatchersPerDomain
 }
 
-// Probes says whether a process that does not watch asks the platform in this
+// ShouldProbe says whether a process that does not watch asks the platform in this
 // tick, given how long ago anybody known has heard from it.
-func Probes(age time.Duration, members int, r *rand.Rand) bool {
-	return age > Stale && r.Float64()*float64(max(members, 1)) < probes
+func ShouldProbe(age time.Duration, members int, r *rand.Rand) bool {
+	return age > StaleAge && r.Float64()*float64(max(members, 1)) < probes
 }
 
-// Start returns how long a process that knows nothing waits before its first
+// StartDelay returns how long a process that knows nothing waits before its first
 // call, so that a fleet that starts at once does not call at once. Peers are
 // asked meanwhile.
-func Start(role peers.Role, r *rand.Rand) time.Duration {
-	span := EntryStart
+func StartDelay(role peers.Role, r *rand.Rand) time.Duration {
+	span := MaxEntryDelay
 	if role == peers.Agent {
-		span = AgentStart
+		span = MaxAgentDelay
 	}
 	return time.Duration(r.Int64N(int64(span)))
 }
--- a/internal/ctrl/duty/duty_test.go
+++ b/internal/ctrl/duty/duty_test.go
@@ -33,12 +33,12 @@
 		watchers, sizes := map[string]int{}, map[string]int{}
 		for _, m := range all {
 			sizes[m.Domain]++
-			if duty.Watches(m, all) {
+			if duty.IsWatcher(m, all) {
 				watchers[m.Domain]++
 			}
 		}
 		for domain, size := range sizes {
-			assert.Equal(t, watchers[domain], min(size, duty.PerDomain))
+			assert.Equal(t, watchers[domain], min(size, duty.WatchersPerDomain))
 		}
 	})
 }
@@ -50,14 +50,14 @@
 		r := rand.New(rand.NewPCG(7, uint64(members)))
 		probes := 0
 		for range 100 * members {
-			if duty.Probes(time.Hour, members, r) {
+			if duty.ShouldProbe(time.Hour, members, r) {
 				probes++
 			}
 		}
 		mean := float64(probes) / 100
 		assert.Assert(t, mean <= 22 && mean >= min(18, float64(members)), "%d members make %.1f probes in a tick", members, mean)
 	}
-	assert.Assert(t, !duty.Probes(duty.Stale-time.Second, 1, rand.New(rand.NewPCG(1, 1))))
+	assert.Assert(t, !duty.ShouldProbe(duty.StaleAge-time.Second, 1, rand.New(rand.NewPCG(1, 1))))
 }
 
 // When an entry goes, the entries that tell the agents of a service change by that one only.
--- a/internal/ctrl/fetch/fetch.go
+++ b/internal/ctrl/fetch/fetch.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// Contact returns when the platform last answered, and the zero time when it never did.
-func (c *Client) Contact() time.Time {
+// LastContact returns when the platform last answered, and the zero time when it never did.
+func (c *Client) LastContact() time.Time {
 	n := c.contact.Load()
 	if n == 0 {
 		return time.Time{}
--- a/internal/ctrl/follow/copy_test.go
+++ b/internal/ctrl/follow/copy_test.go
@@ -58,7 +58,7 @@
 		f := start(t, 1, func(int) Source { return newPlatform() })
 		n := f.nodes[addr(0)]
 		time.Sleep(time.Second)
-		n.Learn(time.Now(), addr(1), belief.Change{To: order.At(1, 1), Full: true, Items: []belief.Item{state{order.At(1, 1), 2}.item()}})
+		n.HandleChange(time.Now(), addr(1), belief.Change{To: order.At(1, 1), Full: true, Items: []belief.Item{state{order.At(1, 1), 2}.item()}})
 		before, _ := n.Age(time.Now())
 		time.Sleep(5 * time.Millisecond)
 		n.confirmed(time.Now(), belief.Change{From: 1, To: 1})
--- a/internal/ctrl/follow/encode_test.go
+++ b/internal/ctrl/follow/encode_test.go
@@ -50,7 +50,7 @@
 	w, err := zstd.NewWriter(nil)
 	assert.NilError(t, err)
 	b := w.EncodeAll([]byte(`{"Items":["`+strings.Repeat("a", mostDecoded+1)+`"]}`), nil)
-	_, err = DecodeNews(b)
+	_, err = DecodeUpdate(b)
 	assert.ErrorIs(t, err, zstd.ErrDecoderSizeExceeded)
 }
 
@@ -59,7 +59,7 @@
 	assert.NilError(f, err)
 	f.Add(b)
 	f.Add([]byte("{}"))
-	f.Fuzz(func(_ *testing.T, b []byte) { _, _ = DecodeNews(b) })
+	f.Fuzz(func(_ *testing.T, b []byte) { _, _ = DecodeUpdate(b) })
 }
 
 // On an idle core 1.5 ms, of which compression takes 0.5 ms; plain JSON took 1.0 ms and 13 times the bytes.
--- a/internal/ctrl/follow/fetch.go
+++ b/internal/ctrl/follow/fetch.go
@@ -94,8 +94,8 @@
 	of       int            // peers among which it was drawn
 }
 
-// Noticed says that a peer is complete up to a revision, as every message tells.
-func (n *Node) Noticed(from netip.Addr, revision order.Revision) {
+// ObserveRevision says that a peer is complete up to a revision, as every message tells.
+func (n *Node) ObserveRevision(from netip.Addr, revision order.Revision) {
 	n.noticed(ahead{peer: from, revision: revision})
 }
 
@@ -181,7 +181,7 @@
 		return
 	}
 	metrics.GetOrCreateCounter(`mangowinch_fetches_total{result="ok"}`).Inc()
-	n.Learn(time.Now(), from.peer, c)
+	n.HandleChange(time.Now(), from.peer, c)
 	n.fresh(from)
 }
 
--- a/internal/ctrl/follow/follow.go
+++ b/internal/ctrl/follow/follow.go
@@ -51,16 +51,16 @@
 	Source Source
 	Send   func(to netip.Addr, message []byte)
 	// Fetch asks a peer for what is newer than a revision.
-	Fetch  func(ctx context.Context, peer netip.Addr, since order.Revision) (belief.Change, error)
-	Events *event.Log
-	Bound  time.Duration // a change is in force everywhere within this time of its acceptance
+	Fetch            func(ctx context.Context, peer netip.Addr, since order.Revision) (belief.Change, error)
+	Events           *event.Log
+	PropagationBound time.Duration // a change is in force everywhere within this time of its acceptance
 	// Changed is called after the view has changed. It must not block.
 	Changed func()
 }
 
 const (
-	// Tick is how often Node.Run looks at its clocks.
-	Tick = 100 * time.Millisecond
+	// TickInterval is how often Node.Run looks at its clocks.
+	TickInterval = 100 * time.Millisecond
 	// wantedReaders is how many processes read at a time: a second one bridges the
 	// second or two that a lost answer costs the first.
 	wantedReaders = 2
@@ -113,17 +113,17 @@
 
 // wait is how long a reader's call waits for a change: a third of the bound, so that a lost
 // answer is noticed, and the change read anew, within the bound.
-func (n *Node) wait() time.Duration { return n.Bound / 3 }
+func (n *Node) wait() time.Duration { return n.PropagationBound / 3 }
 
 // tooOld is the age of a belief from which a process reads the platform itself. It leaves half
 // of the bound for noticing, reading and spreading.
-func (n *Node) tooOld() time.Duration { return n.Bound / 2 }
+func (n *Node) tooOld() time.Duration { return n.PropagationBound / 2 }
 
 // Run works until ctx ends.
 func (n *Node) Run(ctx context.Context) {
 	go n.readLoop(ctx)
 	go n.fetchLoop(ctx)
-	t := time.NewTicker(Tick)
+	t := time.NewTicker(TickInterval)
 	defer t.Stop()
 	n.tick(time.Now())
 	for {
@@ -214,19 +214,19 @@
 	}
 }
 
-// Learn takes a change in that came from a peer, and passes it on.
-func (n *Node) Learn(now time.Time, from netip.Addr, c belief.Change) {
+// HandleChange takes a change in that came from a peer, and passes it on.
+func (n *Node) HandleChange(now time.Time, from netip.Addr, c belief.Change) {
 	before := n.Log.View()
 	switch n.Log.Apply(now, c) {
-	case belief.Behind:
-		n.Noticed(from, c.To)
-	case belief.News:
+	case belief.Gap:
+		n.ObserveRevision(from, c.To)
+	case belief.Updated:
 		n.noteEra(before.Revision)
 		n.note(now, "peer", c)
 		n.noteEvacuations(before)
 		n.tell(now, &c, false)
 		n.Changed()
-	case belief.Old:
+	case belief.Stale:
 	}
 }
 
--- a/internal/ctrl/follow/follow_test.go
+++ b/internal/ctrl/follow/follow_test.go
@@ -170,7 +170,7 @@
 		self := addr(i)
 		f.nodes[self] = New(Config{
 			Self: self, Role: roleOf(i), Domain: domainOf(self), Seeds: []netip.Addr{addr(0)}, Log: belief.New(), Source: source(i),
-			Events: events, Bound: bound,
+			Events: events, PropagationBound: bound,
 			Send: func(to netip.Addr, b []byte) { f.send(self, to, append([]byte(nil), b...)) },
 			Fetch: func(_ context.Context, peer netip.Addr, since order.Revision) (belief.Change, error) {
 				return f.fetch(self, peer, since)
@@ -214,17 +214,17 @@
 	}
 	go func() {
 		time.Sleep(time.Millisecond)
-		h, rest, err := msgs.ReadHead(b)
+		h, rest, err := msgs.ReadHeader(b)
 		if err != nil {
 			return
 		}
 		if h.Kind == msgs.KindBeacon {
 			m, _ := msgs.ReadBeacon(h, rest)
-			n.Heard(time.Now(), from, m)
+			n.HandleBeacon(time.Now(), from, m)
 			return
 		}
-		c, _ := DecodeNews(rest)
-		n.Learn(time.Now(), from, c)
+		c, _ := DecodeUpdate(rest)
+		n.HandleChange(time.Now(), from, c)
 	}()
 }
 
--- a/internal/ctrl/follow/peers.go
+++ b/internal/ctrl/follow/peers.go
@@ -81,7 +81,7 @@
 
 // beacon encodes what the process knows. n.mu is held.
 func (n *Node) beacon(now time.Time, reply bool) []byte {
-	m := msgs.Beacon{Role: n.Role, Domain: belief.DomainHash(n.Domain), Reader: n.reading && !n.lost && !n.asOf.IsZero(), Trying: n.trying(now), Leaving: n.leaving, Reply: reply, Age: msgs.MaxAge}
+	m := msgs.Beacon{Role: n.Role, Domain: belief.DomainHash(n.Domain), Reader: n.reading && !n.lost && !n.asOf.IsZero(), PlatformDown: n.trying(now), Leaving: n.leaving, WantReply: reply, Age: msgs.MaxAge}
 	m.Revision = n.Log.Revision()
 	if !n.asOf.IsZero() {
 		m.Age = uint32(min(now.Sub(n.asOf).Milliseconds(), int64(msgs.MaxAge-1)))
@@ -132,15 +132,15 @@
 	}
 }
 
-// Heard takes a beacon in.
-func (n *Node) Heard(now time.Time, from netip.Addr, m msgs.Beacon) {
+// HandleBeacon takes a beacon in.
+func (n *Node) HandleBeacon(now time.Time, from netip.Addr, m msgs.Beacon) {
 	n.mu.Lock()
 	p := n.meet(from)
 	p.role, p.domain, p.heard, p.leaving = m.Role, m.Domain, now, m.Leaving
 	if m.Reader {
 		p.reading = now
 	}
-	if m.Trying {
+	if m.PlatformDown {
 		p.trying = now
 	}
 	n.hearReaders(now, m.Readers)
@@ -155,7 +155,7 @@
 	if n.passesOn(now, before) {
 		to = n.audience(false)
 	}
-	reply := m.Reply || m.Revision < n.Log.Revision()
+	reply := m.WantReply || m.Revision < n.Log.Revision()
 	message := n.beacon(now, false)
 	n.mu.Unlock()
 	if reply {
--- a/internal/ctrl/follow/read.go
+++ b/internal/ctrl/follow/read.go
@@ -107,7 +107,7 @@
 	n.answered(c)
 	before := n.Log.View()
 	switch {
-	case n.Log.Apply(now, c) == belief.News:
+	case n.Log.Apply(now, c) == belief.Updated:
 		n.vouched(now)
 		n.noteEra(before.Revision)
 		n.note(now, "platform", c)
--- a/internal/ctrl/follow/spread.go
+++ b/internal/ctrl/follow/spread.go
@@ -59,7 +59,7 @@
 // passesOn says whether a beacon has made the belief so much fresher that a few near peers are to hear of it at once. Before
 // is as of when the belief was complete until then. n.mu is held.
 func (n *Node) passesOn(now, before time.Time) bool {
-	return n.asOf.Sub(before) >= n.Bound/6 && n.fleetAtLeast(now) >= widest
+	return n.asOf.Sub(before) >= n.PropagationBound/6 && n.fleetAtLeast(now) >= widest
 }
 
 // audience picks whom to tell now. n.mu is held.
@@ -109,13 +109,13 @@
 	if err != nil || len(text) > newsSize {
 		return nil
 	}
-	m := msgs.News{Change: text}
+	m := msgs.Update{Change: text}
 	m.Revision = c.To
 	return m.AppendTo(nil)
 }
 
-// DecodeNews reads the change of a message of kind news.
-func DecodeNews(text []byte) (c belief.Change, err error) {
+// DecodeUpdate reads the change of a message of kind news.
+func DecodeUpdate(text []byte) (c belief.Change, err error) {
 	err = encoding{}.Unmarshal(text, &c)
 	return c, err
 }
--- a/internal/ctrl/follow/spread_test.go
+++ b/internal/ctrl/follow/spread_test.go
@@ -45,7 +45,7 @@
 		f.sent = func(from, to netip.Addr, message []byte) {
 			mu.Lock()
 			defer mu.Unlock()
-			if msgs.KindOf(message) == msgs.KindNews && domainOf(from) != domainOf(to) {
+			if msgs.KindOf(message) == msgs.KindUpdate && domainOf(from) != domainOf(to) {
 				crossed[from]++
 			}
 		}
--- a/internal/ctrl/follow/turn.go
+++ b/internal/ctrl/follow/turn.go
@@ -42,7 +42,7 @@
 	if !n.offered.IsZero() {
 		waited = now.Sub(n.offered) - offerPatience
 	}
-	return waited >= 0 && rand.IntN(max(1, firstVolunteers>>(waited/Tick))) == 0
+	return waited >= 0 && rand.IntN(max(1, firstVolunteers>>(waited/TickInterval))) == 0
 }
 
 // leaveToSeeds ends reading after the first listing, unless the process is a seed. It says so to nobody: for that moment hundreds
@@ -73,7 +73,7 @@
 
 // fleetAtLeast is the size of the fleet, or unheardOf while the process may have heard of hardly anybody yet. n.mu is held.
 func (n *Node) fleetAtLeast(now time.Time) int {
-	if now.Sub(n.start) < n.Bound {
+	if now.Sub(n.start) < n.PropagationBound {
 		return max(unheardOf, n.fleet())
 	}
 	return n.fleet()
--- a/internal/ctrl/follow/turn_test.go
+++ b/internal/ctrl/follow/turn_test.go
@@ -55,7 +55,7 @@
 	assert.NilError(t, err)
 	for name, asOf := range map[string]time.Duration{"readers unheard": 0, "belief too old": bound} {
 		now := time.Now()
-		n := New(Config{Self: addr(0), Role: msgs.Entry, Log: belief.New(), Bound: bound})
+		n := New(Config{Self: addr(0), Role: msgs.Entry, Log: belief.New(), PropagationBound: bound})
 		n.Log.Apply(now, c)
 		n.start, n.asOf = now.Add(-time.Minute), now.Add(-asOf)
 		n.hearEntry(now, addr(1))
--- a/internal/ctrl/peers/peers.go
+++ b/internal/ctrl/peers/peers.go
@@ -115,15 +115,15 @@
 // Refused returns how many members were not taken in since the table was full.
 func (t *Table) Refused() int { return t.refused }
 
-// List takes in the platform's list. It adds who is new and marks who is still
+// MergeList takes in the platform's list. It adds who is new and marks who is still
 // listed. It lags, so it changes nothing about a process that was heard from.
-func (t *Table) List(now time.Time, list []Member) {
+func (t *Table) MergeList(now time.Time, list []Member) {
 	for _, r := range t.records {
 		r.listed = false
 	}
 	for _, m := range list {
 		m.Incarnation = 0
-		t.Learn(now, m, false)
+		t.Merge(now, m, false)
 		if r := t.records[m.Name]; r != nil {
 			r.listed = true
 			if r.Incarnation == 0 {
@@ -138,9 +138,9 @@
 	}
 }
 
-// Learn takes in what is said about a member: by itself (direct) or by others.
+// Merge takes in what is said about a member: by itself (direct) or by others.
 // It reports whether anything was new.
-func (t *Table) Learn(now time.Time, m Member, direct bool) (changed bool) {
+func (t *Table) Merge(now time.Time, m Member, direct bool) (changed bool) {
 	if m.Name == t.self.Name {
 		return t.contradict(m)
 	}
@@ -214,9 +214,9 @@
 	return false
 }
 
-// Failed notes that a member did not answer. One that never does any more, and that
+// CallFailed notes that a member did not answer. One that never does any more, and that
 // the platform doesn't list as far as is known here, is forgotten in the end.
-func (t *Table) Failed(now time.Time, name string) {
+func (t *Table) CallFailed(now time.Time, name string) {
 	r := t.records[name]
 	if r == nil {
 		return
@@ -274,8 +274,8 @@
 	return members[:min(n, len(members))]
 }
 
-// Suspect chooses one at random of those that did not answer, whether its retry is due or not.
-func (t *Table) Suspect(r *rand.Rand) (Member, bool) {
+// RandomSuspect chooses one at random of those that did not answer, whether its retry is due or not.
+func (t *Table) RandomSuspect(r *rand.Rand) (Member, bool) {
 	members := t.Members(func(m Member) bool { return t.records[m.Name].failures > 0 })
 	if len(members) == 0 {
 		return Member{}, false
@@ -283,9 +283,9 @@
 	return members[r.IntN(len(members))], true
 }
 
-// News returns up to n members to tell somebody about: first those about whom
+// Gossip returns up to n members to tell somebody about: first those about whom
 // something changed lately, then any, so that in time everybody knows all.
-func (t *Table) News(r *rand.Rand, n int, only Filter) []Member {
+func (t *Table) Gossip(r *rand.Rand, n int, only Filter) []Member {
 	var members []Member
 	var left []news
 	for _, w := range t.news {
--- a/internal/ctrl/peers/peers_test.go
+++ b/internal/ctrl/peers/peers_test.go
@@ -31,7 +31,7 @@
 		table := peers.New(member("self", 1, 1), peers.MaxMembers)
 		var newest uint64
 		for _, life := range rapid.SliceOfN(rapid.Uint64Range(0, 5), 1, 20).Draw(t, "lives") {
-			table.Learn(start, member("e1", life, uint16(7000+life)), rapid.Bool().Draw(t, "direct"))
+			table.Merge(start, member("e1", life, uint16(7000+life)), rapid.Bool().Draw(t, "direct"))
 			newest = max(newest, life)
 			got := table.Members(nil)[0]
 			assert.Equal(t, got, member("e1", newest, uint16(7000+newest)))
@@ -43,9 +43,9 @@
 // lower number than the one that others remember. They would ignore it for good.
 func TestContradictsRumoursAboutItself(t *testing.T) {
 	table := peers.New(member("self", 10, 1), peers.MaxMembers)
-	assert.Assert(t, table.Learn(start, member("self", 50, 2), false))
+	assert.Assert(t, table.Merge(start, member("self", 50, 2), false))
 	assert.Equal(t, table.Self(), member("self", 51, 1))
-	assert.Assert(t, !table.Learn(start, member("self", 51, 1), false)) // its own word, come back
+	assert.Assert(t, !table.Merge(start, member("self", 51, 1), false)) // its own word, come back
 	assert.Equal(t, table.Self().Incarnation, uint64(51))
 }
 
@@ -55,10 +55,10 @@
 	table := peers.New(member("self", 1, 1), peers.MaxMembers)
 	heard := member("e1", 7, 7001)
 	heard.State = peers.Leaving
-	table.Learn(start, heard, true)
-	table.List(start, []peers.Member{member("e1", 0, 7000), member("e2", 0, 7002)})
+	table.Merge(start, heard, true)
+	table.MergeList(start, []peers.Member{member("e1", 0, 7000), member("e2", 0, 7002)})
 	assert.Assert(t, slices.Equal(table.Members(nil), []peers.Member{heard, member("e2", 0, 7002)}))
-	table.List(start, []peers.Member{member("e2", 0, 7003)}) // known by the list alone
+	table.MergeList(start, []peers.Member{member("e2", 0, 7003)}) // known by the list alone
 	assert.Equal(t, table.Members(nil)[1], member("e2", 0, 7003))
 }
 
@@ -67,17 +67,17 @@
 func TestSuspectsAreTriedAgain(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	table := peers.New(member("self", 1, 1), peers.MaxMembers)
-	table.List(start, []peers.Member{member("e1", 0, 7001)})
+	table.MergeList(start, []peers.Member{member("e1", 0, 7001)})
 	now := start
 	for now.Before(start.Add(time.Hour)) {
 		picked := table.Pick(now, r, 1, peers.Entries)
 		if len(picked) > 0 {
-			table.Failed(now, "e1")
+			table.CallFailed(now, "e1")
 		}
 		now = now.Add(time.Second)
 	}
 	assert.Assert(t, table.Suspected("e1"))
-	suspect, ok := table.Suspect(r)
+	suspect, ok := table.RandomSuspect(r)
 	assert.Assert(t, ok && suspect.Name == "e1")
 	assert.Equal(t, len(table.Live(nil)), 1)
 	tried := false
@@ -86,9 +86,9 @@
 		tried = tried || len(table.Pick(now, r, 1, nil)) > 0
 	}
 	assert.Assert(t, tried)
-	table.Learn(now, member("e1", 3, 7001), true)
+	table.Merge(now, member("e1", 3, 7001), true)
 	assert.Equal(t, len(table.Live(nil)), 2)
-	_, ok = table.Suspect(r)
+	_, ok = table.RandomSuspect(r)
 	assert.Assert(t, !ok)
 }
 
@@ -97,16 +97,16 @@
 func TestBounded(t *testing.T) {
 	table := peers.New(member("self", 1, 1), 10)
 	for n := range 20 {
-		table.Learn(start, member(fmt.Sprint("e", n), 1, uint16(7000+n)), false)
+		table.Merge(start, member(fmt.Sprint("e", n), 1, uint16(7000+n)), false)
 	}
 	assert.Equal(t, table.Len(), 10)
 	assert.Equal(t, table.Refused(), 10)
 	later := start.Add(2 * time.Minute)
-	table.Failed(later, "e3")
-	assert.Assert(t, table.Learn(later, member("new", 1, 9000), true))
+	table.CallFailed(later, "e3")
+	assert.Assert(t, table.Merge(later, member("new", 1, 9000), true))
 	assert.Equal(t, table.Len(), 10)
 	for range 8 {
-		table.Failed(start.Add(time.Hour), "e4")
+		table.CallFailed(start.Add(time.Hour), "e4")
 	}
 	assert.Equal(t, table.Len(), 9)
 }
--- a/internal/ctrl/relay/attend.go
+++ b/internal/ctrl/relay/attend.go
@@ -28,7 +28,7 @@
 		return
 	}
 	n.mu.Lock()
-	start := duty.Start(peers.Entry, n.Rand)
+	start := duty.StartDelay(peers.Entry, n.Rand)
 	n.mu.Unlock()
 	if !sleep(ctx, start) || !n.meetMembers(ctx) {
 		return
@@ -37,17 +37,17 @@
 	defer running.Wait()
 	stop := func() {}
 	defer func() { stop() }()
-	for probe := time.Now().Add(duty.Tick); ctx.Err() == nil; sleep(ctx, n.jitter(dutyEvery)) {
+	for probe := time.Now().Add(duty.ProbeInterval); ctx.Err() == nil; sleep(ctx, n.jitter(dutyEvery)) {
 		n.mu.Lock()
 		live := n.table.Live(peers.Entries)
-		watch := duty.Watches(n.table.Self(), live)
+		watch := duty.IsWatcher(n.table.Self(), live)
 		age := time.Since(n.contact)
-		ask := !watch && time.Now().After(probe) && duty.Probes(age, len(live), n.Rand)
+		ask := !watch && time.Now().After(probe) && duty.ShouldProbe(age, len(live), n.Rand)
 		changed := watch != n.watching
 		n.watching = watch
 		n.mu.Unlock()
 		if time.Now().After(probe) {
-			probe = time.Now().Add(n.jitter(duty.Tick))
+			probe = time.Now().Add(n.jitter(duty.ProbeInterval))
 		}
 		switch {
 		case changed && watch:
--- a/internal/ctrl/relay/beat.go
+++ b/internal/ctrl/relay/beat.go
@@ -19,25 +19,25 @@
 // of the two begins it, the other's answer is its own: so 7 agents send 21 a second.
 const beatEvery = time.Second
 
-// Mate is what an agent knows of another agent of its service. It's a hint: the
+// PeerAgent is what an agent knows of another agent of its service. It's a hint: the
 // other one decides on its own what it takes.
-type Mate struct {
-	Server      uint32         `json:"server"` // its ID in the document
-	Name        string         `json:"name"`   // of its server section
-	Address     netip.AddrPort `json:"address"`
-	Incarnation uint64         `json:"incarnation"`
-	State       peers.State    `json:"state"`
-	Load        Load           `json:"load"`
-	Revision    order.Revision `json:"revision"`       // of the document in force there
-	Heard       time.Time      `json:"heard,omitzero"` // zero: never
-	Failures    int            `json:"failures"`       // heartbeats in a row without an answer
+type PeerAgent struct {
+	Server       uint32         `json:"server"` // its ID in the document
+	Name         string         `json:"name"`   // of its server section
+	Address      netip.AddrPort `json:"address"`
+	Incarnation  uint64         `json:"incarnation"`
+	State        peers.State    `json:"state"`
+	Load         Load           `json:"load"`
+	Revision     order.Revision `json:"revision"`       // of the document in force there
+	LastReceived time.Time      `json:"heard,omitzero"` // zero: never
+	Failures     int            `json:"failures"`       // heartbeats in a row without an answer
 }
 
-// Mates returns what is known of the other agents of the service, by server ID.
-func (n *Node) Mates() map[uint32]Mate {
+// PeerAgents returns what is known of the other agents of the service, by server ID.
+func (n *Node) PeerAgents() map[uint32]PeerAgent {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	mates := map[uint32]Mate{}
+	mates := map[uint32]PeerAgent{}
 	for id, m := range n.mates {
 		mates[id] = *m
 	}
@@ -66,8 +66,8 @@
 }
 
 // silent fits the mates to the document and returns those to whom a heartbeat is due.
-func (n *Node) silent() []Mate {
-	e := n.Store.View().Entries[n.Service]
+func (n *Node) silent() []PeerAgent {
+	e := n.Store.View().Documents[n.Service]
 	if e == nil {
 		return nil
 	}
@@ -84,21 +84,21 @@
 			delete(n.mates, id)
 		}
 	}
-	var due []Mate
+	var due []PeerAgent
 	for id, s := range listed {
 		m := n.mates[id]
 		if m == nil || m.Address != s.Agent {
-			m = &Mate{Server: id, Name: s.Name, Address: s.Agent, State: peers.Live}
+			m = &PeerAgent{Server: id, Name: s.Name, Address: s.Agent, State: peers.Live}
 			n.mates[id] = m
 		}
-		if time.Since(m.Heard) >= beatEvery*3/4 {
+		if time.Since(m.LastReceived) >= beatEvery*3/4 {
 			due = append(due, *m)
 		}
 	}
 	return due
 }
 
-func (n *Node) beatOne(ctx context.Context, m Mate) {
+func (n *Node) beatOne(ctx context.Context, m PeerAgent) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	in, err := n.Dial(m.Address).Beat(ctx, n.pulse())
@@ -117,7 +117,7 @@
 
 // Beat answers the heartbeat of another agent of the service.
 func (n *Node) Beat(_ context.Context, in *wire.Pulse) (out *wire.Pulse, err error) {
-	defer func() { n.Meter.Answered(proto.Size(in), proto.Size(out)) }()
+	defer func() { n.Meter.CountAnswered(proto.Size(in), proto.Size(out)) }()
 	if n.Service == "" || in.GetService() != n.Service {
 		// An address that was given to another service: the other side's document is old.
 		refused("service")
@@ -150,15 +150,15 @@
 	}
 	m.Incarnation, m.State, m.Revision = from.Incarnation, from.State, theirs.Revision
 	m.Load = Load{Busy: int(in.GetBusy()), Slots: int(in.GetSlots()), Queue: int(in.GetQueue()), Draining: in.GetDraining()}
-	m.Heard, m.Failures = time.Now(), 0
+	m.LastReceived, m.Failures = time.Now(), 0
 }
 
 // pulse is this agent's heartbeat.
 func (n *Node) pulse() *wire.Pulse {
 	view := n.Store.View()
-	own := digest.Know(view, n.Service)
+	own := digest.ItemOf(view, n.Service)
 	p := &wire.Pulse{Service: n.Service, Revision: uint64(own.Revision), Newest: uint64(own.Newest)}
-	if e := view.Entries[n.Service]; e != nil {
+	if e := view.Documents[n.Service]; e != nil {
 		for _, s := range e.Service.Servers {
 			if s.Name == n.Server {
 				p.Server = s.ID
--- a/internal/ctrl/relay/exchange.go
+++ b/internal/ctrl/relay/exchange.go
@@ -34,13 +34,13 @@
 // Exchange answers another process: it takes in what that one knows and tells
 // what that one lacks.
 func (n *Node) Exchange(ctx context.Context, in *wire.Summary) (out *wire.Summary, err error) {
-	defer func() { n.Meter.Answered(proto.Size(in), proto.Size(out)) }()
+	defer func() { n.Meter.CountAnswered(proto.Size(in), proto.Size(out)) }()
 	if !n.answers.Allow() {
 		refused("rate")
 		return nil, ErrBusy
 	}
-	n.Meter.Work(func() { out = n.answer(in) })
-	if size := len(out.Items)*24 + len(out.Members)*48; size > 8192 && !n.Meter.Spend(ctx, size) {
+	n.Meter.TimeCPU(func() { out = n.answer(in) })
+	if size := len(out.Items)*24 + len(out.Members)*48; size > 8192 && !n.Meter.Acquire(ctx, size) {
 		refused("budget")
 		return nil, ErrBusy
 	}
@@ -62,15 +62,15 @@
 	defer n.mu.Unlock()
 	mine, view := n.current()
 	for name, i := range theirs {
-		if own := digest.Know(view, name); own.Newer(i) {
+		if own := digest.ItemOf(view, name); own.Newer(i) {
 			out.Items = append(out.Items, itemTo(own))
 		}
 	}
-	if own := digest.Know(view, n.Service); n.Service != "" && in.GetRoot() != 0 && len(theirs) == 0 {
+	if own := digest.ItemOf(view, n.Service); n.Service != "" && in.GetRoot() != 0 && len(theirs) == 0 {
 		out.Items = append(out.Items, itemTo(own)) // an entry that restarted learns it from here
 	}
 	for _, part := range in.GetCompared() {
-		for _, i := range mine.Items[part%digest.Parts] {
+		for _, i := range mine.Items[part%digest.BucketCount] {
 			if _, said := theirs[i.Name]; !said {
 				out.Items = append(out.Items, itemTo(i))
 			}
@@ -125,7 +125,7 @@
 func (n *Node) seek(ctx context.Context) {
 	for sleep(ctx, n.jitter(seekEvery)) {
 		n.mu.Lock()
-		m, ok := n.table.Suspect(n.Rand)
+		m, ok := n.table.RandomSuspect(n.Rand)
 		n.mu.Unlock()
 		if ok {
 			n.meet(ctx, m)
@@ -184,7 +184,7 @@
 func (n *Node) failed(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.table.Failed(time.Now(), name)
+	n.table.CallFailed(time.Now(), name)
 	for at, m := range n.near {
 		if m.Name == name {
 			n.near = append(n.near[:at], n.near[at+1:]...)
@@ -225,7 +225,7 @@
 	n.mu.Lock()
 	out = n.summaryLocked()
 	mine, _ = n.current()
-	for _, part := range mine.Differ(in.GetBuckets()) {
+	for _, part := range mine.DifferingBuckets(in.GetBuckets()) {
 		out.Compared = append(out.Compared, uint32(part))
 		for _, i := range mine.Items[part] {
 			out.Items = append(out.Items, itemTo(i))
@@ -251,7 +251,7 @@
 		return nil, false
 	}
 	exchanged("done")
-	n.Meter.Work(func() {
+	n.Meter.TimeCPU(func() {
 		n.learn(in)
 		theirs := map[string]digest.Item{}
 		for _, i := range in.GetItems()[:min(len(in.GetItems()), maxItems)] {
@@ -266,7 +266,7 @@
 func (n *Node) lack(theirs map[string]digest.Item, link netip.AddrPort) {
 	view := n.Store.View()
 	for name, i := range theirs {
-		if n.holds(name) && i.Newer(digest.Know(view, name)) {
+		if n.holds(name) && i.Newer(digest.ItemOf(view, name)) {
 			n.want(i, link)
 		}
 	}
@@ -278,7 +278,7 @@
 	defer n.mu.Unlock()
 	now := time.Now()
 	if m, ok := memberOf(in.GetFrom()); ok && m.Role == peers.Entry {
-		n.table.Learn(now, m, true)
+		n.table.Merge(now, m, true)
 	}
 	for _, w := range in.GetMembers()[:min(len(in.GetMembers()), peers.MaxMembers)] {
 		m, ok := memberOf(w)
@@ -290,7 +290,7 @@
 			continue
 		}
 		if m.Role == peers.Entry {
-			n.table.Learn(now, m, false)
+			n.table.Merge(now, m, false)
 		}
 	}
 	if c := in.GetContact(); c > 0 {
@@ -315,7 +315,7 @@
 	if n.Self.Role != peers.Entry {
 		return out
 	}
-	for _, m := range n.table.News(n.Rand, membersSent, peers.Entries) {
+	for _, m := range n.table.Gossip(n.Rand, membersSent, peers.Entries) {
 		out.Members = append(out.Members, memberTo(m))
 	}
 	return out
--- a/internal/ctrl/relay/fault_test.go
+++ b/internal/ctrl/relay/fault_test.go
@@ -104,7 +104,7 @@
 			f.kill(f.processes[linkOf(n)])
 			p := f.entry(n)
 			<-p.store.Changed()
-			assert.Equal(t, p.store.View().Entries["tracing-core"].Revision, order.Revision(5), "e%d", n)
+			assert.Equal(t, p.store.View().Documents["tracing-core"].Revision, order.Revision(5), "e%d", n)
 			time.Sleep(5 * time.Second)
 		}
 	})
@@ -124,7 +124,7 @@
 		f.within(20*time.Second, "tracing-core", 1)
 		time.Sleep(5 * time.Second)
 		for _, q := range f.processes {
-			assert.Equal(t, q.store.View().Entries["tracing-core"].Revision, order.Revision(1))
+			assert.Equal(t, q.store.View().Documents["tracing-core"].Revision, order.Revision(1))
 			assert.Equal(t, q.store.View().Faults["tracing-core"].Revision, order.Revision(2))
 		}
 		assert.Equal(t, p.Status().Faulty[0].InForce, order.Revision(1))
@@ -202,7 +202,7 @@
 			f.kill(f.processes[linkOf(n)])
 		}
 		one := f.processes[agentLink(3)]
-		assert.Equal(t, len(one.Mates()), 6)
+		assert.Equal(t, len(one.PeerAgents()), 6)
 		_, err := one.store.Offer("tracing-core", 2, []byte("tracing-core servers=7 two"), "platform")
 		assert.NilError(t, err)
 		t.Logf("in force everywhere after %v", f.within(inForce, "tracing-core", 2))
--- a/internal/ctrl/relay/give.go
+++ b/internal/ctrl/relay/give.go
@@ -24,16 +24,16 @@
 
 // Pull answers with the texts that the asker lacks, as many as the budget allows.
 func (n *Node) Pull(ctx context.Context, in *wire.Wants) (out *wire.Texts, err error) {
-	defer func() { n.Meter.Answered(proto.Size(in), proto.Size(out)) }()
+	defer func() { n.Meter.CountAnswered(proto.Size(in), proto.Size(out)) }()
 	if !n.answers.Allow() {
 		refused("rate")
 		return nil, ErrBusy
 	}
-	n.Meter.Work(func() { out, err = n.pack(in) })
+	n.Meter.TimeCPU(func() { out, err = n.pack(in) })
 	if err != nil {
 		return nil, err
 	}
-	if !n.Meter.Spend(ctx, len(out.GetDeflated())) {
+	if !n.Meter.Acquire(ctx, len(out.GetDeflated())) {
 		refused("budget")
 		return nil, ErrBusy
 	}
@@ -43,7 +43,7 @@
 // pack collects texts up to the size of one answer.
 func (n *Node) pack(in *wire.Wants) (*wire.Texts, error) {
 	left := smallAnswer
-	if n.Meter.Room() > largeAnswer {
+	if n.Meter.Available() > largeAnswer {
 		left = largeAnswer
 	}
 	view := n.Store.View()
@@ -72,7 +72,7 @@
 // if it could not read that one, the one in force.
 func lacked(view *store.View, w *wire.Want) (revision order.Revision, text []byte) {
 	inForce, newest := order.Revision(w.GetRevision()), order.Revision(w.GetNewest())
-	f, e := view.Faults[w.GetName()], view.Entries[w.GetName()]
+	f, e := view.Faults[w.GetName()], view.Documents[w.GetName()]
 	if f != nil && f.Revision > newest {
 		return f.Revision, f.Text
 	}
--- a/internal/ctrl/relay/list.go
+++ b/internal/ctrl/relay/list.go
@@ -52,7 +52,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.table.List(time.Now(), entries)
+	n.table.MergeList(time.Now(), entries)
 	return all
 }
 
--- a/internal/ctrl/relay/poll.go
+++ b/internal/ctrl/relay/poll.go
@@ -57,7 +57,7 @@
 
 func (n *Node) pollOne(ctx context.Context, m peers.Member) bool {
 	out := n.summary()
-	out.Items = append(out.Items, itemTo(digest.Know(n.Store.View(), n.Service)))
+	out.Items = append(out.Items, itemTo(digest.ItemOf(n.Store.View(), n.Service)))
 	_, ok := n.exchange(ctx, m, out)
 	if ok {
 		n.mu.Lock()
@@ -71,7 +71,7 @@
 // gave it its document, and seldom when it has lost all entries.
 func (n *Node) attendAgent(ctx context.Context) {
 	n.mu.Lock()
-	start := duty.Start(peers.Agent, n.Rand)
+	start := duty.StartDelay(peers.Agent, n.Rand)
 	n.mu.Unlock()
 	failures := 0
 	for d := start; sleep(ctx, d); {
@@ -79,7 +79,7 @@
 		n.mu.Lock()
 		lost := time.Since(n.polled) > pollGiveUp && n.Rand.IntN(pollChance) == 0
 		n.mu.Unlock()
-		if n.Store.View().Entries[n.Service] != nil && !lost {
+		if n.Store.View().Documents[n.Service] != nil && !lost {
 			continue
 		}
 		document, err := n.Platform.Document(ctx, n.Service)
--- a/internal/ctrl/relay/pull.go
+++ b/internal/ctrl/relay/pull.go
@@ -188,7 +188,7 @@
 			continue
 		}
 		w.active = false
-		own := digest.Know(view, name)
+		own := digest.ItemOf(view, name)
 		if !w.item.Newer(own) {
 			delete(n.pull.wants, name)
 			delete(n.pull.tried, name)
@@ -229,7 +229,7 @@
 	in := &wire.Wants{From: memberTo(n.Self)}
 	n.mu.Lock()
 	for name := range batch {
-		own := digest.Know(view, name)
+		own := digest.ItemOf(view, name)
 		w := &wire.Want{Name: name, Revision: uint64(own.Revision), Newest: uint64(own.Newest)}
 		if p := n.pull.partials[name]; p != nil {
 			w.Partial, w.Offset = p.revision, uint64(len(p.text))
@@ -245,7 +245,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n.Meter.Work(func() { parts, err = inflate(out.GetDeflated()) })
+	n.Meter.TimeCPU(func() { parts, err = inflate(out.GetDeflated()) })
 	n.Meter.Charge(ctx, len(out.GetDeflated()))
 	return parts, err
 }
--- a/internal/ctrl/relay/relay.go
+++ b/internal/ctrl/relay/relay.go
@@ -122,7 +122,7 @@
 	view     *store.View // what digest stands for
 	recent   []change    // what changed in the last seconds, newest last
 	pull     puller
-	mates    map[uint32]*Mate
+	mates    map[uint32]*PeerAgent
 	polled   time.Time // agent: when an entry last answered
 }
 
@@ -142,7 +142,7 @@
 		start:   time.Now(),
 		table:   peers.New(c.Self, most),
 		pull:    newPuller(),
-		mates:   map[uint32]*Mate{},
+		mates:   map[uint32]*PeerAgent{},
 	}
 }
 
@@ -177,9 +177,9 @@
 	n.table.SetState(s)
 }
 
-// Heard notes that a process which is reached at link has a revision of a
+// Observe notes that a process which is reached at link has a revision of a
 // document; a frame carried it. It is cheap when the revision is no news.
-func (n *Node) Heard(name string, revision order.Revision, link netip.AddrPort) {
+func (n *Node) Observe(name string, revision order.Revision, link netip.AddrPort) {
 	if revision <= n.Store.View().Revision(name) || !n.holds(name) {
 		return
 	}
--- a/internal/ctrl/relay/revert_test.go
+++ b/internal/ctrl/relay/revert_test.go
@@ -27,7 +27,7 @@
 	go func() {
 		for {
 			changed := p.store.Changed()
-			if e := p.store.View().Entries["svc"]; e != nil && (len(h.seen) == 0 || h.seen[len(h.seen)-1] != e.Revision) {
+			if e := p.store.View().Documents["svc"]; e != nil && (len(h.seen) == 0 || h.seen[len(h.seen)-1] != e.Revision) {
 				h.seen = append(h.seen, e.Revision)
 			}
 			select {
--- a/internal/ctrl/relay/status.go
+++ b/internal/ctrl/relay/status.go
@@ -10,18 +10,18 @@
 
 // Status is what /status shows of control.
 type Status struct {
-	Watching  bool         `json:"watching"`  // holds a watch at the platform
-	Fresh     bool         `json:"fresh"`     // has talked to another process since it started or woke up
-	Contact   float64      `json:"contact"`   // seconds since anybody known heard the platform; -1: never
-	Stale     int          `json:"stale"`     // documents of which the platform serves an older revision
-	Members   int          `json:"members"`   // other entries known
-	Suspected int          `json:"suspected"` // of them, those that did not answer
-	Documents int          `json:"documents"`
-	Bytes     int          `json:"bytes"` // of their texts
-	Faulty    []Faulty     `json:"faulty,omitempty"`
-	Wanted    int          `json:"wanted"` // documents that a peer has newer, not pulled yet
-	Mates     []Mate       `json:"mates,omitempty"`
-	Usage     budget.Usage `json:"usage"`
+	Watching   bool         `json:"watching"`  // holds a watch at the platform
+	Fresh      bool         `json:"fresh"`     // has talked to another process since it started or woke up
+	Contact    float64      `json:"contact"`   // seconds since anybody known heard the platform; -1: never
+	Stale      int          `json:"stale"`     // documents of which the platform serves an older revision
+	Members    int          `json:"members"`   // other entries known
+	Suspected  int          `json:"suspected"` // of them, those that did not answer
+	Documents  int          `json:"documents"`
+	Bytes      int          `json:"bytes"` // of their texts
+	Faulty     []Faulty     `json:"faulty,omitempty"`
+	Wanted     int          `json:"wanted"` // documents that a peer has newer, not pulled yet
+	PeerAgents []PeerAgent  `json:"mates,omitempty"`
+	Usage      budget.Usage `json:"usage"`
 }
 
 // Faulty is a document of which the newest revision can't be read.
@@ -36,14 +36,14 @@
 // Status returns what is the case now.
 func (n *Node) Status() Status {
 	view := n.Store.View()
-	s := Status{Documents: len(view.Entries), Usage: n.Meter.Usage(time.Now()), Contact: -1, Fresh: n.Fresh()}
-	for _, e := range view.Entries {
+	s := Status{Documents: len(view.Documents), Usage: n.Meter.Usage(time.Now()), Contact: -1, Fresh: n.Fresh()}
+	for _, e := range view.Documents {
 		s.Bytes += len(e.Text)
 	}
 	for name, f := range view.Faults {
 		s.Bytes += len(f.Text)
 		q := Faulty{Name: name, Revision: f.Revision, Source: f.Source, Reason: f.Reason}
-		if e := view.Entries[name]; e != nil {
+		if e := view.Documents[name]; e != nil {
 			q.InForce = e.Revision
 		}
 		s.Faulty = append(s.Faulty, q)
@@ -60,7 +60,7 @@
 		}
 	}
 	for _, m := range n.mates {
-		s.Mates = append(s.Mates, *m)
+		s.PeerAgents = append(s.PeerAgents, *m)
 	}
 	return s
 }
--- a/internal/ctrl/relay/take.go
+++ b/internal/ctrl/relay/take.go
@@ -27,7 +27,7 @@
 	case !whole:
 		return forward
 	}
-	before := digest.Know(n.Store.View(), p.GetName())
+	before := digest.ItemOf(n.Store.View(), p.GetName())
 	revision := order.Revision(p.GetRevision())
 	accepted, err := n.Store.Offer(p.GetName(), revision, text, link.String())
 	if err != nil {
@@ -36,7 +36,7 @@
 	if accepted {
 		n.Log.Info().Str("document", p.GetName()).Stringer("revision", revision).Stringer("from", link).Msg("document taken")
 	}
-	if digest.Know(n.Store.View(), p.GetName()) == before {
+	if digest.ItemOf(n.Store.View(), p.GetName()) == before {
 		return useless
 	}
 	return forward
--- a/internal/ctrl/relay/tell.go
+++ b/internal/ctrl/relay/tell.go
@@ -116,14 +116,14 @@
 	if before == now {
 		return nil
 	}
-	for name, e := range now.Entries {
-		if before.Entries[name] != e {
-			items = append(items, digest.Know(now, name))
+	for name, e := range now.Documents {
+		if before.Documents[name] != e {
+			items = append(items, digest.ItemOf(now, name))
 		}
 	}
 	for name, f := range now.Faults {
-		if before.Faults[name] != f && before.Entries[name] == now.Entries[name] {
-			items = append(items, digest.Know(now, name))
+		if before.Faults[name] != f && before.Documents[name] == now.Documents[name] {
+			items = append(items, digest.ItemOf(now, name))
 		}
 	}
 	return items
@@ -160,7 +160,7 @@
 	}
 	var links []netip.AddrPort
 	for _, v := range []*store.View{before, now} {
-		if e := v.Entries[i.Name]; e != nil {
+		if e := v.Documents[i.Name]; e != nil {
 			for _, s := range e.Service.Servers {
 				links = append(links, s.Agent)
 			}
--- a/internal/ctrl/scale/fleet.go
+++ b/internal/ctrl/scale/fleet.go
@@ -48,10 +48,10 @@
 type Size struct {
 	Entries   int
 	Documents int
-	Text      int     // bytes of one document
+	TextSize  int     // bytes of one document
 	Services  int     // of the documents, those that have agents
 	Agents    int     // of each such service
-	Memory    bool    // calls within the process instead of TCP
+	InMemory  bool    // calls within the process instead of TCP
 	Loss      float64 // share of writes that arrive only after retransmission
 }
 
@@ -78,13 +78,13 @@
 // name returns the name of a document.
 func name(n int) string { return fmt.Sprintf("service-%04d", n) }
 
-// Base is the second byte of the loopback addresses of entries; agents have the next
+// AddressBase is the second byte of the loopback addresses of entries; agents have the next
 // one. It's to be set before the first fleet, so that two measurements can run at a time.
-var Base = 100
+var AddressBase = 100
 
 // address gives each process an address of its own in 127/8.
 func address(role, n int) netip.AddrPort {
-	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(Base + role), byte(n >> 8), byte(n)}), 7000)
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(AddressBase + role), byte(n >> 8), byte(n)}), 7000)
 }
 
 const (
@@ -134,11 +134,11 @@
 	}
 	fmt.Fprintf(&b, "%s %d %d\n", name(n), n*f.Size.Agents, agents)
 	fmt.Fprintf(&b, "; revision %d\n[service]\naddress = 10.%d.%d.1:443\nkey = k%d\n", revision, n>>8, n&255, n)
-	for s := 0; b.Len() < f.Size.Text; s++ {
+	for s := 0; b.Len() < f.Size.TextSize; s++ {
 		fmt.Fprintf(&b, "[server s%d]\nid = %d\nagent = 10.%d.%d.%d:7001\ndomain = domain-%d\nslots = 4\nconnections = 2000\nweight = %d\n",
 			s, s, n>>8, n&255, s, s%Domains, 1+(n*s)%9)
 	}
-	return []byte(b.String()[:max(f.Size.Text, 40)])
+	return []byte(b.String()[:max(f.Size.TextSize, 40)])
 }
 
 // parse reads what text wrote: its first line says everything that a relay needs.
@@ -169,7 +169,7 @@
 		config.Seeds = append(config.Seeds, address(entryRole, n))
 	}
 	var serve func()
-	if f.Size.Memory {
+	if f.Size.InMemory {
 		config.Dial = func(a netip.AddrPort) relay.Peer { return f.network.route(p, a) }
 		serve = func() { f.network.add(p); <-ctx.Done(); f.network.remove(p) }
 	} else {
@@ -230,9 +230,9 @@
 	}
 }
 
-// Full says whether a process has all the documents that it is to have.
-func (f *Fleet) Full(p *Process) bool {
-	have := len(p.Store.View().Entries)
+// HasAll says whether a process has all the documents that it is to have.
+func (f *Fleet) HasAll(p *Process) bool {
+	have := len(p.Store.View().Documents)
 	if p.Service != "" {
 		return have == 1
 	}
@@ -243,9 +243,9 @@
 func (f *Fleet) Await(processes []*Process, limit time.Duration) (took time.Duration, err error) {
 	start := time.Now()
 	for _, p := range processes {
-		for !f.Full(p) {
+		for !f.HasAll(p) {
 			if time.Since(start) > limit {
-				return limit, errors.Newf("%s has %d documents after %v", p.Member.Name, len(p.Store.View().Entries), limit)
+				return limit, errors.Newf("%s has %d documents after %v", p.Member.Name, len(p.Store.View().Documents), limit)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -292,9 +292,9 @@
 	f.processes = left
 }
 
-// Part keeps the two regions from reaching each other, or ends that. It's for fleets in
+// SetPartitioned keeps the two regions from reaching each other, or ends that. It's for fleets in
 // memory. Failed is the number of calls that nobody has answered so far.
-func (f *Fleet) Part(parted bool) (failed int) {
+func (f *Fleet) SetPartitioned(parted bool) (failed int) {
 	f.network.mu.Lock()
 	defer f.network.mu.Unlock()
 	f.network.parted = parted
@@ -306,8 +306,8 @@
 	_, _ = f.Processes()[0].Store.Offer(name(document), revision, f.text(document, revision), "platform")
 }
 
-// Have returns how many processes have at least a revision of a document.
-func (f *Fleet) Have(document int, revision order.Revision) (have int) {
+// CountAtLeast returns how many processes have at least a revision of a document.
+func (f *Fleet) CountAtLeast(document int, revision order.Revision) (have int) {
 	for _, p := range f.Processes() {
 		if p.Store.View().Revision(name(document)) >= revision {
 			have++
--- a/internal/ctrl/scale/measure.go
+++ b/internal/ctrl/scale/measure.go
@@ -75,10 +75,10 @@
 	return float64(m.HeapAlloc + m.StackInuse)
 }
 
-// Spread makes changes with a pause between them, and returns how long each took to be in
+// MeasureSpread makes changes with a pause between them, and returns how long each took to be in
 // force at each process that is to have it. By one says that only one entry sees it at
 // the platform, which is down from then on.
-func (f *Fleet) Spread(changes int, pause time.Duration, byOne bool) []time.Duration {
+func (f *Fleet) MeasureSpread(changes int, pause time.Duration, byOne bool) []time.Duration {
 	var mu sync.Mutex
 	var all []time.Duration
 	for change := range changes {
@@ -118,7 +118,7 @@
 func (f *Fleet) reach(p *Process, document int, revision order.Revision, start time.Time) bool {
 	for time.Since(start) < giveUp {
 		changed := p.Store.Changed()
-		if e := p.Store.View().Entries[name(document)]; e != nil && e.Revision >= revision {
+		if e := p.Store.View().Documents[name(document)]; e != nil && e.Revision >= revision {
 			return true
 		}
 		timer := time.NewTimer(giveUp - time.Since(start))
--- a/internal/ctrl/scale/network.go
+++ b/internal/ctrl/scale/network.go
@@ -88,7 +88,7 @@
 	if err != nil {
 		return none, err
 	}
-	r.from.Meter.Answered(proto.Size(out), proto.Size(in))
+	r.from.Meter.CountAnswered(proto.Size(out), proto.Size(in))
 	return out, nil
 }
 
--- a/internal/flow/frame/frame.go
+++ b/internal/flow/frame/frame.go
@@ -44,11 +44,11 @@
 
 // The flags.
 const (
-	Leaving Flag = 1 << iota // the sender takes no new work
-	Cold                     // the sender's backend server has just started
-	Ask                      // Forward: keep it only if you own the flow, else hand it back
-	Take                     // Forward: nobody else owns the flow
-	Former                   // Forward: the last candidate is that of the document before
+	Leaving   Flag = 1 << iota // the sender takes no new work
+	Cold                       // the sender's backend server has just started
+	IfOwner                    // Forward: keep it only if you own the flow, else hand it back
+	NoOwner                    // Forward: nobody else owns the flow
+	HasFormer                  // Forward: the last candidate is that of the document before
 )
 
 // Sizes and bounds.
--- a/internal/flow/frame/frame_test.go
+++ b/internal/flow/frame/frame_test.go
@@ -22,7 +22,7 @@
 func sample(r *ident.Ring) Header {
 	return Header{
 		Kind:       Forward,
-		Flags:      Ask | Former,
+		Flags:      IfOwner | HasFormer,
 		Hops:       2,
 		Service:    r.Service,
 		Revision:   41,
--- a/internal/flow/frame/wire_test.go
+++ b/internal/flow/frame/wire_test.go
@@ -29,7 +29,7 @@
 		h := full(r, k)
 		fmt.Fprintf(&text, "%d %x\n", k, Append(nil, r.Current(), &h))
 	}
-	fmt.Fprintln(&text, "flags: leaving, cold, ask, take, former", Leaving, Cold, Ask, Take, Former)
+	fmt.Fprintln(&text, "flags: leaving, cold, ask, take, former", Leaving, Cold, IfOwner, NoOwner, HasFormer)
 	fmt.Fprintln(&text, "kinds: forward, return, probe, echo", Forward, Return, Probe, Echo)
 	golden.Assert(t, text.String(), "wire.golden")
 }
--- a/internal/flow/msgs/beacon.go
+++ b/internal/flow/msgs/beacon.go
@@ -16,16 +16,16 @@
 
 // Beacon says how much its sender knows. Head.Revision is complete up to Age ago.
 type Beacon struct {
-	Head
-	Role    Role
-	Domain  uint8        // belief.DomainHash of the sender's failure domain
-	Reader  bool         // the sender reads the platform itself
-	Trying  bool         // the sender calls the platform and gets no answer
-	Leaving bool         // the sender is being stopped
-	Reply   bool         // wants a beacon back
-	Age     uint32       // milliseconds; maxAge stands for never
-	Readers []Reader     // others that the sender knows to read the platform
-	Peers   []netip.Addr // a few entries that the sender has heard of
+	Header
+	Role         Role
+	Domain       uint8        // belief.DomainHash of the sender's failure domain
+	Reader       bool         // the sender reads the platform itself
+	PlatformDown bool         // the sender calls the platform and gets no answer
+	Leaving      bool         // the sender is being stopped
+	WantReply    bool         // wants a beacon back
+	Age          uint32       // milliseconds; maxAge stands for never
+	Readers      []Reader     // others that the sender knows to read the platform
+	Peers        []netip.Addr // a few entries that the sender has heard of
 }
 
 // Reader is a process that reads the platform.
@@ -44,7 +44,7 @@
 // AppendTo appends the encoded message.
 func (m *Beacon) AppendTo(b []byte) []byte {
 	b = m.appendTo(b, KindBeacon)
-	b = append(b, byte(m.Role), m.Domain, flag(m.Reader)|flag(m.Leaving)<<1|flag(m.Reply)<<2|flag(m.Trying)<<3)
+	b = append(b, byte(m.Role), m.Domain, flag(m.Reader)|flag(m.Leaving)<<1|flag(m.WantReply)<<2|flag(m.PlatformDown)<<3)
 	b = binary.LittleEndian.AppendUint32(b, m.Age)
 	b = append(b, byte(len(m.Readers)))
 	for _, r := range m.Readers {
@@ -57,11 +57,11 @@
 }
 
 // ReadBeacon reads the rest of a message.
-func ReadBeacon(h Head, b []byte) (m Beacon, err error) {
+func ReadBeacon(h Header, b []byte) (m Beacon, err error) {
 	if len(b) < beaconSize || len(b) < beaconSize+int(b[beaconSize-1])*readerSize {
 		return Beacon{}, ErrShort
 	}
-	m = Beacon{Head: h, Role: Role(b[0]), Domain: b[1], Reader: b[2]&1 != 0, Leaving: b[2]&2 != 0, Reply: b[2]&4 != 0, Trying: b[2]&8 != 0}
+	m = Beacon{Header: h, Role: Role(b[0]), Domain: b[1], Reader: b[2]&1 != 0, Leaving: b[2]&2 != 0, WantReply: b[2]&4 != 0, PlatformDown: b[2]&8 != 0}
 	m.Age = binary.LittleEndian.Uint32(b[3:])
 	count := int(b[beaconSize-1])
 	b = b[beaconSize:]
@@ -75,11 +75,11 @@
 	return m, nil
 }
 
-// News carries an encoded change of what is known.
-type News struct {
-	Head
+// Update carries an encoded change of what is known.
+type Update struct {
+	Header
 	Change []byte
 }
 
 // AppendTo appends the encoded message.
-func (m *News) AppendTo(b []byte) []byte { return append(m.appendTo(b, KindNews), m.Change...) }
+func (m *Update) AppendTo(b []byte) []byte { return append(m.appendTo(b, KindUpdate), m.Change...) }
--- a/internal/flow/msgs/msgs.go
+++ b/internal/flow/msgs/msgs.go
@@ -7,7 +7,7 @@
 //
 // # Usage
 //
-//	b = msgs.Carry{Head: head, Origin: self, Packet: packet}.AppendTo(b[:0])
+//	b = msgs.Forward{Head: head, Origin: self, Packet: packet}.AppendTo(b[:0])
 //	switch m := msgs.Decode(datagram).(type) { ... }
 package msgs
 
@@ -25,32 +25,32 @@
 
 // The kinds.
 const (
-	KindCarry    Kind = iota + 1 // a caller's packet on its way to an agent
-	KindOpened                   // agent to entry: the server accepted the flow
-	KindRefused                  // agent to entry: the server didn't take this opening packet
-	KindOwner                    // agent to entry: send the flow's packets to me
-	KindRegister                 // agent to home: I own these flows
-	KindFind                     // lead to agents: do you hold these flows?
-	KindFound                    // the answer to it
-	KindBeacon                   // to any: how much I know
-	KindNews                     // to any: what changed
-	KindOffer                    // agent to agent: do you have more room for this flow?
-	KindAsk                      // to any: are you alive, or is that other one?
-	KindAlive                    // the answer to it
-	KindSeek                     // home to lead: who holds this flow?
-	KindSought                   // the answer to it
-	KindTried                    // the answer to a Carry that was a probe
-	KindLost                     // entry to home, between home and lead: these agents answer nobody
+	KindForward      Kind = iota + 1 // a caller's packet on its way to an agent
+	KindOpened                       // agent to entry: the server accepted the flow
+	KindRefused                      // agent to entry: the server didn't take this opening packet
+	KindOwner                        // agent to entry: send the flow's packets to me
+	KindRegister                     // agent to home: I own these flows
+	KindQuery                        // lead to agents: do you hold these flows?
+	KindQueryAnswer                  // the answer to it
+	KindBeacon                       // to any: how much I know
+	KindUpdate                       // to any: what changed
+	KindOffer                        // agent to agent: do you have more room for this flow?
+	KindPing                         // to any: are you alive, or is that other one?
+	KindPingAck                      // the answer to it
+	KindLookup                       // home to lead: who holds this flow?
+	KindLookupResult                 // the answer to it
+	KindProbeResult                  // the answer to a Carry that was a probe
+	KindFailed                       // entry to home, between home and lead: these agents answer nobody
 )
 
-// Kinds is more than any kind, for tables by kind; 0 is none.
-const Kinds = int(KindLost) + 1
+// NumKinds is more than any kind, for tables by kind; 0 is none.
+const NumKinds = int(KindFailed) + 1
 
 // kinds are the names of kinds in counters.
 var kinds = [...]string{
-	KindCarry: "carry", KindOpened: "opened", KindRefused: "refused", KindOwner: "owner", KindRegister: "register", KindFind: "find",
-	KindFound: "found", KindBeacon: "beacon", KindNews: "news", KindOffer: "offer", KindAsk: "ask", KindAlive: "alive",
-	KindSeek: "seek", KindSought: "sought", KindTried: "tried", KindLost: "lost",
+	KindForward: "carry", KindOpened: "opened", KindRefused: "refused", KindOwner: "owner", KindRegister: "register", KindQuery: "find",
+	KindQueryAnswer: "found", KindBeacon: "beacon", KindUpdate: "news", KindOffer: "offer", KindPing: "ask", KindPingAck: "alive",
+	KindLookup: "seek", KindLookupResult: "sought", KindProbeResult: "tried", KindFailed: "lost",
 }
 
 // String returns the kind's name.
@@ -64,7 +64,7 @@
 // CarriesPacket says whether messages of the kind are a caller's packet and little else. All others are control.
 func (k Kind) CarriesPacket() bool {
 	switch k {
-	case KindCarry, KindOffer, KindRefused:
+	case KindForward, KindOffer, KindRefused:
 		return true
 	default:
 		return false
@@ -90,25 +90,25 @@
 	ErrShort   = errors.New("message cut short")
 )
 
-// Head is what every message begins with.
-type Head struct {
+// Header is what every message begins with.
+type Header struct {
 	Kind     Kind
 	Revision order.Revision // the newest that the sender knows completely
 	Service  uint32         // hash of the service's name the message is about, or 0
 }
 
-func (h Head) appendTo(b []byte, k Kind) []byte {
+func (h Header) appendTo(b []byte, k Kind) []byte {
 	b = append(b, magic, byte(k))
 	b = binary.LittleEndian.AppendUint64(b, uint64(h.Revision))
 	return binary.LittleEndian.AppendUint32(b, h.Service)
 }
 
-// ReadHead reads the head of a datagram and returns what follows it.
-func ReadHead(b []byte) (h Head, rest []byte, err error) {
+// ReadHeader reads the head of a datagram and returns what follows it.
+func ReadHeader(b []byte) (h Header, rest []byte, err error) {
 	if len(b) < headSize || b[0] != magic {
-		return Head{}, nil, ErrForeign
+		return Header{}, nil, ErrForeign
 	}
-	h = Head{Kind: Kind(b[1]), Revision: order.Revision(binary.LittleEndian.Uint64(b[2:])), Service: binary.LittleEndian.Uint32(b[10:])}
+	h = Header{Kind: Kind(b[1]), Revision: order.Revision(binary.LittleEndian.Uint64(b[2:])), Service: binary.LittleEndian.Uint32(b[10:])}
 	return h, b[headSize:], nil
 }
 
@@ -118,8 +118,8 @@
 	Flows uint16 // open flows
 }
 
-// Take reads the rest of a message and hands it to take.
-func Take[M any](h Head, rest []byte, read func(Head, []byte) (M, error), take func(M)) error {
+// Handle reads the rest of a message and hands it to take.
+func Handle[M any](h Header, rest []byte, read func(Header, []byte) (M, error), take func(M)) error {
 	m, err := read(h, rest)
 	if err != nil {
 		return err
--- a/internal/flow/msgs/packet.go
+++ b/internal/flow/msgs/packet.go
@@ -5,17 +5,17 @@
 	"net/netip"
 )
 
-// Carry is a caller's packet. Probe says that the receiver shall try its server although it doesn't know the flow.
-type Carry struct {
-	Head
-	Origin netip.Addr // the entry that took the packet from the caller
-	Domain uint8      // of Origin: belief.DomainHash of its failure domain
-	Hops   uint8      // agents that have passed it on
-	Probe  bool
-	Named  bool // the sender knows the receiver as the flow's owner
-	Insist bool // other agents have handed it back: a server that fails now and then is better than none
-	AsHome bool // the receiver is to act as the flow's home, whose place it takes: the home is lost
-	Packet []byte
+// Forward is a caller's packet. Probe says that the receiver shall try its server although it doesn't know the flow.
+type Forward struct {
+	Header
+	Origin     netip.Addr // the entry that took the packet from the caller
+	Domain     uint8      // of Origin: belief.DomainHash of its failure domain
+	Hops       uint8      // agents that have passed it on
+	Probe      bool
+	ToOwner    bool // the sender knows the receiver as the flow's owner
+	LastResort bool // other agents have handed it back: a server that fails now and then is better than none
+	AsHome     bool // the receiver is to act as the flow's home, whose place it takes: the home is lost
+	Packet     []byte
 }
 
 const (
@@ -28,17 +28,17 @@
 )
 
 // AppendTo appends the encoded message.
-func (m *Carry) AppendTo(b []byte) []byte {
-	b = m.appendTo(b, KindCarry)
+func (m *Forward) AppendTo(b []byte) []byte {
+	b = m.appendTo(b, KindForward)
 	b = appendAddr(b, m.Origin)
 	hops := m.Hops & hopsMask
 	if m.Probe {
 		hops |= probeBit
 	}
-	if m.Named {
+	if m.ToOwner {
 		hops |= namedBit
 	}
-	if m.Insist {
+	if m.LastResort {
 		hops |= insistBit
 	}
 	if m.AsHome {
@@ -48,39 +48,39 @@
 	return append(b, m.Packet...)
 }
 
-// ReadCarry reads the rest of a message; Packet points into b.
-func ReadCarry(h Head, b []byte) (m Carry, err error) {
+// ReadForward reads the rest of a message; Packet points into b.
+func ReadForward(h Header, b []byte) (m Forward, err error) {
 	if len(b) < carrySize {
-		return Carry{}, ErrShort
+		return Forward{}, ErrShort
 	}
-	return Carry{
-		Head:   h,
-		Origin: addrFrom(b),
-		Domain: b[5],
-		Hops:   b[4] & hopsMask,
-		Probe:  b[4]&probeBit != 0,
-		Named:  b[4]&namedBit != 0,
-		Insist: b[4]&insistBit != 0,
-		AsHome: b[4]&homeBit != 0,
-		Packet: b[carrySize:],
+	return Forward{
+		Header:     h,
+		Origin:     addrFrom(b),
+		Domain:     b[5],
+		Hops:       b[4] & hopsMask,
+		Probe:      b[4]&probeBit != 0,
+		ToOwner:    b[4]&namedBit != 0,
+		LastResort: b[4]&insistBit != 0,
+		AsHome:     b[4]&homeBit != 0,
+		Packet:     b[carrySize:],
 	}, nil
 }
 
 // Visit is an agent that an opening packet has been at, and how busy its server was.
 type Visit struct {
-	Agent netip.Addr
-	Work  uint16 // requests under way or about to come, in hundredths of the server's slots
+	Agent       netip.Addr
+	Utilization uint16 // requests under way or about to come, in hundredths of the server's slots
 }
 
 // Offer is an opening packet that agents pass on in search of a less busy server. Final says
 // that the receiver was the best of those visited and takes it.
 type Offer struct {
-	Head
-	Origin  netip.Addr // the entry that placed it
-	Final   bool
-	Insist  bool // as in Carry
-	Visited []Visit
-	Packet  []byte
+	Header
+	Origin     netip.Addr // the entry that placed it
+	Final      bool
+	LastResort bool // as in Carry
+	Visited    []Visit
+	Packet     []byte
 }
 
 const (
@@ -92,53 +92,53 @@
 func (m *Offer) AppendTo(b []byte) []byte {
 	b = m.appendTo(b, KindOffer)
 	b = appendAddr(b, m.Origin)
-	b = append(b, flag(m.Final)|flag(m.Insist)<<1, byte(len(m.Visited)))
+	b = append(b, flag(m.Final)|flag(m.LastResort)<<1, byte(len(m.Visited)))
 	for _, v := range m.Visited {
 		b = appendAddr(b, v.Agent)
-		b = binary.LittleEndian.AppendUint16(b, v.Work)
+		b = binary.LittleEndian.AppendUint16(b, v.Utilization)
 	}
 	return append(b, m.Packet...)
 }
 
 // ReadOffer reads the rest of a message; Packet points into b.
-func ReadOffer(h Head, b []byte) (m Offer, err error) {
+func ReadOffer(h Header, b []byte) (m Offer, err error) {
 	if len(b) < offerSize || len(b) < offerSize+int(b[5])*visitSize {
 		return Offer{}, ErrShort
 	}
-	m = Offer{Head: h, Origin: addrFrom(b), Final: b[4]&1 != 0, Insist: b[4]&2 != 0}
+	m = Offer{Header: h, Origin: addrFrom(b), Final: b[4]&1 != 0, LastResort: b[4]&2 != 0}
 	count := int(b[5])
 	b = b[offerSize:]
 	for range count {
-		m.Visited = append(m.Visited, Visit{Agent: addrFrom(b), Work: binary.LittleEndian.Uint16(b[4:])})
+		m.Visited = append(m.Visited, Visit{Agent: addrFrom(b), Utilization: binary.LittleEndian.Uint16(b[4:])})
 		b = b[visitSize:]
 	}
 	m.Packet = b
 	return m, nil
 }
 
-// Why says why an agent didn't take an opening packet.
-type Why uint8
+// Reason says why an agent didn't take an opening packet.
+type Reason uint8
 
 // The reasons.
 const (
-	WhyServer    Why = iota + 1 // the server returned it
-	WhyDown                     // nothing listens at the server's address
-	WhyDraining                 // the server takes no new flows
-	WhyLeaving                  // the agent is being stopped
-	WhyService                  // the agent's server belongs to another service
-	WhyRoute                    // a newer configuration doesn't let it
-	WhyTable                    // the agent's table is full
-	WhyBusy                     // more flows wait than can be served before their callers give up
-	WhyMute                     // the server doesn't answer
-	WhyFails                    // the server breaks off its requests, or fails them at once
-	WhyEvacuated                // the server's failure domain is evacuated
+	ReasonServer       Reason = iota + 1 // the server returned it
+	ReasonDown                           // nothing listens at the server's address
+	ReasonDraining                       // the server takes no new flows
+	ReasonLeaving                        // the agent is being stopped
+	ReasonService                        // the agent's server belongs to another service
+	ReasonRoute                          // a newer configuration doesn't let it
+	ReasonTable                          // the agent's table is full
+	ReasonBusy                           // more flows wait than can be served before their callers give up
+	ReasonUnresponsive                   // the server doesn't answer
+	ReasonFailing                        // the server breaks off its requests, or fails them at once
+	ReasonEvacuated                      // the server's failure domain is evacuated
 )
 
-var whys = [...]string{WhyServer: "server", WhyDown: "down", WhyDraining: "draining", WhyLeaving: "leaving",
-	WhyService: "service", WhyRoute: "route", WhyTable: "table", WhyBusy: "busy", WhyMute: "mute", WhyFails: "fails", WhyEvacuated: "evacuated"}
+var whys = [...]string{ReasonServer: "server", ReasonDown: "down", ReasonDraining: "draining", ReasonLeaving: "leaving",
+	ReasonService: "service", ReasonRoute: "route", ReasonTable: "table", ReasonBusy: "busy", ReasonUnresponsive: "mute", ReasonFailing: "fails", ReasonEvacuated: "evacuated"}
 
 // String returns the reason as logs and counters show it.
-func (w Why) String() string {
+func (w Reason) String() string {
 	if int(w) < len(whys) && whys[w] != "" {
 		return whys[w]
 	}
@@ -148,8 +148,8 @@
 // Refused hands an opening packet back to the entry, which may place it elsewhere:
 // no server has taken it.
 type Refused struct {
-	Head
-	Why    Why
+	Header
+	Reason Reason
 	Load   Load
 	Packet []byte
 }
@@ -159,15 +159,15 @@
 // AppendTo appends the encoded message.
 func (m *Refused) AppendTo(b []byte) []byte {
 	b = m.appendTo(b, KindRefused)
-	b = append(b, byte(m.Why))
+	b = append(b, byte(m.Reason))
 	b = appendLoad(b, m.Load)
 	return append(b, m.Packet...)
 }
 
 // ReadRefused reads the rest of a message; Packet points into b.
-func ReadRefused(h Head, b []byte) (m Refused, err error) {
+func ReadRefused(h Header, b []byte) (m Refused, err error) {
 	if len(b) < refusedSize {
 		return Refused{}, ErrShort
 	}
-	return Refused{Head: h, Why: Why(b[0]), Load: loadFrom(b[1:]), Packet: b[refusedSize:]}, nil
+	return Refused{Header: h, Reason: Reason(b[0]), Load: loadFrom(b[1:]), Packet: b[refusedSize:]}, nil
 }
--- a/internal/flow/msgs/search.go
+++ b/internal/flow/msgs/search.go
@@ -13,41 +13,43 @@
 	Ack  uint32
 }
 
-const questionSize = segs.Size + 4
+const questionSize = segs.FlowSize + 4
 
 func (q Question) appendTo(b []byte) []byte {
 	return binary.LittleEndian.AppendUint32(q.Flow.AppendTo(b), q.Ack)
 }
 
 func questionFrom(b []byte) Question {
-	return Question{Flow: segs.FlowFrom(b), Ack: binary.LittleEndian.Uint32(b[segs.Size:])}
+	return Question{Flow: segs.FlowFrom(b), Ack: binary.LittleEndian.Uint32(b[segs.FlowSize:])}
 }
 
-// Seek asks a lead (package homes) which agent holds a flow.
-type Seek struct {
-	Head
+// Lookup asks a lead (package homes) which agent holds a flow.
+type Lookup struct {
+	Header
 	Question Question
 }
 
 // AppendTo appends the encoded message.
-func (m *Seek) AppendTo(b []byte) []byte { return m.Question.appendTo(m.appendTo(b, KindSeek)) }
+func (m *Lookup) AppendTo(b []byte) []byte {
+	return m.Question.appendTo(m.appendTo(b, KindLookup))
+}
 
-// ReadSeek reads the rest of a message.
-func ReadSeek(h Head, b []byte) (m Seek, err error) {
+// ReadLookup reads the rest of a message.
+func ReadLookup(h Header, b []byte) (m Lookup, err error) {
 	if len(b) < questionSize {
-		return Seek{}, ErrShort
+		return Lookup{}, ErrShort
 	}
-	return Seek{Head: h, Question: questionFrom(b)}, nil
+	return Lookup{Header: h, Question: questionFrom(b)}, nil
 }
 
-// Sought answers Seek. Owner holds the flow; if it isn't valid, those in Unsure may, and if there are none either, nobody does.
-type Sought struct {
-	Head
-	Flow    segs.Flow
-	Owner   netip.Addr
-	All     bool // any agent may hold it: too many to name them in Unsure
-	Partial bool // some agents haven't answered yet
-	Unsure  []netip.Addr
+// LookupResult answers Seek. Owner holds the flow; if it isn't valid, those in Unsure may, and if there are none either, nobody does.
+type LookupResult struct {
+	Header
+	Flow      segs.Flow
+	Owner     netip.Addr
+	AllUnsure bool // any agent may hold it: too many to name them in Unsure
+	Partial   bool // some agents haven't answered yet
+	Unsure    []netip.Addr
 }
 
 // MaxUnsure is how many agents fit into Sought, in a datagram of 1,200 bytes.
@@ -55,27 +57,27 @@
 
 const (
 	addrSize   = 4
-	soughtSize = segs.Size + addrSize + 1
+	soughtSize = segs.FlowSize + addrSize + 1
 )
 
 // AppendTo appends the encoded message.
-func (m *Sought) AppendTo(b []byte) []byte {
-	b = m.Flow.AppendTo(m.appendTo(b, KindSought))
-	b = append(appendAddr(b, m.Owner), flag(m.All)|flag(m.Partial)<<1)
+func (m *LookupResult) AppendTo(b []byte) []byte {
+	b = m.Flow.AppendTo(m.appendTo(b, KindLookupResult))
+	b = append(appendAddr(b, m.Owner), flag(m.AllUnsure)|flag(m.Partial)<<1)
 	for _, a := range m.Unsure {
 		b = appendAddr(b, a)
 	}
 	return b
 }
 
-// ReadSought reads the rest of a message.
-func ReadSought(h Head, b []byte) (m Sought, err error) {
+// ReadLookupResult reads the rest of a message.
+func ReadLookupResult(h Header, b []byte) (m LookupResult, err error) {
 	if len(b) < soughtSize || (len(b)-soughtSize)%addrSize != 0 {
-		return Sought{}, ErrShort
+		return LookupResult{}, ErrShort
 	}
 	flags := b[soughtSize-1]
-	m = Sought{Head: h, Flow: segs.FlowFrom(b), All: flags&1 != 0, Partial: flags&2 != 0}
-	if owner := addrFrom(b[segs.Size:]); !owner.IsUnspecified() {
+	m = LookupResult{Header: h, Flow: segs.FlowFrom(b), AllUnsure: flags&1 != 0, Partial: flags&2 != 0}
+	if owner := addrFrom(b[segs.FlowSize:]); !owner.IsUnspecified() {
 		m.Owner = owner
 	}
 	for b = b[soughtSize:]; len(b) > 0; b = b[addrSize:] {
@@ -84,9 +86,9 @@
 	return m, nil
 }
 
-// Find asks whether the receiver's server holds some flows. Round names the question.
-type Find struct {
-	Head
+// Query asks whether the receiver's server holds some flows. Round names the question.
+type Query struct {
+	Header
 	Round     uint32
 	Questions []Question
 }
@@ -97,20 +99,20 @@
 const roundSize = 4
 
 // AppendTo appends the encoded message.
-func (m *Find) AppendTo(b []byte) []byte {
-	b = binary.LittleEndian.AppendUint32(m.appendTo(b, KindFind), m.Round)
+func (m *Query) AppendTo(b []byte) []byte {
+	b = binary.LittleEndian.AppendUint32(m.appendTo(b, KindQuery), m.Round)
 	for _, q := range m.Questions {
 		b = q.appendTo(b)
 	}
 	return b
 }
 
-// ReadFind reads the rest of a message.
-func ReadFind(h Head, b []byte) (m Find, err error) {
+// ReadQuery reads the rest of a message.
+func ReadQuery(h Header, b []byte) (m Query, err error) {
 	if len(b) < roundSize || (len(b)-roundSize)%questionSize != 0 {
-		return Find{}, ErrShort
+		return Query{}, ErrShort
 	}
-	m = Find{Head: h, Round: binary.LittleEndian.Uint32(b)}
+	m = Query{Header: h, Round: binary.LittleEndian.Uint32(b)}
 	for b = b[roundSize:]; len(b) > 0; b = b[questionSize:] {
 		m.Questions = append(m.Questions, questionFrom(b))
 	}
@@ -127,50 +129,50 @@
 	Unsure
 )
 
-// Found answers Find: a verdict for each question, in their order.
-type Found struct {
-	Head
+// QueryAnswer answers Find: a verdict for each question, in their order.
+type QueryAnswer struct {
+	Header
 	Round    uint32
 	Verdicts []Verdict
 }
 
 // AppendTo appends the encoded message.
-func (m *Found) AppendTo(b []byte) []byte {
-	b = binary.LittleEndian.AppendUint32(m.appendTo(b, KindFound), m.Round)
+func (m *QueryAnswer) AppendTo(b []byte) []byte {
+	b = binary.LittleEndian.AppendUint32(m.appendTo(b, KindQueryAnswer), m.Round)
 	for _, v := range m.Verdicts {
 		b = append(b, byte(v))
 	}
 	return b
 }
 
-// ReadFound reads the rest of a message.
-func ReadFound(h Head, b []byte) (m Found, err error) {
+// ReadQueryAnswer reads the rest of a message.
+func ReadQueryAnswer(h Header, b []byte) (m QueryAnswer, err error) {
 	if len(b) < roundSize {
-		return Found{}, ErrShort
+		return QueryAnswer{}, ErrShort
 	}
-	m = Found{Head: h, Round: binary.LittleEndian.Uint32(b)}
+	m = QueryAnswer{Header: h, Round: binary.LittleEndian.Uint32(b)}
 	for _, v := range b[roundSize:] {
 		m.Verdicts = append(m.Verdicts, Verdict(v))
 	}
 	return m, nil
 }
 
-// Tried answers a Carry that was a probe: whether the receiver's server holds the flow.
-type Tried struct {
-	Head
+// ProbeResult answers a Carry that was a probe: whether the receiver's server holds the flow.
+type ProbeResult struct {
+	Header
 	Flow segs.Flow
 	Held bool
 }
 
 // AppendTo appends the encoded message.
-func (m *Tried) AppendTo(b []byte) []byte {
-	return append(m.Flow.AppendTo(m.appendTo(b, KindTried)), flag(m.Held))
+func (m *ProbeResult) AppendTo(b []byte) []byte {
+	return append(m.Flow.AppendTo(m.appendTo(b, KindProbeResult)), flag(m.Held))
 }
 
-// ReadTried reads the rest of a message.
-func ReadTried(h Head, b []byte) (m Tried, err error) {
-	if len(b) < segs.Size+1 {
-		return Tried{}, ErrShort
+// ReadProbeResult reads the rest of a message.
+func ReadProbeResult(h Header, b []byte) (m ProbeResult, err error) {
+	if len(b) < segs.FlowSize+1 {
+		return ProbeResult{}, ErrShort
 	}
-	return Tried{Head: h, Flow: segs.FlowFrom(b), Held: b[segs.Size] != 0}, nil
+	return ProbeResult{Header: h, Flow: segs.FlowFrom(b), Held: b[segs.FlowSize] != 0}, nil
 }
--- a/internal/flow/msgs/wire_test.go
+++ b/internal/flow/msgs/wire_test.go
@@ -17,37 +17,37 @@
 type message interface{ AppendTo(b []byte) []byte }
 
 // reader reads what follows the head of a message.
-type reader func(h Head, b []byte) (message, error)
+type reader func(h Header, b []byte) (message, error)
 
 // reads makes a reader of a function that reads one kind.
 func reads[M any, P interface {
 	*M
 	message
-}](read func(Head, []byte) (M, error)) reader {
-	return func(h Head, b []byte) (message, error) {
+}](read func(Header, []byte) (M, error)) reader {
+	return func(h Header, b []byte) (message, error) {
 		m, err := read(h, b)
 		return P(&m), err
 	}
 }
 
 // readNews does what package opaque does with news: the change is all that follows the head.
-func readNews(h Head, b []byte) (News, error) { return News{Head: h, Change: b}, nil }
+func readNews(h Header, b []byte) (Update, error) { return Update{Header: h, Change: b}, nil }
 
 // readers are the readers of all kinds.
 var readers = map[Kind]reader{
-	KindCarry: reads(ReadCarry), KindOpened: reads(ReadOpened), KindRefused: reads(ReadRefused), KindOwner: reads(ReadOwner),
-	KindRegister: reads(ReadRegister), KindFind: reads(ReadFind), KindFound: reads(ReadFound), KindBeacon: reads(ReadBeacon),
-	KindNews: reads(readNews), KindOffer: reads(ReadOffer), KindAsk: reads(ReadAsk), KindAlive: reads(ReadAlive),
-	KindSeek: reads(ReadSeek), KindSought: reads(ReadSought), KindTried: reads(ReadTried), KindLost: reads(ReadLost),
+	KindForward: reads(ReadForward), KindOpened: reads(ReadOpened), KindRefused: reads(ReadRefused), KindOwner: reads(ReadOwner),
+	KindRegister: reads(ReadRegister), KindQuery: reads(ReadQuery), KindQueryAnswer: reads(ReadQueryAnswer), KindBeacon: reads(ReadBeacon),
+	KindUpdate: reads(readNews), KindOffer: reads(ReadOffer), KindPing: reads(ReadPing), KindPingAck: reads(ReadPingAck),
+	KindLookup: reads(ReadLookup), KindLookupResult: reads(ReadLookupResult), KindProbeResult: reads(ReadProbeResult), KindFailed: reads(ReadFailed),
 }
 
 // full returns a message of a kind with every field set.
 func full(t *testing.T, k Kind) message {
 	t.Helper()
-	m, _ := readers[k](Head{}, make([]byte, 200)) // its type is all that counts
+	m, _ := readers[k](Header{}, make([]byte, 200)) // its type is all that counts
 	assert.Assert(t, m != nil, "kind %d has no reader", k)
 	filled.Fill(m)
-	reflect.ValueOf(m).Elem().Field(0).Addr().Interface().(*Head).Kind = k
+	reflect.ValueOf(m).Elem().Field(0).Addr().Interface().(*Header).Kind = k
 	return m
 }
 
@@ -73,7 +73,7 @@
 // Guards against datagrams that change their bytes: old and new processes run side by side during an update.
 func TestWireBytes(t *testing.T) {
 	var text strings.Builder
-	for k := Kind(1); int(k) < Kinds; k++ {
+	for k := Kind(1); int(k) < NumKinds; k++ {
 		fmt.Fprintf(&text, "%d %s %x\n", k, k, full(t, k).AppendTo(nil))
 	}
 	golden.Assert(t, text.String(), "wire.golden")
@@ -82,11 +82,11 @@
 // Guards against flags that change places.
 func TestWireFlags(t *testing.T) {
 	var text strings.Builder
-	for k := Kind(1); int(k) < Kinds; k++ {
+	for k := Kind(1); int(k) < NumKinds; k++ {
 		for i, m := range flagged(t, k) {
 			b := m.AppendTo(nil)
 			fmt.Fprintf(&text, "%s flag %d %x\n", k, i+1, b)
-			back, err := readers[k](Head{}, b[headSize:])
+			back, err := readers[k](Header{}, b[headSize:])
 			assert.NilError(t, err)
 			assert.DeepEqual(t, back.AppendTo(nil)[headSize:], b[headSize:])
 		}
@@ -97,11 +97,11 @@
 // Guards against a field of an older process's datagram that is lost when it is read.
 func TestWireBytesAreRead(t *testing.T) {
 	lines := strings.Fields(string(golden.Get(t, "wire.golden")))
-	assert.Equal(t, len(lines), 3*(Kinds-1))
+	assert.Equal(t, len(lines), 3*(NumKinds-1))
 	for i := 0; i < len(lines); i += 3 {
 		b, err := hex.DecodeString(lines[i+2])
 		assert.NilError(t, err)
-		h, rest, err := ReadHead(b)
+		h, rest, err := ReadHeader(b)
 		assert.NilError(t, err)
 		m, err := readers[h.Kind](h, rest)
 		assert.NilError(t, err)
@@ -115,7 +115,7 @@
 // Guards against reasons, roles and verdicts that an older process reads as others.
 func TestWireNumbers(t *testing.T) {
 	var text strings.Builder
-	for w := range Why(len(whys) + 1) {
+	for w := range Reason(len(whys) + 1) {
 		fmt.Fprintf(&text, "why %d %s\n", w, w)
 	}
 	fmt.Fprintln(&text, "roles: entry, agent", Entry, Agent)
--- a/internal/flow/owner/owner_test.go
+++ b/internal/flow/owner/owner_test.go
@@ -37,27 +37,27 @@
 
 // An entry has sent an opening packet and its copy to two agents, and both servers accepted.
 func TestPacketGoesToTheServerThatItAcknowledges(t *testing.T) {
-	p := &Places{Candidates: []Candidate{{Agent: one}, {Agent: two}}}
-	p.Opened(one, 5000)
-	p.Opened(two, 900_000)
+	p := &EntryFlow{Candidates: []Candidate{{Agent: one}, {Agent: two}}}
+	p.MarkAccepted(one, 5000)
+	p.MarkAccepted(two, 900_000)
 	for ack, want := range map[uint32]netip.Addr{5001: one, 90_000: one, 900_001: two, 1_200_000: two} {
-		got, ok := p.For(ack)
+		got, ok := p.AgentFor(ack)
 		assert.Assert(t, ok)
 		assert.Equal(t, got, want, ack)
 	}
-	p.Drop(two)
-	got, _ := p.For(1_200_000)
+	p.Remove(two)
+	got, _ := p.AgentFor(1_200_000)
 	assert.Equal(t, got, one)
 }
 
 func TestHomeKnowsBothServersThatAccepted(t *testing.T) {
 	h := NewHome(10)
-	h.Register(now, one, msgs.Place{Flow: flow, Seq: 5000})
-	h.Register(now, two, msgs.Place{Flow: flow, Seq: 900_000})
-	got, ok := h.Find(flow, 5001)
+	h.Register(now, one, msgs.Location{Flow: flow, Seq: 5000})
+	h.Register(now, two, msgs.Location{Flow: flow, Seq: 900_000})
+	got, ok := h.Owner(flow, 5001)
 	assert.Assert(t, ok)
 	assert.Equal(t, got, one)
-	got, _ = h.Find(flow, 900_300)
+	got, _ = h.Owner(flow, 900_300)
 	assert.Equal(t, got, two)
 }
 
@@ -119,7 +119,7 @@
 func TestAcknowledgedDataIsNoRequest(t *testing.T) {
 	table := NewAgent(10, parts.Off{})
 	o := table.Add(now, flow)
-	o.Worked = true
+	o.Requested = true
 	table.FromServer(now, o, &segs.Segment{Flow: flow, FromServer: true, Flags: segs.Ack, Ack: 101, Len: 200})
 	table.FromCaller(now, o, data(1))
 	assert.Equal(t, table.Expected(now), 0)
@@ -149,7 +149,7 @@
 	table := NewAgent(10, parts.Off{})
 	o := table.Add(now, flow)
 	o.Accepted = true
-	l := Lives{Idle: 15 * time.Second, Life: time.Minute, Over: 3 * time.Second, Opening: 2 * time.Second}
+	l := Lifetimes{Idle: 15 * time.Second, MaxAge: time.Minute, Closed: 3 * time.Second, Opening: 2 * time.Second}
 	table.Expire(now.Add(10*time.Second), l)
 	assert.Assert(t, table.Get(flow) != nil)
 	table.Expire(now.Add(16*time.Second), l)
--- a/internal/flow/owner/work.go
+++ b/internal/flow/owner/work.go
@@ -33,7 +33,7 @@
 
 // pending is a flow that something is expected of since a time.
 type pending struct {
-	own   *Own
+	own   *Flow
 	since time.Time
 }
 
@@ -49,9 +49,9 @@
 	lag     time.Duration // average from a flow's acceptance to its first request
 }
 
-func (r *requests) opened(now time.Time, o *Own) { r.young = append(r.young, pending{o, now}) }
+func (r *requests) opened(now time.Time, o *Flow) { r.young = append(r.young, pending{o, now}) }
 
-func (r *requests) asked(now time.Time, o *Own) { r.under = append(r.under, pending{o, now}) }
+func (r *requests) asked(now time.Time, o *Flow) { r.under = append(r.under, pending{o, now}) }
 
 func (r *requests) answered(took time.Duration) { r.average += (took - r.average) / averageOver }
 
@@ -66,7 +66,7 @@
 
 // awaited says whether the first request on a flow is still awaited.
 func (r *requests) awaited(now time.Time, p pending) bool {
-	if p.own.Worked {
+	if p.own.Requested {
 		return false
 	}
 	if p.own.accepted.IsZero() || r.off.Lag {
@@ -86,7 +86,7 @@
 func (r *requests) count(now time.Time) (young, under, overdue int) {
 	r.young = keep(r.young, func(p pending) bool { return r.awaited(now, p) })
 	r.under = keep(r.under, func(p pending) bool {
-		return p.own.Asked.Equal(p.since) && now.Sub(p.since) < rememberOverdue
+		return p.own.PendingSince.Equal(p.since) && now.Sub(p.since) < rememberOverdue
 	})
 	limit := r.overdue()
 	for _, p := range r.under {
--- a/internal/flow/packet/packet.go
+++ b/internal/flow/packet/packet.go
@@ -20,23 +20,23 @@
 	"mangowinch/internal/flow/ident"
 )
 
-// MinOpener is the smallest datagram, in bytes, that may open a flow. RFC 9000
+// MinOpeningSize is the smallest datagram, in bytes, that may open a flow. RFC 9000
 // section 14.1 makes callers pad them; a smaller one would let a forger have
 // more bytes sent to a third party than it spends.
-const MinOpener = 1200
+const MinOpeningSize = 1200
 
-// MaxID is the longest connection ID of the QUIC versions in use, in bytes.
-const MaxID = 20
+// MaxIDSize is the longest connection ID of the QUIC versions in use, in bytes.
+const MaxIDSize = 20
 
-// MinOpenerID is the shortest connection ID a caller may choose (RFC 9000
+// MinOpeningIDSize is the shortest connection ID a caller may choose (RFC 9000
 // section 7.2), in bytes. It keeps flow keys apart.
-const MinOpenerID = 8
+const MinOpeningIDSize = 8
 
 // Errors of Parse.
 var (
-	ErrShort  = errors.New("datagram is too short for a QUIC header")
-	ErrID     = errors.New("connection ID is too long")
-	ErrOpener = errors.New("datagram is too small to open a flow")
+	ErrShort   = errors.New("datagram is too short for a QUIC header")
+	ErrID      = errors.New("connection ID is too long")
+	ErrOpening = errors.New("datagram is too small to open a flow")
 )
 
 // Header is the version-independent part of a packet's header. Its slice points
@@ -60,7 +60,7 @@
 		return Header{}, ErrShort
 	}
 	n := int(b[5])
-	if n > MaxID {
+	if n > MaxIDSize {
 		return Header{}, ErrID
 	}
 	if len(b) < fixed+n+1 {
@@ -82,11 +82,11 @@
 	return Header{Destination: b[1 : 1+ident.Length]}, nil
 }
 
-// CheckOpener says whether a datagram with a caller-chosen ID may open a flow. It
+// CheckOpening says whether a datagram with a caller-chosen ID may open a flow. It
 // returns ErrOpener if the datagram or its ID is too small.
-func CheckOpener(b []byte, h Header) error {
-	if !h.Long || len(b) < MinOpener || len(h.Destination) < MinOpenerID {
-		return ErrOpener
+func CheckOpening(b []byte, h Header) error {
+	if !h.Long || len(b) < MinOpeningSize || len(h.Destination) < MinOpeningIDSize {
+		return ErrOpening
 	}
 	return nil
 }
--- a/internal/flow/packet/packet_test.go
+++ b/internal/flow/packet/packet_test.go
@@ -15,7 +15,7 @@
 }
 
 func TestParseLong(t *testing.T) {
-	h, err := Parse(long([]byte("8 or more"), MinOpener))
+	h, err := Parse(long([]byte("8 or more"), MinOpeningSize))
 	assert.NilError(t, err)
 	assert.Equal(t, string(h.Destination), "8 or more")
 	assert.Equal(t, h.Version, uint32(1))
@@ -37,14 +37,14 @@
 		size int
 		want error
 	}{
-		{"12345678", MinOpener, nil},
-		{"12345678", MinOpener - 1, ErrOpener},
-		{"1234567", MinOpener, ErrOpener},
+		{"12345678", MinOpeningSize, nil},
+		{"12345678", MinOpeningSize - 1, ErrOpening},
+		{"1234567", MinOpeningSize, ErrOpening},
 	} {
 		b := long([]byte(c.id), c.size)
 		h, err := Parse(b)
 		assert.NilError(t, err)
-		assert.ErrorIs(t, CheckOpener(b, h), c.want)
+		assert.ErrorIs(t, CheckOpening(b, h), c.want)
 	}
 }
 
@@ -61,8 +61,8 @@
 		if err != nil {
 			return
 		}
-		assert.Assert(t, len(h.Destination) <= MaxID)
+		assert.Assert(t, len(h.Destination) <= MaxIDSize)
 		assert.Assert(t, len(h.Destination) < len(b))
-		_ = CheckOpener(b, h)
+		_ = CheckOpening(b, h)
 	})
 }
--- a/internal/flow/paths/paths.go
+++ b/internal/flow/paths/paths.go
@@ -46,9 +46,9 @@
 	ProbeEvery = 100 * time.Millisecond
 	// quietAfter is how long an entry in use may be quiet before it is probed.
 	quietAfter = 150 * time.Millisecond
-	// LostAfter is how long an entry may be quiet before flows leave it: a quiet
+	// FailAfter is how long an entry may be quiet before flows leave it: a quiet
 	// time, then two probes and a round trip of some milliseconds.
-	LostAfter = 400 * time.Millisecond
+	FailAfter = 400 * time.Millisecond
 	// activeSize is how many entries an agent answers by: enough that two may die
 	// at once and a caller's datagrams alternate between two others.
 	activeSize = 4
@@ -77,9 +77,9 @@
 	maxEntries = 2048
 )
 
-// Book is what one agent knows of entries and callers. It is not safe for
+// Selector is what one agent knows of entries and callers. It is not safe for
 // concurrent use.
-type Book struct {
+type Selector struct {
 	limit   int // of callers
 	entries map[netip.AddrPort]*entry
 	callers map[netip.AddrPort]*caller
@@ -105,18 +105,18 @@
 }
 
 // New returns an empty Book that keeps at most limit callers in mind.
-func New(limit int) *Book {
-	return &Book{
+func New(limit int) *Selector {
+	return &Selector{
 		limit:   limit,
 		entries: make(map[netip.AddrPort]*entry),
 		callers: make(map[netip.AddrPort]*caller),
 	}
 }
 
-// Heard notes a datagram of a caller that came by an entry. Leaving says that the
+// Received notes a datagram of a caller that came by an entry. Leaving says that the
 // entry stops soon.
-func (b *Book) Heard(now time.Time, via, from netip.AddrPort, leaving bool) {
-	b.Sign(now, via, leaving)
+func (b *Selector) Received(now time.Time, via, from netip.AddrPort, leaving bool) {
+	b.MarkAlive(now, via, leaving)
 	c := b.callers[from]
 	if c == nil {
 		if len(b.callers) >= b.limit {
@@ -146,7 +146,7 @@
 // follow lets a caller that spoke after a pause be answered by the entry that
 // brought its word. If that entry was sent the last answers too, and they have
 // been owed for as long as a pause, they may be lost for good: another is tried.
-func (b *Book) follow(now time.Time, c *caller, via netip.AddrPort) {
+func (b *Selector) follow(now time.Time, c *caller, via netip.AddrPort) {
 	owing := c.count > 0 && now.Sub(c.owed) > pauseAfter
 	if !owing || c.via != via {
 		c.via = via
@@ -161,8 +161,8 @@
 	}
 }
 
-// Sign notes a sign of life of an entry.
-func (b *Book) Sign(now time.Time, via netip.AddrPort, leaving bool) {
+// MarkAlive notes a sign of life of an entry.
+func (b *Selector) MarkAlive(now time.Time, via netip.AddrPort, leaving bool) {
 	e := b.entries[via]
 	if e == nil {
 		if len(b.entries) >= maxEntries {
@@ -180,7 +180,7 @@
 
 // Choose names the entry by which a datagram goes to a caller, and notes the
 // sending. It reports false when no entry is known at all.
-func (b *Book) Choose(now time.Time, to netip.AddrPort) (via netip.AddrPort, ok bool) {
+func (b *Selector) Choose(now time.Time, to netip.AddrPort) (via netip.AddrPort, ok bool) {
 	if len(b.active) == 0 {
 		return b.any()
 	}
@@ -196,7 +196,7 @@
 }
 
 // forCaller names the entry for a datagram to a caller, and notes the sending.
-func (b *Book) forCaller(now time.Time, c *caller) (via netip.AddrPort) {
+func (b *Selector) forCaller(now time.Time, c *caller) (via netip.AddrPort) {
 	if c.count == 0 {
 		c.owed = now
 	}
@@ -220,7 +220,7 @@
 // from names the first live entry of the active set from a place on. With none
 // live it keeps to the place: a datagram lost costs less than one not sent, and
 // the next call of Probes mends the set.
-func (b *Book) from(now time.Time, place int) netip.AddrPort {
+func (b *Selector) from(now time.Time, place int) netip.AddrPort {
 	n := len(b.active)
 	for i := range n {
 		a := b.active[(place+i)%n]
@@ -232,7 +232,7 @@
 }
 
 // any is for the moment when no entry is active: all known ones are leaving.
-func (b *Book) any() (via netip.AddrPort, ok bool) {
+func (b *Selector) any() (via netip.AddrPort, ok bool) {
 	for a := range b.entries {
 		return a, true
 	}
@@ -240,13 +240,13 @@
 }
 
 func (e *entry) live(now time.Time) bool {
-	return !e.leaving && now.Sub(e.heard) < LostAfter
+	return !e.leaving && now.Sub(e.heard) < FailAfter
 }
 
 // Probes mends the active set and names the entries to be probed now: once one of
 // those in use is quiet, all active ones that are, so that a live one is known before
 // the quiet one is given up. It also forgets what has had no traffic for long.
-func (b *Book) Probes(now time.Time) (quiet []netip.AddrPort) {
+func (b *Selector) Probes(now time.Time) (quiet []netip.AddrPort) {
 	doubt := false
 	for _, a := range b.active {
 		e := b.entries[a]
@@ -269,7 +269,7 @@
 // mend replaces active entries that are lost or leaving by live ones heard most
 // lately. A lost one without a successor stays, and goes on being probed: after an
 // agent was paused, or cut off from all entries, every entry looks lost.
-func (b *Book) mend(now time.Time) {
+func (b *Selector) mend(now time.Time) {
 	var spare []netip.AddrPort
 	for a, e := range b.entries {
 		if e.live(now) && !slices.Contains(b.active, a) {
@@ -292,7 +292,7 @@
 	b.active = append(b.active, spare[:max(room, 0)]...)
 }
 
-func (b *Book) forget(now time.Time) {
+func (b *Selector) forget(now time.Time) {
 	for a, e := range b.entries {
 		if now.Sub(e.heard) > forgetAfter {
 			delete(b.entries, a)
@@ -318,7 +318,7 @@
 }
 
 // Status lists the entries known.
-func (b *Book) Status(now time.Time) (list []Status) {
+func (b *Selector) Status(now time.Time) (list []Status) {
 	for a, e := range b.entries {
 		list = append(list, Status{
 			Entry:   a,
--- a/internal/flow/paths/paths_test.go
+++ b/internal/flow/paths/paths_test.go
@@ -19,7 +19,7 @@
 // run sends a datagram each step and lets live entries echo probes; answers says
 // whether the caller's acknowledgements come, by an entry that brings them. It
 // returns how many datagrams went to each entry.
-func run(b *Book, now time.Time, steps int, echoes func(netip.AddrPort) bool, heardBy func(sent netip.AddrPort) (netip.AddrPort, bool)) (sent map[netip.AddrPort]int, end time.Time) {
+func run(b *Selector, now time.Time, steps int, echoes func(netip.AddrPort) bool, heardBy func(sent netip.AddrPort) (netip.AddrPort, bool)) (sent map[netip.AddrPort]int, end time.Time) {
 	sent = make(map[netip.AddrPort]int)
 	const step = 20 * time.Millisecond
 	for i := range steps {
@@ -27,7 +27,7 @@
 		if i%5 == 0 {
 			for _, e := range b.Probes(now) {
 				if echoes(e) {
-					b.Sign(now, e, false)
+					b.MarkAlive(now, e, false)
 				}
 			}
 		}
@@ -37,16 +37,16 @@
 		}
 		sent[via]++
 		if by, ok := heardBy(via); ok {
-			b.Heard(now, by, feed, false)
+			b.Received(now, by, feed, false)
 		}
 	}
 	return sent, now
 }
 
-func book(now time.Time, entries int) *Book {
+func book(now time.Time, entries int) *Selector {
 	b := New(100)
 	for i := range entries {
-		b.Heard(now, entryAt(i+1), feed, false)
+		b.Received(now, entryAt(i+1), feed, false)
 	}
 	return b
 }
@@ -90,7 +90,7 @@
 func TestLeavingEntryIsNotUsed(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := book(now, 3)
-	b.Sign(now, entryAt(1), true)
+	b.MarkAlive(now, entryAt(1), true)
 	sent, _ := run(b, now, 60, func(e netip.AddrPort) bool { return e != entryAt(1) }, func(via netip.AddrPort) (netip.AddrPort, bool) { return entryAt(2), true })
 	assert.Equal(t, sent[entryAt(1)], 0)
 }
@@ -104,7 +104,7 @@
 	via, ok := b.Choose(now, feed)
 	assert.Assert(t, ok && via.IsValid())
 	assert.Equal(t, len(b.Probes(now)), 4)
-	b.Sign(now, entryAt(3), false)
+	b.MarkAlive(now, entryAt(3), false)
 	via, _ = b.Choose(now, feed)
 	assert.Equal(t, via, entryAt(3))
 }
@@ -115,9 +115,9 @@
 	b := New(100)
 	for i := range 800 {
 		e := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(i / 250), byte(i % 250)}), 7000)
-		b.Heard(now, e, feed, false)
+		b.Received(now, e, feed, false)
 	}
-	now = now.Add(LostAfter)
+	now = now.Add(FailAfter)
 	b.Choose(now, feed)
 	assert.Equal(t, len(b.Probes(now.Add(quietAfter))), activeSize)
 }
@@ -136,7 +136,7 @@
 		}
 		b.Choose(now, feed)
 		now = now.Add(30 * time.Millisecond)
-		b.Heard(now, entryAt(2), feed, false) // whichever entry brings the acknowledgement
+		b.Received(now, entryAt(2), feed, false) // whichever entry brings the acknowledgement
 	}
 	assert.Equal(t, probes, 0)
 }
@@ -153,7 +153,7 @@
 	}
 	for range 300 {
 		now = now.Add(time.Millisecond)
-		b.Heard(now, other, feed, false)
+		b.Received(now, other, feed, false)
 		b.Choose(now, feed)
 	}
 	assert.Equal(t, b.entries[by].heard, time.Unix(1000, 0))
@@ -163,7 +163,7 @@
 	b := New(10)
 	now := time.Unix(1000, 0)
 	for i := range 1000 {
-		b.Heard(now, netip.AddrPortFrom(entryAt(1).Addr(), uint16(i)), netip.AddrPortFrom(feed.Addr(), uint16(i)), false)
+		b.Received(now, netip.AddrPortFrom(entryAt(1).Addr(), uint16(i)), netip.AddrPortFrom(feed.Addr(), uint16(i)), false)
 	}
 	assert.Equal(t, len(b.callers), 10)
 	b.Probes(now.Add(forgetAfter + time.Second))
@@ -174,12 +174,12 @@
 // time after twice the pause, until it gives up after 5 s. Its datagrams come by
 // one of the entries reach names, and answers arrive unless lost says otherwise.
 // It reports whether 100 datagrams were acknowledged.
-func upload(b *Book, now time.Time, from netip.AddrPort, reach func() netip.AddrPort, lost func(netip.AddrPort) bool) bool {
+func upload(b *Selector, now time.Time, from netip.AddrPort, reach func() netip.AddrPort, lost func(netip.AddrPort) bool) bool {
 	const roundTrip, giveUp = 25 * time.Millisecond, 5 * time.Second
 	for range 100 {
 		silent := time.Duration(0)
 		for pause := roundTrip; ; pause *= 2 {
-			b.Heard(now, reach(), from, false)
+			b.Received(now, reach(), from, false)
 			via, ok := b.Choose(now, from)
 			if ok && !lost(via) {
 				now = now.Add(roundTrip)
@@ -190,7 +190,7 @@
 			}
 			now = now.Add(pause)
 			for _, e := range b.Probes(now) {
-				b.Sign(now, e, false)
+				b.MarkAlive(now, e, false)
 			}
 		}
 	}
@@ -224,7 +224,7 @@
 		b := book(now, 3)
 		from := netip.AddrPortFrom(feed.Addr(), uint16(5000+i))
 		for range i % 3 {
-			b.Heard(now, entryAt(2), netip.AddrPortFrom(feed.Addr(), 1), false)
+			b.Received(now, entryAt(2), netip.AddrPortFrom(feed.Addr(), 1), false)
 		}
 		whole := upload(b, now, from,
 			func() netip.AddrPort { return entryAt(1 + random.IntN(3)) },
--- a/internal/flow/route/route.go
+++ b/internal/flow/route/route.go
@@ -28,25 +28,25 @@
 
 // Server is what routing knows of one server.
 type Server struct {
-	ID      uint32
-	Weight  float64 // share of new flows; 0 takes none while others have some
-	Leaving bool    // takes no new work, by the document, the platform's list or its own word
-	Silent  bool    // did not answer lately, see Watch
+	ID           uint32
+	Weight       float64 // share of new flows; 0 takes none while others have some
+	Leaving      bool    // takes no new work, by the document, the platform's list or its own word
+	Unresponsive bool    // did not answer lately, see Watch
 }
 
 // Table is an immutable snapshot of one service's servers.
 type Table struct {
-	Now    []Server // by the document in force
-	Before []Server // by the one before it, while flows opened under it may be half open
+	Current  []Server // by the document in force
+	Previous []Server // by the one before it, while flows opened under it may be half open
 }
 
 // Choice is where a flow's datagram goes.
 type Choice struct {
 	Server     uint32   // first candidate
 	Candidates []uint32 // all, best first
-	// Asked says that the last candidate is the choice under the document before
+	// HasFormer says that the last candidate is the choice under the document before
 	// and may own the flow already.
-	Asked bool
+	HasFormer bool
 }
 
 // Key hashes what a flow's first datagrams have in common.
@@ -56,17 +56,17 @@
 // and one of the table before. With no server at all the choice has no
 // candidates.
 func (t *Table) Choose(dst []uint32, key uint64, n int) (c Choice) {
-	dst = rank(dst, t.Now, key, n)
+	dst = rank(dst, t.Current, key, n)
 	c.Candidates = dst
 	if len(dst) == 0 {
 		return c
 	}
 	c.Server = dst[0]
 	var former [1]uint32
-	best := rank(former[:0], t.Before, key, 1)
-	if len(best) == 1 && best[0] != dst[0] && contains(t.Now, best[0]) {
+	best := rank(former[:0], t.Previous, key, 1)
+	if len(best) == 1 && best[0] != dst[0] && contains(t.Current, best[0]) {
 		c.Candidates = append(without(dst, best[0]), best[0])
-		c.Asked = true
+		c.HasFormer = true
 	}
 	return c
 }
@@ -116,7 +116,7 @@
 	switch {
 	case s.Leaving:
 		return 2
-	case s.Silent || s.Weight <= 0:
+	case s.Unresponsive || s.Weight <= 0:
 		return 1
 	default:
 		return 0
--- a/internal/flow/route/route_test.go
+++ b/internal/flow/route/route_test.go
@@ -26,7 +26,7 @@
 	count := make(map[uint32]float64)
 	const keys = 200_000
 	for k := range uint64(keys) {
-		count[choice(Table{Now: list}, mix(k))]++
+		count[choice(Table{Current: list}, mix(k))]++
 	}
 	for _, s := range list {
 		want := s.Weight / 9
@@ -38,7 +38,7 @@
 // A server joins while flows are half open. Only flows that the new server takes
 // may change hands; all others must be chosen as before.
 func TestJoinMovesOnlyItsShare(t *testing.T) {
-	before, after := Table{Now: servers(7)}, Table{Now: servers(8)}
+	before, after := Table{Current: servers(7)}, Table{Current: servers(8)}
 	moved := 0
 	for k := range uint64(20_000) {
 		a, b := choice(before, mix(k)), choice(after, mix(k))
@@ -60,7 +60,7 @@
 			list[i].Leaving = rapid.Bool().Draw(t, "leaving")
 			all = all && list[i].Leaving
 		}
-		c := (&Table{Now: list}).Choose(nil, rapid.Uint64().Draw(t, "key"), 3)
+		c := (&Table{Current: list}).Choose(nil, rapid.Uint64().Draw(t, "key"), 3)
 		assert.Equal(t, len(c.Candidates), 3)
 		assert.Assert(t, all || !list[c.Server-1].Leaving)
 	})
@@ -72,10 +72,10 @@
 func TestFormerChoiceIsNamed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		key := rapid.Uint64().Draw(t, "key")
-		now := Table{Now: servers(8), Before: servers(7)}
-		former := choice(Table{Now: servers(7)}, key)
+		now := Table{Current: servers(8), Previous: servers(7)}
+		former := choice(Table{Current: servers(7)}, key)
 		c := now.Choose(nil, key, 3)
-		assert.Assert(t, c.Server == former || c.Asked && last(c.Candidates) == former, "%+v lacks %d", c, former)
+		assert.Assert(t, c.Server == former || c.HasFormer && last(c.Candidates) == former, "%+v lacks %d", c, former)
 		assert.Assert(t, len(c.Candidates) <= 4)
 	})
 }
@@ -86,33 +86,33 @@
 // half a second the entry passes it over, tries it again now and then, and takes
 // it back at its first frame.
 func TestSilentServerIsPassedOver(t *testing.T) {
-	w := NewWatch()
-	w.Keep([]uint32{1, 2, 3, 4})
+	w := NewDetector()
+	w.Retain([]uint32{1, 2, 3, 4})
 	now := time.Unix(1000, 0)
-	assert.Assert(t, !w.Opened(now, 2))
-	assert.Assert(t, !w.Opened(now.Add(SilentAfter/2), 2))
-	now = now.Add(SilentAfter)
-	assert.Assert(t, w.Opened(now, 2))
-	assert.Assert(t, w.Silent(now, 2))
+	assert.Assert(t, !w.SentOpening(now, 2))
+	assert.Assert(t, !w.SentOpening(now.Add(UnresponsiveAfter/2), 2))
+	now = now.Add(UnresponsiveAfter)
+	assert.Assert(t, w.SentOpening(now, 2))
+	assert.Assert(t, w.Unresponsive(now, 2))
 	now = now.Add(RetryAfter)
-	assert.Assert(t, !w.Silent(now, 2))
-	w.Opened(now, 2)
-	assert.Assert(t, w.Silent(now, 2))
-	assert.Assert(t, w.Heard(now, 2))
-	assert.Assert(t, !w.Silent(now, 2))
+	assert.Assert(t, !w.Unresponsive(now, 2))
+	w.SentOpening(now, 2)
+	assert.Assert(t, w.Unresponsive(now, 2))
+	assert.Assert(t, w.Received(now, 2))
+	assert.Assert(t, !w.Unresponsive(now, 2))
 }
 
 // An entry loses its own link and hears nobody. If it condemned all servers but
 // one, that one would get all flows once the link is back.
 func TestSilenceOfMostIsNotBelieved(t *testing.T) {
-	w := NewWatch()
-	w.Keep([]uint32{1, 2, 3, 4})
+	w := NewDetector()
+	w.Retain([]uint32{1, 2, 3, 4})
 	now := time.Unix(1000, 0)
 	silent := 0
 	for range 20 {
-		now = now.Add(SilentAfter)
+		now = now.Add(UnresponsiveAfter)
 		for id := range uint32(4) {
-			if w.Opened(now, id+1) {
+			if w.SentOpening(now, id+1) {
 				silent++
 			}
 		}
--- a/internal/flow/route/watch.go
+++ b/internal/flow/route/watch.go
@@ -4,11 +4,11 @@
 
 // Thresholds of Watch.
 const (
-	// SilentAfter is how long a server may leave opened flows without any frame
+	// UnresponsiveAfter is how long a server may leave opened flows without any frame
 	// before it counts as silent. An agent answers a first flight in a round trip
 	// of 2 to 6 ms between failure domains; half a second outlasts a pause for
 	// collection or a lost datagram and is under a caller's second attempt.
-	SilentAfter = 500 * time.Millisecond
+	UnresponsiveAfter = 500 * time.Millisecond
 	// silentOpeners is how many unanswered openers it takes, so that one lost
 	// datagram condemns nobody.
 	silentOpeners = 3
@@ -20,13 +20,13 @@
 	silentShare = 2 // one in two
 )
 
-// Watch notices servers that no longer answer, from the traffic itself: a process
+// Detector notices servers that no longer answer, from the traffic itself: a process
 // that died or froze stays on the platform's list for a long time. Its failure
 // shows as openers that nothing comes back for. It is soft state; a wrong belief
 // costs one flow a longer way, since an agent decides by itself.
 //
 // A Watch is not safe for concurrent use.
-type Watch struct {
+type Detector struct {
 	servers map[uint32]*sign
 }
 
@@ -38,10 +38,10 @@
 	attempts time.Time // last time a silent one was tried
 }
 
-// NewWatch returns a Watch that believes all servers well.
-func NewWatch() *Watch { return &Watch{servers: make(map[uint32]*sign)} }
+// NewDetector returns a Watch that believes all servers well.
+func NewDetector() *Detector { return &Detector{servers: make(map[uint32]*sign)} }
 
-func (w *Watch) sign(id uint32) *sign {
+func (w *Detector) sign(id uint32) *sign {
 	s := w.servers[id]
 	if s == nil {
 		s = &sign{}
@@ -50,24 +50,24 @@
 	return s
 }
 
-// Heard notes any frame from a server. It reports whether the server was silent until now.
-func (w *Watch) Heard(now time.Time, id uint32) (changed bool) {
+// Received notes any frame from a server. It reports whether the server was silent until now.
+func (w *Detector) Received(now time.Time, id uint32) (changed bool) {
 	s := w.sign(id)
 	changed = s.silent
 	*s = sign{heard: now}
 	return changed
 }
 
-// Opened notes that a flow's first datagram was sent to a server. It reports
+// SentOpening notes that a flow's first datagram was sent to a server. It reports
 // whether the server counts as silent from now on.
-func (w *Watch) Opened(now time.Time, id uint32) (changed bool) {
+func (w *Detector) SentOpening(now time.Time, id uint32) (changed bool) {
 	s := w.sign(id)
 	if s.openers == 0 {
 		s.opened = now
 	}
 	s.openers++
 	s.attempts = now
-	if s.silent || s.openers < silentOpeners || now.Sub(s.opened) < SilentAfter {
+	if s.silent || s.openers < silentOpeners || now.Sub(s.opened) < UnresponsiveAfter {
 		return false
 	}
 	if (w.count()+1)*silentShare > len(w.servers) {
@@ -77,15 +77,15 @@
 	return true
 }
 
-// Silent says whether a server is to be passed over now. Once in RetryAfter it
+// Unresponsive says whether a server is to be passed over now. Once in RetryAfter it
 // is not, so that a flow finds out whether the server is back.
-func (w *Watch) Silent(now time.Time, id uint32) bool {
+func (w *Detector) Unresponsive(now time.Time, id uint32) bool {
 	s := w.servers[id]
 	return s != nil && s.silent && now.Sub(s.attempts) < RetryAfter
 }
 
-// Keep forgets all servers but those named, so that the state is bounded by the document.
-func (w *Watch) Keep(ids []uint32) {
+// Retain forgets all servers but those named, so that the state is bounded by the document.
+func (w *Detector) Retain(ids []uint32) {
 	kept := make(map[uint32]*sign, len(ids))
 	for _, id := range ids {
 		kept[id] = w.sign(id)
@@ -93,7 +93,7 @@
 	w.servers = kept
 }
 
-func (w *Watch) count() (n int) {
+func (w *Detector) count() (n int) {
 	for _, s := range w.servers {
 		if s.silent {
 			n++
--- a/internal/flow/seek/seek.go
+++ b/internal/flow/seek/seek.go
@@ -54,25 +54,25 @@
 	mostWanted = 8192
 )
 
-// Ask is a message that is to go to some agents.
-type Ask struct {
+// Query is a message that is to go to some agents.
+type Query struct {
 	Round     uint32
 	To        []netip.Addr
 	Questions []msgs.Question
 	Repeats   int // how often those that haven't answered have been asked before
 }
 
-// Slow is the repeat from which agents without an answer are taken for slow or away.
-const Slow = 2
+// SlowRepeats is the repeat from which agents without an answer are taken for slow or away.
+const SlowRepeats = 2
 
 // Result is what a round has shown of one flow. Owner holds it; if there is none, Unsure may; if there are none
 // either, nobody holds it. Partial says that some agents haven't answered yet, so any of them may hold it too.
 type Result struct {
-	Flow    segs.Flow
-	Owner   netip.Addr
-	Unsure  []netip.Addr
-	Partial bool
-	Homes   []netip.Addr // who wants to know
+	Flow       segs.Flow
+	Owner      netip.Addr
+	Unsure     []netip.Addr
+	Partial    bool
+	Requesters []netip.Addr // who wants to know
 }
 
 // Rounds are the rounds of one lead.
@@ -103,8 +103,8 @@
 	return &Rounds{wanted: map[segs.Flow][]netip.Addr{}, rounds: map[uint32]*round{}, number: first}
 }
 
-// Want says that a home has a packet of a flow that it doesn't know. It returns false if too much is wanted already.
-func (s *Rounds) Want(home netip.Addr, q msgs.Question) bool {
+// Add says that a home has a packet of a flow that it doesn't know. It returns false if too much is wanted already.
+func (s *Rounds) Add(home netip.Addr, q msgs.Question) bool {
 	homes, known := s.wanted[q.Flow]
 	if known {
 		if !slices.Contains(homes, home) {
@@ -122,7 +122,7 @@
 
 // Next returns what is to be sent now: the next round if there is budget for it, and questions that had no answer. Agents are all that
 // there are.
-func (s *Rounds) Next(now time.Time, agents []netip.Addr) (asks []Ask) {
+func (s *Rounds) Next(now time.Time, agents []netip.Addr) (asks []Query) {
 	s.refill(now, len(agents))
 	for len(s.fresh) > 0 && s.budget >= float64(len(agents)) && len(agents) > 0 {
 		s.budget -= float64(len(agents))
@@ -131,7 +131,7 @@
 	for number, r := range s.rounds {
 		if r.due(now) {
 			r.sent = now
-			asks = append(asks, Ask{Round: number, To: slices.Clone(r.waiting), Questions: r.questions, Repeats: r.repeats})
+			asks = append(asks, Query{Round: number, To: slices.Clone(r.waiting), Questions: r.questions, Repeats: r.repeats})
 		}
 	}
 	return asks
@@ -163,16 +163,16 @@
 	s.fresh = slices.Delete(s.fresh, 0, n)
 }
 
-// SoFar returns what a round that still waits for agents has shown: flows that an unsure agent may hold are not to
+// PartialResults returns what a round that still waits for agents has shown: flows that an unsure agent may hold are not to
 // wait for one that is away.
-func (s *Rounds) SoFar(number uint32) (results []Result) {
+func (s *Rounds) PartialResults(number uint32) (results []Result) {
 	r := s.rounds[number]
 	if r == nil {
 		return nil
 	}
 	for i, q := range r.questions {
 		if !r.owned[i] && len(r.unsure[i]) > 0 {
-			results = append(results, Result{Flow: q.Flow, Unsure: r.unsure[i], Partial: true, Homes: s.wanted[q.Flow]})
+			results = append(results, Result{Flow: q.Flow, Unsure: r.unsure[i], Partial: true, Requesters: s.wanted[q.Flow]})
 		}
 	}
 	return results
@@ -192,7 +192,7 @@
 		return true
 	}
 	pause := askAgain
-	if r.repeats >= Slow {
+	if r.repeats >= SlowRepeats {
 		pause = askLater
 	}
 	if now.Sub(r.sent) < pause {
@@ -253,19 +253,19 @@
 }
 
 func (s *Rounds) result(f segs.Flow, owner netip.Addr, unsure []netip.Addr) Result {
-	r := Result{Flow: f, Owner: owner, Unsure: unsure, Homes: s.wanted[f]}
+	r := Result{Flow: f, Owner: owner, Unsure: unsure, Requesters: s.wanted[f]}
 	delete(s.wanted, f)
 	return r
 }
 
-// Unheard is a round that ended without all answers.
-type Unheard struct {
-	Flows  []segs.Flow
-	Silent []netip.Addr // agents that haven't answered
+// Incomplete is a round that ended without all answers.
+type Incomplete struct {
+	Flows        []segs.Flow
+	Unresponsive []netip.Addr // agents that haven't answered
 }
 
 // Expire drops agents that are gone from those that owe an answer, which may end rounds, and ends rounds that have waited too long.
-func (s *Rounds) Expire(now time.Time, agents []netip.Addr) (results []Result, unheard []Unheard) {
+func (s *Rounds) Expire(now time.Time, agents []netip.Addr) (results []Result, unheard []Incomplete) {
 	if len(s.rounds) == 0 {
 		return nil, nil
 	}
@@ -281,9 +281,9 @@
 }
 
 // abandon forgets a round and what its flows were wanted for.
-func (s *Rounds) abandon(number uint32, r *round) Unheard {
+func (s *Rounds) abandon(number uint32, r *round) Incomplete {
 	delete(s.rounds, number)
-	u := Unheard{Silent: r.waiting}
+	u := Incomplete{Unresponsive: r.waiting}
 	for i, q := range r.questions {
 		if !r.owned[i] {
 			delete(s.wanted, q.Flow)
--- a/internal/flow/seek/seek_test.go
+++ b/internal/flow/seek/seek_test.go
@@ -38,7 +38,7 @@
 func TestFlowIsNobodysWhenAllAgentsHaveSaidSo(t *testing.T) {
 	s := New(0)
 	there := agents(3)
-	assert.Assert(t, s.Want(agent(9), question(1)))
+	assert.Assert(t, s.Add(agent(9), question(1)))
 	asks := s.Next(start, there)
 	assert.Equal(t, len(asks), 1)
 	assert.DeepEqual(t, asks[0].Questions, []msgs.Question{question(1)})
@@ -49,7 +49,7 @@
 	results := s.Answer(agent(2), asks[0].Round, one(msgs.NotHeld), there)
 	assert.Equal(t, len(results), 1)
 	assert.Assert(t, !results[0].Owner.IsValid() && len(results[0].Unsure) == 0)
-	assert.DeepEqual(t, results[0].Homes, []netip.Addr{agent(9)}, compareAddr)
+	assert.DeepEqual(t, results[0].Requesters, []netip.Addr{agent(9)}, compareAddr)
 }
 
 // One answer of three is lost. Asked all anew, the search would have had to hear everybody again, and in a fleet of hundreds would hardly
@@ -57,7 +57,7 @@
 func TestOnlyAgentsThatHaveNotAnsweredAreAskedAgain(t *testing.T) {
 	s := New(0)
 	there := agents(3)
-	s.Want(agent(9), question(1))
+	s.Add(agent(9), question(1))
 	round := s.Next(start, there)[0].Round
 	s.Answer(agent(0), round, one(msgs.NotHeld), there)
 	s.Answer(agent(2), round, one(msgs.NotHeld), there)
@@ -72,7 +72,7 @@
 // would have been reset.
 func TestAgentThatJoinsIsAskedBeforeARoundEnds(t *testing.T) {
 	s := New(0)
-	s.Want(agent(9), question(1))
+	s.Add(agent(9), question(1))
 	round := s.Next(start, agents(1))[0].Round
 	assert.Equal(t, len(s.Answer(agent(0), round, one(msgs.NotHeld), agents(2))), 0)
 	asks := s.Next(start.Add(time.Millisecond), agents(2))
@@ -86,10 +86,10 @@
 func TestFlowThatComesLateWaitsForTheNextRound(t *testing.T) {
 	s := New(0)
 	there := agents(2)
-	s.Want(agent(9), question(1))
+	s.Add(agent(9), question(1))
 	first := s.Next(start, there)[0].Round
 	s.Answer(agent(0), first, one(msgs.NotHeld), there)
-	s.Want(agent(9), question(2))
+	s.Add(agent(9), question(2))
 	results := s.Answer(agent(1), first, one(msgs.NotHeld), there)
 	assert.Equal(t, len(results), 1)
 	assert.Equal(t, results[0].Flow, question(1).Flow)
@@ -102,7 +102,7 @@
 // An instance is gone for good and its agent owes an answer. The round ends as soon as the platform says that it is gone.
 func TestAgentThatIsGoneOwesNoAnswer(t *testing.T) {
 	s := New(0)
-	s.Want(agent(9), question(1))
+	s.Add(agent(9), question(1))
 	round := s.Next(start, agents(2))[0].Round
 	s.Answer(agent(0), round, one(msgs.NotHeld), agents(2))
 	results, unheard := s.Expire(start.Add(time.Second), agents(1))
@@ -114,17 +114,17 @@
 func TestSilentAgentLeavesARoundWithoutResult(t *testing.T) {
 	s := New(0)
 	there := agents(2)
-	s.Want(agent(9), question(1))
-	s.Want(agent(9), question(2))
+	s.Add(agent(9), question(1))
+	s.Add(agent(9), question(2))
 	round := s.Next(start, there)[0].Round
 	s.Answer(agent(0), round, []msgs.Verdict{msgs.Unsure, msgs.NotHeld}, there)
-	sofar := s.SoFar(round)
+	sofar := s.PartialResults(round)
 	assert.Equal(t, len(sofar), 1)
 	assert.Assert(t, sofar[0].Partial && sofar[0].Flow == question(1).Flow)
 	results, unheard := s.Expire(start.Add(giveUp+time.Millisecond), there)
 	assert.Equal(t, len(results), 0)
 	assert.Equal(t, len(unheard), 1)
-	assert.DeepEqual(t, unheard[0].Silent, []netip.Addr{agent(1)}, compareAddr)
+	assert.DeepEqual(t, unheard[0].Unresponsive, []netip.Addr{agent(1)}, compareAddr)
 	assert.Equal(t, len(s.wanted), 0)
 }
 
@@ -132,7 +132,7 @@
 func TestForeignAnswersCountForNothing(t *testing.T) {
 	s := New(0)
 	there := agents(2)
-	s.Want(agent(9), question(1))
+	s.Add(agent(9), question(1))
 	round := s.Next(start, there)[0].Round
 	for range 2 {
 		assert.Equal(t, len(s.Answer(agent(0), round, one(msgs.NotHeld), there)), 0)
@@ -149,7 +149,7 @@
 	there := agents(100)
 	asked := 0
 	for i := range 100 {
-		s.Want(agent(9), question(i))
+		s.Add(agent(9), question(i))
 		for _, a := range s.Next(start.Add(time.Duration(i)*500*time.Microsecond), there) {
 			if a.Repeats == 0 {
 				asked += len(a.To)
@@ -173,7 +173,7 @@
 
 type questionTo struct {
 	to  netip.Addr
-	ask Ask
+	ask Query
 }
 
 type answerFrom struct {
@@ -215,7 +215,7 @@
 	if m.flows == 0 {
 		r.Skip("no flow")
 	}
-	m.seek.Want(agent(99), question(rapid.IntRange(1, m.flows).Draw(r, "flow")))
+	m.seek.Add(agent(99), question(rapid.IntRange(1, m.flows).Draw(r, "flow")))
 	m.send()
 }
 
--- a/internal/flow/segs/segs.go
+++ b/internal/flow/segs/segs.go
@@ -78,13 +78,13 @@
 	return Flow{}, fmt.Errorf("%q is not CALLER:PORT>ADDRESS:PORT", text)
 }
 
-// Called returns the address that the caller called.
-func (f Flow) Called() netip.AddrPort {
+// ServiceAddr returns the address that the caller called.
+func (f Flow) ServiceAddr() netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4(f.Service), f.Port)
 }
 
-// Size is the length in bytes of a flow in messages.
-const Size = 12
+// FlowSize is the length in bytes of a flow in messages.
+const FlowSize = 12
 
 // AppendTo appends the flow's bytes.
 func (f Flow) AppendTo(b []byte) []byte {
@@ -105,7 +105,7 @@
 // Hash is the same in every process. It decides which agent keeps the place of the
 // flow and which flows are logged.
 func (f Flow) Hash() uint64 {
-	var b [Size]byte
+	var b [FlowSize]byte
 	return xxhash.Sum64(f.AppendTo(b[:0]))
 }
 
@@ -138,8 +138,8 @@
 // once in 200,000 flows that two servers accepted.
 const firstData = 16 * 1200
 
-// Begins says whether ack can be a caller's first one to a server that began at seq.
-func Begins(ack, seq uint32) bool { return Distance(ack, seq) <= firstData }
+// IsFirstAck says whether ack can be a caller's first one to a server that began at seq.
+func IsFirstAck(ack, seq uint32) bool { return Distance(ack, seq) <= firstData }
 
 // End is an end of a flow. Nothing in a packet tells which end wrote it; the socket that it
 // came to does.
--- a/internal/flow/segs/segs_test.go
+++ b/internal/flow/segs/segs_test.go
@@ -21,8 +21,8 @@
 
 // Sequence numbers wrap; a server near the top of the range serves like any other.
 func TestFirstAcknowledgementOfAServer(t *testing.T) {
-	assert.Assert(t, Begins(1, 0))
-	assert.Assert(t, Begins(100, 0xffffffff-50))
-	assert.Assert(t, !Begins(0, 0))
-	assert.Assert(t, !Begins(1<<20, 0))
+	assert.Assert(t, IsFirstAck(1, 0))
+	assert.Assert(t, IsFirstAck(100, 0xffffffff-50))
+	assert.Assert(t, !IsFirstAck(0, 0))
+	assert.Assert(t, !IsFirstAck(1<<20, 0))
 }
--- a/internal/flow/table/table.go
+++ b/internal/flow/table/table.go
@@ -27,9 +27,9 @@
 
 // The verdicts.
 const (
-	Keep Verdict = iota // hand it to QUIC here
-	Pass                // send it to Decision.Server
-	Drop                // count it under Decision.Reason
+	Keep    Verdict = iota // hand it to QUIC here
+	Forward                // send it to Decision.Server
+	Drop                   // count it under Decision.Reason
 )
 
 // Reason says why a datagram was dropped.
@@ -37,8 +37,8 @@
 
 // The reasons.
 const (
-	Hops  Reason = "hops"  // names a server and was passed on too often all the same
-	Owner Reason = "owner" // names a server that the document does not have
+	TooManyHops   Reason = "hops"  // names a server and was passed on too often all the same
+	UnknownServer Reason = "owner" // names a server that the document does not have
 )
 
 // Stage says what the sender already found out.
@@ -46,9 +46,9 @@
 
 // The stages.
 const (
-	Fresh Stage = iota // from an entry
-	Ask                // the sender thinks that this agent may own the flow
-	Take               // the agents asked do not own it
+	Fresh   Stage = iota // from an entry
+	IfOwner              // the sender thinks that this agent may own the flow
+	NoOwner              // the agents asked do not own it
 )
 
 // remember is how long an opened flow is kept in mind: QUIC gives a handshake
@@ -62,13 +62,13 @@
 
 // Datagram is what is known of a datagram.
 type Datagram struct {
-	Key        uint64   // of the caller-chosen ID; meaningless when Named
-	Named      bool     // the ID names Server
-	Server     uint32   // when Named
-	Candidates []uint32 // otherwise, best first
-	Asked      bool     // the last candidate may own the flow by the document before
-	Stage      Stage
-	Hops       int
+	Key         uint64   // of the caller-chosen ID; meaningless when Named
+	NamesServer bool     // the ID names Server
+	Server      uint32   // when Named
+	Candidates  []uint32 // otherwise, best first
+	HasFormer   bool     // the last candidate may own the flow by the document before
+	Stage       Stage
+	Hops        int
 }
 
 // Decision is what to do.
@@ -107,7 +107,7 @@
 // Decide says what becomes of a datagram. Accepting says whether this server takes
 // new flows. It takes the flow into the table when it is to be kept.
 func (t *Table) Decide(now time.Time, d Datagram, accepting bool) Decision {
-	if d.Named {
+	if d.NamesServer {
 		return t.named(d)
 	}
 	t.turn(now)
@@ -121,10 +121,10 @@
 		// server's answer "not run" is one.
 		t.take(d.Key)
 		return Decision{Verdict: Keep}
-	case d.Stage == Ask:
+	case d.Stage == IfOwner:
 		return t.handBack(d)
-	case d.Stage == Fresh && d.Asked && last(d.Candidates) != t.own && !t.askedBefore(now, d.Key):
-		return Decision{Verdict: Pass, Server: last(d.Candidates), Stage: Ask}
+	case d.Stage == Fresh && d.HasFormer && last(d.Candidates) != t.own && !t.askedBefore(now, d.Key):
+		return Decision{Verdict: Forward, Server: last(d.Candidates), Stage: IfOwner}
 	case accepting:
 		t.take(d.Key)
 		return Decision{Verdict: Keep}
@@ -138,17 +138,17 @@
 		return Decision{Verdict: Keep}
 	}
 	if d.Hops >= t.maxHops {
-		return Decision{Verdict: Drop, Reason: Hops}
+		return Decision{Verdict: Drop, Reason: TooManyHops}
 	}
-	return Decision{Verdict: Pass, Server: d.Server, Stage: Fresh}
+	return Decision{Verdict: Forward, Server: d.Server, Stage: Fresh}
 }
 
 // handBack returns a datagram to the first candidate, which asked.
 func (t *Table) handBack(d Datagram) Decision {
 	if len(d.Candidates) == 0 {
-		return Decision{Verdict: Drop, Reason: Owner}
+		return Decision{Verdict: Drop, Reason: UnknownServer}
 	}
-	return Decision{Verdict: Pass, Server: d.Candidates[0], Stage: Take}
+	return Decision{Verdict: Forward, Server: d.Candidates[0], Stage: NoOwner}
 }
 
 // next passes a new flow on to the candidate behind this one. Where there is none,
@@ -166,7 +166,7 @@
 		t.take(d.Key)
 		return Decision{Verdict: Keep}
 	}
-	return Decision{Verdict: Pass, Server: after[0], Stage: Take}
+	return Decision{Verdict: Forward, Server: after[0], Stage: NoOwner}
 }
 
 // Owns says whether this agent keeps a flow that is being opened.
--- a/internal/flow/table/table_test.go
+++ b/internal/flow/table/table_test.go
@@ -14,7 +14,7 @@
 func walk(now time.Time, agents map[uint32]*Table, leaving map[uint32]bool, at uint32, d Datagram) (end uint32, hops int, last Decision) {
 	for {
 		last = agents[at].Decide(now, d, !leaving[at])
-		if last.Verdict != Pass {
+		if last.Verdict != Forward {
 			return at, d.Hops, last
 		}
 		at = last.Server
@@ -39,7 +39,7 @@
 	agents := newAgents(3)
 	end, _, _ := walk(now, agents, nil, 1, Datagram{Key: 9, Candidates: []uint32{1, 2, 3}})
 	assert.Equal(t, end, uint32(1))
-	end, hops, _ := walk(now, agents, nil, 2, Datagram{Key: 9, Candidates: []uint32{2, 3, 1}, Asked: true})
+	end, hops, _ := walk(now, agents, nil, 2, Datagram{Key: 9, Candidates: []uint32{2, 3, 1}, HasFormer: true})
 	assert.Equal(t, end, uint32(1))
 	assert.Equal(t, hops, 1)
 }
@@ -48,7 +48,7 @@
 // server 2 keeps it.
 func TestNewFlowIsHandedBack(t *testing.T) {
 	agents := newAgents(3)
-	end, hops, _ := walk(time.Unix(1000, 0), agents, nil, 2, Datagram{Key: 9, Candidates: []uint32{2, 3, 1}, Asked: true})
+	end, hops, _ := walk(time.Unix(1000, 0), agents, nil, 2, Datagram{Key: 9, Candidates: []uint32{2, 3, 1}, HasFormer: true})
 	assert.Equal(t, end, uint32(2))
 	assert.Equal(t, hops, 2)
 }
@@ -59,9 +59,9 @@
 func TestDeadFormerChoiceIsAskedOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	second := New(2, 100, maxHops)
-	d := Datagram{Key: 9, Candidates: []uint32{2, 3, 1}, Asked: true}
-	assert.Equal(t, second.Decide(now, d, true).Verdict, Pass)
-	assert.Equal(t, second.Decide(now.Add(time.Millisecond), d, true).Verdict, Pass)
+	d := Datagram{Key: 9, Candidates: []uint32{2, 3, 1}, HasFormer: true}
+	assert.Equal(t, second.Decide(now, d, true).Verdict, Forward)
+	assert.Equal(t, second.Decide(now.Add(time.Millisecond), d, true).Verdict, Forward)
 	assert.Equal(t, second.Decide(now.Add(300*time.Millisecond), d, true).Verdict, Keep)
 }
 
@@ -95,7 +95,7 @@
 // drop it, and the caller heard nothing. Found by TestHopsAreBounded.
 func TestLastHopKeeps(t *testing.T) {
 	leaving := map[uint32]bool{1: true, 4: true}
-	end, hops, d := walk(time.Unix(1000, 0), newAgents(4), leaving, 1, Datagram{Key: 1, Candidates: []uint32{1, 4, 2}, Asked: true})
+	end, hops, d := walk(time.Unix(1000, 0), newAgents(4), leaving, 1, Datagram{Key: 1, Candidates: []uint32{1, 4, 2}, HasFormer: true})
 	assert.Equal(t, d.Verdict, Keep)
 	assert.Equal(t, end, uint32(2))
 	assert.Equal(t, hops, maxHops)
@@ -109,16 +109,16 @@
 		leaving := rapid.MapOf(rapid.Uint32Range(1, 4), rapid.Bool()).Draw(t, "leaving")
 		for range rapid.IntRange(1, 20).Draw(t, "datagrams") {
 			d := Datagram{
-				Key:        rapid.Uint64Range(1, 5).Draw(t, "key"),
-				Named:      rapid.Bool().Draw(t, "named"),
-				Server:     rapid.Uint32Range(1, 4).Draw(t, "server"),
-				Candidates: rapid.SliceOfNDistinct(rapid.Uint32Range(1, 4), 1, 4, rapid.ID).Draw(t, "candidates"),
-				Asked:      rapid.Bool().Draw(t, "asked"),
+				Key:         rapid.Uint64Range(1, 5).Draw(t, "key"),
+				NamesServer: rapid.Bool().Draw(t, "named"),
+				Server:      rapid.Uint32Range(1, 4).Draw(t, "server"),
+				Candidates:  rapid.SliceOfNDistinct(rapid.Uint32Range(1, 4), 1, 4, rapid.ID).Draw(t, "candidates"),
+				HasFormer:   rapid.Bool().Draw(t, "asked"),
 			}
 			end, hops, last := walk(time.Unix(1000, 0), agents, leaving, rapid.Uint32Range(1, 4).Draw(t, "at"), d)
 			assert.Assert(t, hops <= maxHops)
 			assert.Equal(t, last.Verdict, Keep)
-			assert.Assert(t, !d.Named || end == d.Server && hops <= 1)
+			assert.Assert(t, !d.NamesServer || end == d.Server && hops <= 1)
 		}
 	})
 }
--- a/internal/load/bulk/bulk.go
+++ b/internal/load/bulk/bulk.go
@@ -112,7 +112,7 @@
 
 // isLong reports whether a flow is long enough to be delayed.
 func (g *Gate) isLong(f segs.Flow) bool {
-	return g.rate > 0 && g.avgBytes[f.Called()]/g.rate > longFlowTime.Seconds()
+	return g.rate > 0 && g.avgBytes[f.ServiceAddr()]/g.rate > longFlowTime.Seconds()
 }
 
 // hasRoom reports whether one more long flow may be under way.
@@ -141,7 +141,7 @@
 // half of those under way, send what they are expected to send.
 func (g *Gate) expectedWait(f segs.Flow) time.Duration {
 	before := float64(len(g.waiting)) + float64(g.activeLong())/2
-	return time.Duration(before * g.avgBytes[f.Called()] / g.rate * float64(time.Second))
+	return time.Duration(before * g.avgBytes[f.ServiceAddr()] / g.rate * float64(time.Second))
 }
 
 // Contains reports whether a flow is waiting to start.
@@ -184,7 +184,7 @@
 // finish removes a flow and learns from the number of bytes it has sent.
 func (g *Gate) finish(f segs.Flow, a *flow) {
 	delete(g.active, f)
-	called := f.Called()
+	called := f.ServiceAddr()
 	size, known := g.avgBytes[called]
 	switch {
 	case known:
--- a/internal/load/share/share.go
+++ b/internal/load/share/share.go
@@ -55,7 +55,7 @@
 	if final || own.Work < fullWork {
 		return Choice{Agent: own.Agent}
 	}
-	visited = append(visited, msgs.Visit{Agent: own.Agent, Work: own.Work})
+	visited = append(visited, msgs.Visit{Agent: own.Agent, Utilization: own.Work})
 	if len(visited) < maxVisits {
 		if agent, ok := pickUnvisited(visited, others, len(visited) < maxLocalVisits, random); ok {
 			return Choice{Agent: agent, Visited: visited}
@@ -63,7 +63,7 @@
 	}
 	best := visited[0]
 	for _, v := range visited[1:] {
-		if v.Work < best.Work {
+		if v.Utilization < best.Utilization {
 			best = v
 		}
 	}
--- a/internal/load/share/share_test.go
+++ b/internal/load/share/share_test.go
@@ -27,7 +27,7 @@
 // servers.
 func TestFlowLeavesAnOverloadedDomain(t *testing.T) {
 	others := []Server{{Agent: agent(2), SameDomain: true}, {Agent: agent(3), SameDomain: true}, {Agent: agent(4)}}
-	visited := []msgs.Visit{{Agent: agent(2), Work: 300}}
+	visited := []msgs.Visit{{Agent: agent(2), Utilization: 300}}
 	got := Next(Server{Agent: agent(1), Work: 150}, visited, false, others, pickFirst)
 	assert.Equal(t, got.Agent, agent(4))
 }
@@ -36,14 +36,14 @@
 	others := []Server{{Agent: agent(2)}, {Agent: agent(3), SameDomain: true}, {Agent: agent(4)}}
 	got := Next(Server{Agent: agent(1), Work: 150}, nil, false, others, pickFirst)
 	assert.Equal(t, got.Agent, agent(3))
-	assert.DeepEqual(t, got.Visited, []msgs.Visit{{Agent: agent(1), Work: 150}}, addrs)
+	assert.DeepEqual(t, got.Visited, []msgs.Visit{{Agent: agent(1), Utilization: 150}}, addrs)
 	assert.Assert(t, !got.Final)
 }
 
 // Guards against an opening packet that is forwarded forever if all servers are busy: the least busy of
 // the visited servers takes it.
 func TestLeastBusyOfTheVisitedTakesTheFlow(t *testing.T) {
-	visited := []msgs.Visit{{Agent: agent(1), Work: 300}, {Agent: agent(2), Work: 200}, {Agent: agent(3), Work: 400}}
+	visited := []msgs.Visit{{Agent: agent(1), Utilization: 300}, {Agent: agent(2), Utilization: 200}, {Agent: agent(3), Utilization: 400}}
 	got := Next(Server{Agent: agent(4), Work: 250}, visited, false, []Server{{Agent: agent(5)}}, pickFirst)
 	assert.Equal(t, got.Agent, agent(2))
 	assert.Assert(t, got.Final)
--- a/internal/node/agent/counts.go
+++ b/internal/node/agent/counts.go
@@ -45,8 +45,8 @@
 		wrongService: dropped("service"),
 		kind:         dropped("kind"),
 		foreign:      dropped("foreign"),
-		hops:         dropped(string(table.Hops)),
-		owner:        dropped(string(table.Owner)),
+		hops:         dropped(string(table.TooManyHops)),
+		owner:        dropped(string(table.UnknownServer)),
 		backlog:      dropped("backlog"),
 		unsent:       dropped("unsent"),
 		noPath:       dropped("path"),
@@ -70,7 +70,7 @@
 }
 
 func (c *counters) countDropped(r table.Reason) {
-	if r == table.Hops {
+	if r == table.TooManyHops {
 		c.hops.Inc()
 		return
 	}
--- a/internal/node/agent/link.go
+++ b/internal/node/agent/link.go
@@ -39,7 +39,7 @@
 	// of every connection.
 	mu    sync.Mutex
 	table *table.Table
-	paths *paths.Book
+	paths *paths.Selector
 }
 
 func newLink(a *Agent) *link {
@@ -117,7 +117,7 @@
 	switch h.Kind {
 	case frame.Echo:
 		l.mu.Lock()
-		l.paths.Sign(now, h.Entry, h.Flags&frame.Leaving != 0)
+		l.paths.MarkAlive(now, h.Entry, h.Flags&frame.Leaving != 0)
 		l.mu.Unlock()
 	case frame.Forward:
 		r.handleDatagram(now, v, b, payload)
@@ -154,22 +154,22 @@
 		return
 	}
 	d := table.Datagram{
-		Key:        key,
-		Named:      named,
-		Server:     owner.Server,
-		Candidates: h.Candidates,
-		Asked:      h.Flags&frame.Former != 0,
-		Stage:      stage(h.Flags),
-		Hops:       int(h.Hops),
+		Key:         key,
+		NamesServer: named,
+		Server:      owner.Server,
+		Candidates:  h.Candidates,
+		HasFormer:   h.Flags&frame.HasFormer != 0,
+		Stage:       stage(h.Flags),
+		Hops:        int(h.Hops),
 	}
 	l.mu.Lock()
-	l.paths.Heard(now, h.Entry, h.Caller, h.Flags&frame.Leaving != 0)
+	l.paths.Received(now, h.Entry, h.Caller, h.Flags&frame.Leaving != 0)
 	decision := l.table.Decide(now, d, a.availability.accepting())
 	l.mu.Unlock()
 	switch decision.Verdict {
 	case table.Keep:
 		l.packetConn.deliver(payload, h.Caller)
-	case table.Pass:
+	case table.Forward:
 		l.forward(v, h, decision, payload)
 	case table.Drop:
 		a.count.countDropped(decision.Reason)
@@ -178,10 +178,10 @@
 
 func stage(f frame.Flag) table.Stage {
 	switch {
-	case f&frame.Ask != 0:
-		return table.Ask
-	case f&frame.Take != 0:
-		return table.Take
+	case f&frame.IfOwner != 0:
+		return table.IfOwner
+	case f&frame.NoOwner != 0:
+		return table.NoOwner
 	default:
 		return table.Fresh
 	}
@@ -192,18 +192,18 @@
 	a := l.agent
 	to, ok := v.document.Server(d.Server)
 	if !ok {
-		a.count.countDropped(table.Owner)
+		a.count.countDropped(table.UnknownServer)
 		return
 	}
 	next := *h
 	next.Hops++
 	next.Server = d.Server
-	next.Flags = h.Flags &^ (frame.Ask | frame.Take)
+	next.Flags = h.Flags &^ (frame.IfOwner | frame.NoOwner)
 	switch d.Stage {
-	case table.Ask:
-		next.Flags |= frame.Ask
-	case table.Take:
-		next.Flags |= frame.Take
+	case table.IfOwner:
+		next.Flags |= frame.IfOwner
+	case table.NoOwner:
+		next.Flags |= frame.NoOwner
 	}
 	b := make([]byte, 0, frame.MaxSize+len(payload))
 	b = frame.Append(b, v.ring.Current(), &next)
--- a/internal/node/doubt/doubt_test.go
+++ b/internal/node/doubt/doubt_test.go
@@ -51,7 +51,7 @@
 func TestReportsExpireWhenPassedOn(t *testing.T) {
 	one, agents := newMonitor()
 	two, _ := newMonitor()
-	one.LearnFailed(now, []msgs.Silent{{Agent: addr(1), Age: 400}})
+	one.LearnFailed(now, []msgs.FailedAgent{{Agent: addr(1), Age: 400}})
 	assert.Assert(t, one.Failed(addr(1)))
 	at := now
 	for range 40 {
@@ -69,9 +69,9 @@
 // Guards against an older report that makes an agent count as failed although it is back.
 func TestOlderReportDoesNotFailALiveAgent(t *testing.T) {
 	w, _ := newMonitor()
-	w.LearnFailed(now, []msgs.Silent{{Agent: addr(1)}})
+	w.LearnFailed(now, []msgs.FailedAgent{{Agent: addr(1)}})
 	assert.Assert(t, w.MarkAlive(now.Add(tick), addr(1)), "the agent had failed")
-	w.LearnFailed(now.Add(2*tick), []msgs.Silent{{Agent: addr(1), Age: 200}})
+	w.LearnFailed(now.Add(2*tick), []msgs.FailedAgent{{Agent: addr(1), Age: 200}})
 	assert.Assert(t, !w.Failed(addr(1)))
 	w.SuspectUnlessSeen(now.Add(2*tick), addr(1))
 	assert.Assert(t, !w.Suspected(addr(1)), "something was received from the agent just now")
--- a/internal/node/doubt/told.go
+++ b/internal/node/doubt/told.go
@@ -18,7 +18,7 @@
 // LearnFailed takes over other processes' reports of failed agents. A report counts from the time when the
 // process that detected the failure was sure, until something is received from the agent or the report
 // expires. A report keeps its age when it is passed on, so that it can't circulate for ever.
-func (w *Monitor) LearnFailed(now time.Time, list []msgs.Silent) {
+func (w *Monitor) LearnFailed(now time.Time, list []msgs.FailedAgent) {
 	for _, s := range list {
 		at := now.Add(-time.Duration(s.Age) * time.Millisecond)
 		if at.After(w.reported[s.Agent]) && at.After(w.lastSeen[s.Agent]) && now.Sub(at) < reportTTL {
@@ -29,18 +29,18 @@
 
 // FailuresFor returns the failed agents to be sent to a process, both those that the observer detected and
 // those reported to it. It returns nil if there are none or the process was sent a list recently.
-func (w *Monitor) FailuresFor(now time.Time, process netip.Addr) (list []msgs.Silent) {
+func (w *Monitor) FailuresFor(now time.Time, process netip.Addr) (list []msgs.FailedAgent) {
 	if w.AllHealthy() || now.Sub(w.notified[process]) < notifyEvery {
 		return nil
 	}
 	for a, d := range w.suspects {
-		if d.Failed() && len(list) < msgs.MaxLost {
-			list = append(list, msgs.Silent{Agent: a})
+		if d.Failed() && len(list) < msgs.MaxFailed {
+			list = append(list, msgs.FailedAgent{Agent: a})
 		}
 	}
 	for a, at := range w.reported {
-		if d := w.suspects[a]; (d == nil || !d.Failed()) && len(list) < msgs.MaxLost {
-			list = append(list, msgs.Silent{Agent: a, Age: uint16(now.Sub(at).Milliseconds())})
+		if d := w.suspects[a]; (d == nil || !d.Failed()) && len(list) < msgs.MaxFailed {
+			list = append(list, msgs.FailedAgent{Agent: a, Age: uint16(now.Sub(at).Milliseconds())})
 		}
 	}
 	if len(list) > 0 {
--- a/internal/node/edge/bench_test.go
+++ b/internal/node/edge/bench_test.go
@@ -23,7 +23,7 @@
 }
 func (stubCodec) Restore([]byte)                                {}
 func (stubCodec) Reset(b []byte, _ segs.Segment) []byte         { return b }
-func (stubCodec) Noticed(netip.Addr, order.Revision)            {}
+func (stubCodec) ObserveRevision(netip.Addr, order.Revision)    {}
 func (stubCodec) Leaving(netip.Addr) bool                       { return false }
 func (stubCodec) Age(time.Time) (age time.Duration, known bool) { return 0, true }
 
@@ -60,7 +60,7 @@
 	flow := segs.Flow{Caller: [4]byte{100, 64, 0, 7}, CallerPort: 1025, Service: [4]byte{198, 18, 0, 1}, Port: 443}
 	log := belief.New()
 	log.Apply(time.Now(), belief.Change{To: 5, Full: true, Items: []belief.Item{{Key: "c", Revision: 1, Config: &belief.Config{
-		Version: 1, Routes: []belief.Route{{Called: flow.Called(), Shares: []belief.Share{{Service: "s", Weight: 1}}}},
+		Version: 1, Routes: []belief.Route{{Called: flow.ServiceAddr(), Shares: []belief.Share{{Service: "s", Weight: 1}}}},
 	}}}})
 	events := event.New(io.Discard, "entry", "e1")
 	defer events.Close()
--- a/internal/node/edge/bulk.go
+++ b/internal/node/edge/bulk.go
@@ -19,7 +19,7 @@
 	if c.Off.Bulk {
 		rate = 0
 	}
-	return bulk.New(rate, c.Callers.Patience()/2)
+	return bulk.New(rate, c.Callers.OpenWindow()/2)
 }
 
 // admit reports whether a new flow may be placed now. Otherwise the flow is queued, or it is refused.
@@ -69,12 +69,12 @@
 		return
 	}
 	v := e.Log.View()
-	route := v.Route(w.Flow.Called())
+	route := v.Route(w.Flow.ServiceAddr())
 	if route == nil {
 		e.unrouted(now, v, &s)
 		return
 	}
-	var p *owner.Places
+	var p *owner.EntryFlow
 	if p = e.flows.Add(now, w.Flow); p == nil {
 		e.refuse(now, &s, "full")
 		return
--- a/internal/node/edge/edge.go
+++ b/internal/node/edge/edge.go
@@ -43,7 +43,7 @@
 
 // Control is the part of package follow that an entry uses.
 type Control interface {
-	Noticed(from netip.Addr, revision order.Revision)
+	ObserveRevision(from netip.Addr, revision order.Revision)
 	Leaving(agent netip.Addr) bool
 	Age(now time.Time) (age time.Duration, ok bool)
 }
@@ -57,7 +57,7 @@
 	Prober doubt.Prober // its answers are passed to Entry.ProcessAlive and Entry.ProbeAnswered
 	Codec  segs.Codec
 	// Callers holds how long callers wait for a flow to open.
-	Callers segs.Callers
+	Callers segs.CallerTiming
 	Wire    Wire
 	Events  *event.Log
 	Bound   time.Duration // the longest time until a change takes effect
@@ -177,7 +177,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	v := e.Log.View()
-	route := v.Route(s.Flow.Called())
+	route := v.Route(s.Flow.ServiceAddr())
 	if route == nil {
 		e.unrouted(now, v, &s)
 		return
@@ -238,7 +238,7 @@
 	homeQueries.Inc()
 	e.Events.Flow(event.Ordinary, "asked", s.Flow).Stringer("home", home).Stringer("revision", v.Revision).Send()
 	e.notifyFailed(now, v, home)
-	e.send(v, home, msgs.Carry{AsHome: homeFailed, Packet: datagram})
+	e.send(v, home, msgs.Forward{AsHome: homeFailed, Packet: datagram})
 }
 
 // recordHomeQuery records that a home was queried about a flow. If the caller repeats the packet, the home
@@ -253,21 +253,21 @@
 	if p == nil {
 		return
 	}
-	p.Used = now
-	if p.Repeats(s) {
+	p.LastUsed = now
+	if p.Observe(s) {
 		e.suspect(now, home)
 	}
 }
 
 // forwardKnown forwards a packet of a flow that this entry knows to the flow's agent, or resets the flow if
 // the agent has failed. It returns false if the location of the flow is not known after all.
-func (e *Entry) forwardKnown(now time.Time, v *belief.View, p *owner.Places, s *segs.Segment, datagram []byte) bool {
-	agent, ok := p.For(s.Ack)
+func (e *Entry) forwardKnown(now time.Time, v *belief.View, p *owner.EntryFlow, s *segs.Segment, datagram []byte) bool {
+	agent, ok := p.AgentFor(s.Ack)
 	if !ok {
 		return false
 	}
-	p.Used = now
-	if p.Repeats(s) {
+	p.LastUsed = now
+	if p.Observe(s) {
 		e.suspect(now, agent)
 	}
 	switch {
@@ -284,14 +284,14 @@
 
 // forwardTo forwards a caller's packet to an agent.
 func (e *Entry) forwardTo(v *belief.View, agent netip.Addr, datagram []byte) {
-	e.send(v, agent, msgs.Carry{Packet: datagram})
+	e.send(v, agent, msgs.Forward{Packet: datagram})
 }
 
-func (e *Entry) send(v *belief.View, agent netip.Addr, m msgs.Carry) {
+func (e *Entry) send(v *belief.View, agent netip.Addr, m msgs.Forward) {
 	m.Origin, m.Domain = e.Self, belief.DomainHash(e.Domain)
 	m.Revision = v.Revision
 	if server, ok := v.Server(agent); ok {
-		m.Service = belief.Hash(server.Service)
+		m.Service = belief.ServiceHash(server.Service)
 	}
 	e.buf = m.AppendTo(e.buf[:0])
 	e.Wire.ToPeer(agent, e.buf)
--- a/internal/node/edge/evacuate.go
+++ b/internal/node/edge/evacuate.go
@@ -23,7 +23,7 @@
 // recordEvacuation records an agent's report that its failure domain is evacuated, if the agent's view is
 // newer than this entry's.
 func (e *Entry) recordEvacuation(v *belief.View, agent netip.Addr, m *msgs.Refused) {
-	if m.Why != msgs.WhyEvacuated || m.Revision <= v.Revision {
+	if m.Reason != msgs.ReasonEvacuated || m.Revision <= v.Revision {
 		return
 	}
 	if s, ok := v.Server(agent); ok {
--- a/internal/node/edge/lost.go
+++ b/internal/node/edge/lost.go
@@ -26,7 +26,7 @@
 // second, so nothing that its server sends reaches a caller either, since it goes by way of the agent.
 // Package doubt lists what looks like a failure and is none. In addition:
 //   - A server other than the first that this entry recorded may hold the flow, as after a freeze. Only
-//     flows whose owner is confirmed are reset (owner.Places).
+//     flows whose owner is confirmed are reset (owner.EntryFlow).
 
 // resetsPerTick paces the resets after a failure to 2,000 a second, so that the next attempts of those
 // callers don't all reach the remaining servers at once.
@@ -52,7 +52,7 @@
 	exempt := func(agent netip.Addr) bool { return e.reach.Failed() || e.Ctrl.Leaving(agent) }
 	for _, agent := range e.suspects.Tick(now, v.Homes.Agents(), exempt) {
 		before := len(e.toReset)
-		e.toReset = append(e.toReset, e.flows.Of(agent)...)
+		e.toReset = append(e.toReset, e.flows.OwnedBy(agent)...)
 		e.Events.State("agent-lost").Stringer("agent", agent).Int("flows", len(e.toReset)-before).Stringer("revision", v.Revision).Send()
 	}
 }
@@ -64,7 +64,7 @@
 	if len(list) == 0 {
 		return
 	}
-	m := msgs.Lost{Head: msgs.Head{Revision: v.Revision}, Agents: list}
+	m := msgs.Failed{Header: msgs.Header{Revision: v.Revision}, Agents: list}
 	e.buf = m.AppendTo(e.buf[:0])
 	e.Wire.ToPeer(home, e.buf)
 }
@@ -85,7 +85,7 @@
 }
 
 // reset resets an open flow and deletes it.
-func (e *Entry) reset(now time.Time, f segs.Flow, p *owner.Places) {
+func (e *Entry) reset(now time.Time, f segs.Flow, p *owner.EntryFlow) {
 	e.flows.Delete(f)
 	e.packet = e.Codec.Reset(e.packet[:0], segs.Segment{Flow: f, Flags: segs.Ack, Ack: p.Ack})
 	e.Wire.ToCaller(f.Caller, e.packet)
--- a/internal/node/edge/peer.go
+++ b/internal/node/edge/peer.go
@@ -11,17 +11,17 @@
 )
 
 // FromPeer handles a message about flows from an agent. It reports whether the message is of such a kind.
-func (e *Entry) FromPeer(now time.Time, from netip.Addr, h msgs.Head, rest []byte) bool {
+func (e *Entry) FromPeer(now time.Time, from netip.Addr, h msgs.Header, rest []byte) bool {
 	var err error
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch h.Kind {
 	case msgs.KindOpened:
-		err = msgs.Take(h, rest, msgs.ReadOpened, func(m msgs.Opened) { e.opened(now, from, m) })
+		err = msgs.Handle(h, rest, msgs.ReadOpened, func(m msgs.Opened) { e.opened(now, from, m) })
 	case msgs.KindRefused:
-		err = msgs.Take(h, rest, msgs.ReadRefused, func(m msgs.Refused) { e.returned(now, from, m) })
+		err = msgs.Handle(h, rest, msgs.ReadRefused, func(m msgs.Refused) { e.returned(now, from, m) })
 	case msgs.KindOwner:
-		err = msgs.Take(h, rest, msgs.ReadOwner, func(m msgs.Owner) { e.recordOwner(now, from, m) })
+		err = msgs.Handle(h, rest, msgs.ReadOwner, func(m msgs.Owner) { e.recordOwner(now, from, m) })
 	default:
 		return false
 	}
@@ -38,7 +38,7 @@
 	e.chooser.Accepted(from)
 	e.chooser.Report(now, from, m.Load)
 	if p := e.flows.Get(m.Flow); p != nil {
-		p.Opened(from, m.Seq)
+		p.MarkAccepted(from, m.Seq)
 	}
 }
 
@@ -49,8 +49,8 @@
 		countDropped("malformed")
 		return
 	}
-	countReturned(m.Why.String())
-	e.Events.Flow(event.Failure, "turned-back", s.Flow).Stringer("agent", from).Stringer("why", m.Why).
+	countReturned(m.Reason.String())
+	e.Events.Flow(event.Failure, "turned-back", s.Flow).Stringer("agent", from).Stringer("why", m.Reason).
 		Uint16("busy", m.Load.Busy).Uint16("flows", m.Load.Flows).Stringer("revision", m.Revision).Send()
 	e.chooser.Refused(now, from)
 	p := e.flows.Get(s.Flow)
@@ -60,36 +60,36 @@
 			return
 		}
 	}
-	if m.Why == msgs.WhyBusy {
+	if m.Reason == msgs.ReasonBusy {
 		e.refuse(now, &s, "busy") // the request was offered to several agents, and none can serve it in time
 		return
 	}
-	p.Returned(from)
-	if p.Told || lastOpened(p) {
+	p.MarkReturned(from)
+	if p.Claimed || lastOpened(p) {
 		return // another server has accepted the flow meanwhile
 	}
 	v := e.Log.View()
 	e.recordEvacuation(v, from, &m)
-	route := v.Route(s.Flow.Called())
+	route := v.Route(s.Flow.ServiceAddr())
 	if route == nil {
 		e.unrouted(now, v, &s)
 		return
 	}
-	p.HandedBack = true
+	p.Returned = true
 	tried := append(p.Tried(), from)
-	p.Drop(from)
+	p.Remove(from)
 	e.place(now, v, route, p, &s, tried, m.Packet)
 }
 
 // lastOpened reports whether the last agent that the flow was offered to has opened it.
-func lastOpened(p *owner.Places) bool {
+func lastOpened(p *owner.EntryFlow) bool {
 	last := p.Last()
-	return last != nil && last.Opened
+	return last != nil && last.Accepted
 }
 
 // recordOwner records the location of a flow as its owner reports it.
 func (e *Entry) recordOwner(now time.Time, from netip.Addr, m msgs.Owner) {
-	if m.Gone {
+	if m.NoOwner {
 		e.flows.Delete(m.Flow)
 		return
 	}
@@ -97,7 +97,7 @@
 	if p == nil {
 		return
 	}
-	p.Told = true
+	p.Claimed = true
 	if m.Open {
 		p.Owner = from
 	}
--- a/internal/node/edge/place.go
+++ b/internal/node/edge/place.go
@@ -28,54 +28,54 @@
 			return
 		}
 	} else if last := p.Last(); last != nil && !e.retryElsewhere(now, p, last, s) {
-		p.Used = now
+		p.LastUsed = now
 		e.forwardTo(v, last.Agent, datagram)
 		return
 	}
-	p.Used = now
+	p.LastUsed = now
 	e.place(now, v, route, p, s, p.Tried(), datagram)
 }
 
 // retryElsewhere reports whether a copy of an opening packet is offered to an agent other than the last
 // one, because the last one has not answered. That agent gets no new flows for a while.
-func (e *Entry) retryElsewhere(now time.Time, p *owner.Places, last *owner.Candidate, s *segs.Segment) bool {
-	if last.Opened || p.Told {
+func (e *Entry) retryElsewhere(now time.Time, p *owner.EntryFlow, last *owner.Candidate, s *segs.Segment) bool {
+	if last.Accepted || p.Claimed {
 		return false // the answer to the caller was lost or is still in transit
 	}
 	e.chooser.NoReply(now, last.Agent)
 	e.suspect(now, last.Agent)
 	unanswered.Inc()
 	e.Events.Flow(event.Failure, "unanswered", s.Flow).Stringer("agent", last.Agent).Uint32("copy", s.Ack).Send()
-	return p.Tries < maxTries
+	return p.Attempts < maxTries
 }
 
 // place sends an opening packet to the best agent that has not been tried.
-func (e *Entry) place(now time.Time, v *belief.View, route *belief.Route, p *owner.Places, s *segs.Segment, tried []netip.Addr, datagram []byte) {
+func (e *Entry) place(now time.Time, v *belief.View, route *belief.Route, p *owner.EntryFlow, s *segs.Segment, tried []netip.Addr, datagram []byte) {
 	candidates := e.candidates(now, v, route, s.Flow)
 	agent, ok := e.chooser.Choose(now, candidates, tried)
-	if !ok || p.Tries >= maxTries {
+	if !ok || p.Attempts >= maxTries {
 		e.unplaceable(now, v, route, p, s, datagram, len(candidates))
 		return
 	}
 	p.Candidates = append(p.Candidates, owner.Candidate{Agent: agent})
-	p.Tries++
+	p.Attempts++
 	e.chooser.Placed(agent)
 	if !e.Off.Reach {
 		e.reach.Sent(now)
 	}
 	placed.Inc()
 	class := event.Ordinary
-	if p.Tries > 1 {
+	if p.Attempts > 1 {
 		class = event.Failure
 	}
-	e.Events.Flow(class, "placed", s.Flow).Stringer("agent", agent).Int("try", p.Tries).
+	e.Events.Flow(class, "placed", s.Flow).Stringer("agent", agent).Int("try", p.Attempts).
 		Int64("version", v.Version()).Stringer("revision", v.Revision).Send()
-	e.send(v, agent, msgs.Carry{Insist: p.HandedBack, Packet: datagram})
+	e.send(v, agent, msgs.Forward{LastResort: p.Returned, Packet: datagram})
 }
 
 // unplaceable handles a new flow for which no further server is available. While an agent may still answer,
 // the caller's copy is sent to that agent again. Otherwise the flow is refused.
-func (e *Entry) unplaceable(now time.Time, v *belief.View, route *belief.Route, p *owner.Places, s *segs.Segment, datagram []byte, servers int) {
+func (e *Entry) unplaceable(now time.Time, v *belief.View, route *belief.Route, p *owner.EntryFlow, s *segs.Segment, datagram []byte, servers int) {
 	if last := p.Last(); last != nil {
 		e.forwardTo(v, last.Agent, datagram)
 		return
--- a/internal/node/entry/inward.go
+++ b/internal/node/entry/inward.go
@@ -98,7 +98,7 @@
 		s.count.foreign.Inc()
 		return false
 	}
-	if err := packet.CheckOpener(datagram, h); err != nil {
+	if err := packet.CheckOpening(datagram, h); err != nil {
 		s.count.countInvalid(err)
 		return false
 	}
@@ -109,8 +109,8 @@
 	}
 	w.frame.Server = c.Server
 	w.frame.Candidates = c.Candidates
-	if c.Asked {
-		w.frame.Flags |= frame.Former
+	if c.HasFormer {
+		w.frame.Flags |= frame.HasFormer
 	}
 	s.count.ranked.Inc()
 	s.recordOpened(now, c.Server)
@@ -146,7 +146,7 @@
 // countInvalid counts a datagram that can't be read.
 func (c *counters) countInvalid(err error) {
 	switch {
-	case errors.Is(err, packet.ErrOpener):
+	case errors.Is(err, packet.ErrOpening):
 		c.smallOpener.Inc()
 	default:
 		c.short.Inc()
--- a/internal/node/entry/services.go
+++ b/internal/node/entry/services.go
@@ -47,7 +47,7 @@
 
 	// mu guards the fields below, from which snapshots are made.
 	mu              sync.Mutex
-	watch           *route.Watch
+	watch           *route.Detector
 	weights         *shift.Weights
 	lastStep        time.Time            // when weights last moved
 	leavingReported map[uint32]time.Time // when a server last reported that it is leaving
@@ -89,7 +89,7 @@
 func (e *Entry) apply(v *store.View) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, d := range v.Entries {
+	for _, d := range v.Documents {
 		s := e.services[d.Name]
 		if s == nil {
 			s = newService(d.Name)
@@ -113,7 +113,7 @@
 	return &service{
 		name:            name,
 		tag:             ident.ServiceTag(name),
-		watch:           route.NewWatch(),
+		watch:           route.NewDetector(),
 		weights:         shift.New(shift.Default),
 		leavingReported: make(map[uint32]time.Time),
 		count:           newCounters(name),
@@ -122,7 +122,7 @@
 
 // setDocument puts a document of a service in force. If the document names an unknown key, the last valid
 // document stays in force.
-func (e *Entry) setDocument(s *service, d *store.Entry) {
+func (e *Entry) setDocument(s *service, d *store.Document) {
 	ring, err := rings.New(e.settings.Keys, d.Service)
 	if err != nil {
 		s.count.unusable.Inc()
@@ -133,10 +133,10 @@
 	defer s.mu.Unlock()
 	now := time.Now()
 	if old := s.current.Load(); old != nil && !slices.Equal(ids(old.document), ids(d.Service)) {
-		s.previous = old.table.Now
+		s.previous = old.table.Current
 		s.serversChanged = now
 	}
-	s.watch.Keep(ids(d.Service))
+	s.watch.Retain(ids(d.Service))
 	maps.DeleteFunc(s.leavingReported, func(id uint32, _ time.Time) bool {
 		_, ok := d.Service.Server(id)
 		return !ok
@@ -165,20 +165,20 @@
 // publish updates a snapshot with the present state of the servers and makes it current. The caller holds
 // s.mu.
 func (s *service) publish(now time.Time, next *snapshot) {
-	next.table.Now = nil
+	next.table.Current = nil
 	shares := s.weights.Weights()
 	for i := range next.document.Servers {
 		d := &next.document.Servers[i]
-		next.table.Now = append(next.table.Now, route.Server{
-			ID:      d.ID,
-			Weight:  coarseWeight(shares, d.ID),
-			Leaving: d.State == docs.Leaving || s.isLeaving(now, d.ID),
-			Silent:  s.watch.Silent(now, d.ID),
+		next.table.Current = append(next.table.Current, route.Server{
+			ID:           d.ID,
+			Weight:       coarseWeight(shares, d.ID),
+			Leaving:      d.State == docs.Leaving || s.isLeaving(now, d.ID),
+			Unresponsive: s.watch.Unresponsive(now, d.ID),
 		})
 	}
-	next.table.Before = nil
+	next.table.Previous = nil
 	if now.Sub(s.serversChanged) < previousFor {
-		next.table.Before = s.previous
+		next.table.Previous = s.previous
 	}
 	s.current.Store(next)
 }
@@ -238,7 +238,7 @@
 	if _, ok := s.current.Load().agents[server]; !ok {
 		return // of another document; only servers of the one in force are tracked, so that memory stays bounded
 	}
-	changed := s.watch.Heard(now, server)
+	changed := s.watch.Received(now, server)
 	s.weights.Report(now, server, shift.Load{Demand: float64(h.Load) / loadScale, Leaving: leaving})
 	changed = changed || s.isLeaving(now, server) != leaving
 	delete(s.leavingReported, server)
@@ -254,7 +254,7 @@
 func (s *service) recordOpened(now time.Time, server uint32) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.watch.Opened(now, server) {
+	if s.watch.SentOpening(now, server) {
 		s.count.silent.Inc()
 		s.refresh(now)
 	}
--- a/internal/node/entry/services_test.go
+++ b/internal/node/entry/services_test.go
@@ -27,14 +27,14 @@
 	now := time.Unix(1000, 0)
 	s := twoServers(now)
 	s.recordFrame(now, &frame.Header{Server: 1, Flags: frame.Leaving})
-	assert.Assert(t, s.current.Load().table.Now[0].Leaving)
+	assert.Assert(t, s.current.Load().table.Current[0].Leaving)
 	now = now.Add(leavingFor / 2)
 	s.recordFrame(now, &frame.Header{Server: 1, Flags: frame.Leaving}) // the server still has feeds
 	now = now.Add(leavingFor - 1)
 	s.refresh(now)
-	assert.Assert(t, s.current.Load().table.Now[0].Leaving)
+	assert.Assert(t, s.current.Load().table.Current[0].Leaving)
 	s.refresh(now.Add(1))
-	assert.Assert(t, !s.current.Load().table.Now[0].Leaving)
+	assert.Assert(t, !s.current.Load().table.Current[0].Leaving)
 }
 
 // Guards against state of servers that the document no longer has: servers are replaced for months, and the
--- a/internal/node/entry/status.go
+++ b/internal/node/entry/status.go
@@ -44,7 +44,7 @@
 	defer s.mu.Unlock()
 	v := s.current.Load()
 	out := Service{Name: s.name, Revision: v.revision, Address: v.document.Address.String()}
-	for i, r := range v.table.Now {
+	for i, r := range v.table.Current {
 		d := &v.document.Servers[i]
 		server := Server{ID: d.ID, Name: d.Name, Agent: d.Agent, State: "serving", Weight: r.Weight}
 		switch {
@@ -52,7 +52,7 @@
 			server.State, server.Reason = "leaving", "its own word"
 		case r.Leaving:
 			server.State, server.Reason = "leaving", "document"
-		case r.Silent:
+		case r.Unresponsive:
 			server.State, server.Reason = "silent", "no frame after flows were opened"
 		}
 		out.Servers = append(out.Servers, server)
--- a/internal/node/entry/woken.go
+++ b/internal/node/entry/woken.go
@@ -35,8 +35,8 @@
 func (s *service) resetBeliefs(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.watch = route.NewWatch()
-	s.watch.Keep(ids(s.current.Load().document))
+	s.watch = route.NewDetector()
+	s.watch.Retain(ids(s.current.Load().document))
 	clear(s.leavingReported)
 	s.refresh(now)
 }
--- a/internal/node/local/caller.go
+++ b/internal/node/local/caller.go
@@ -14,7 +14,7 @@
 )
 
 // handleCarry processes a caller's packet that was sent by an entry or another agent.
-func (a *Agent) handleCarry(now time.Time, from netip.Addr, m msgs.Carry) {
+func (a *Agent) handleCarry(now time.Time, from netip.Addr, m msgs.Forward) {
 	s, err := a.Codec.Decode(m.Packet, segs.CallerEnd)
 	if err != nil || s.Has(segs.Returned) {
 		countDropped("malformed")
@@ -48,15 +48,15 @@
 }
 
 // handleOpening processes an opening packet that an entry has placed at this agent.
-func (a *Agent) handleOpening(now time.Time, m msgs.Carry, s *segs.Segment) {
-	a.placeOpening(now, msgs.Offer{Head: m.Head, Origin: m.Origin, Insist: m.Insist, Packet: m.Packet}, s)
+func (a *Agent) handleOpening(now time.Time, m msgs.Forward, s *segs.Segment) {
+	a.placeOpening(now, msgs.Offer{Header: m.Header, Origin: m.Origin, LastResort: m.LastResort, Packet: m.Packet}, s)
 }
 
 // placeOpening gives an opening packet to the local server, offers it to a less busy one, or returns it to the
 // entry.
 func (a *Agent) placeOpening(now time.Time, m msgs.Offer, s *segs.Segment) {
 	if o := a.flows.Get(s.Flow); o != nil {
-		o.Used = now
+		o.LastUsed = now
 		a.Wire.ToServer(m.Packet) // a retransmission: the server's answer was lost or is on its way
 		return
 	}
@@ -88,11 +88,11 @@
 		FirstSent: now.Add(-a.Callers.Age(s.Ack)),
 		Packet:    slices.Clone(m.Packet),
 	}
-	if r := a.Log.View().Route(s.Flow.Called()); r != nil {
+	if r := a.Log.View().Route(s.Flow.ServiceAddr()); r != nil {
 		w.Priority, w.Target = r.Priority, r.Target
 	}
 	if evicted := a.waiting.Add(now, w, a.waitingLimit(now)); evicted != nil {
-		a.returnWaitingFlow(now, evicted, msgs.WhyBusy)
+		a.returnWaitingFlow(now, evicted, msgs.ReasonBusy)
 		if evicted == w {
 			return
 		}
@@ -118,7 +118,7 @@
 	if rate <= 0 || !a.warmUp.Cold(now) {
 		return limit
 	}
-	return min(limit, max(1, int(rate*a.Callers.Patience().Seconds())))
+	return min(limit, max(1, int(rate*a.Callers.OpenWindow().Seconds())))
 }
 
 // admit gives waiting flows to the server while it has free slots.
@@ -128,13 +128,13 @@
 		if a.Off.Waiting {
 			expected = 0
 		}
-		w := a.waiting.Next(now, expected, a.slots(), a.Log.View().Lowest)
+		w := a.waiting.Next(now, expected, a.slots(), a.Log.View().LowestPriority)
 		if w == nil {
 			return
 		}
 		o := a.flows.Add(now, w.Flow)
 		if o == nil {
-			a.returnWaitingFlow(now, w, msgs.WhyTable)
+			a.returnWaitingFlow(now, w, msgs.ReasonTable)
 			continue
 		}
 		o.Origin = w.Origin
@@ -147,13 +147,13 @@
 }
 
 // returnAllWaiting returns all waiting flows to their entries.
-func (a *Agent) returnAllWaiting(now time.Time, why msgs.Why) {
+func (a *Agent) returnAllWaiting(now time.Time, why msgs.Reason) {
 	for _, w := range a.waiting.Clear() {
 		a.returnWaitingFlow(now, w, why)
 	}
 }
 
-func (a *Agent) returnWaitingFlow(now time.Time, w *hold.QueuedFlow, why msgs.Why) {
+func (a *Agent) returnWaitingFlow(now time.Time, w *hold.QueuedFlow, why msgs.Reason) {
 	s := segs.Segment{Flow: w.Flow}
 	a.returnOpening(now, w.Origin, &s, w.Packet, why)
 }
@@ -197,34 +197,34 @@
 	a.Wire.ToPeer(next.Agent, a.buf)
 	offers.Inc()
 	a.Events.Flow(event.Ordinary, "offered", s.Flow).Stringer("agent", next.Agent).Bool("final", next.Final).
-		Int("visited", len(next.Visited)).Uint16("work", next.Visited[len(next.Visited)-1].Work).Stringer("revision", m.Revision).Send()
+		Int("visited", len(next.Visited)).Uint16("work", next.Visited[len(next.Visited)-1].Utilization).Stringer("revision", m.Revision).Send()
 }
 
 // refusalReason returns why no new flow may go to the server, or 0 if it may.
-func (a *Agent) refusalReason(now time.Time, m msgs.Offer, s *segs.Segment) msgs.Why {
+func (a *Agent) refusalReason(now time.Time, m msgs.Offer, s *segs.Segment) msgs.Reason {
 	v := a.Log.View()
 	switch {
 	case m.Service != 0 && m.Service != a.hash:
 		// The address belonged to a server of another service until a moment ago, and the entry has not
 		// received the update yet. Without this check the flow would run on a server of the wrong service.
-		return msgs.WhyService
+		return msgs.ReasonService
 	case v.Evacuated(a.Domain):
-		return msgs.WhyEvacuated
+		return msgs.ReasonEvacuated
 	case a.leaving:
-		return msgs.WhyLeaving
+		return msgs.ReasonLeaving
 	case now.Sub(a.lastDown) < downFor:
-		return msgs.WhyDown
+		return msgs.ReasonDown
 	case a.unresponsive(now):
-		return msgs.WhyMute
-	case !m.Insist && (!a.breaker.Allows(now) || !a.quick.Allows(now)):
-		return msgs.WhyFails
-	case v.Revision > m.Revision && v.Config != nil && !v.Allows(s.Flow.Called(), a.Service):
+		return msgs.ReasonUnresponsive
+	case !m.LastResort && (!a.breaker.Allows(now) || !a.quick.Allows(now)):
+		return msgs.ReasonFailing
+	case v.Revision > m.Revision && v.Config != nil && !v.Allows(s.Flow.ServiceAddr(), a.Service):
 		// The entry's configuration is outdated, for example because its process was frozen and has just
 		// resumed with an old route.
-		return msgs.WhyRoute
+		return msgs.ReasonRoute
 	}
 	if self, ok := a.self(v); ok && self.State == belief.Draining {
-		return msgs.WhyDraining
+		return msgs.ReasonDraining
 	}
 	return 0
 }
@@ -253,8 +253,8 @@
 }
 
 // returnOpening returns an opening packet that no server has taken to the entry.
-func (a *Agent) returnOpening(now time.Time, origin netip.Addr, s *segs.Segment, packet []byte, why msgs.Why) {
-	m := msgs.Refused{Head: a.head(), Why: why, Load: a.flows.Load(now), Packet: packet}
+func (a *Agent) returnOpening(now time.Time, origin netip.Addr, s *segs.Segment, packet []byte, why msgs.Reason) {
+	m := msgs.Refused{Header: a.head(), Reason: why, Load: a.flows.Load(now), Packet: packet}
 	a.buf = m.AppendTo(a.buf[:0])
 	a.Wire.ToPeer(origin, a.buf)
 	countReturned(why.String())
@@ -264,25 +264,25 @@
 
 // routePacket forwards a packet of a flow that the local server does not hold: to the owner if this agent is
 // the flow's home, to the home otherwise.
-func (a *Agent) routePacket(now time.Time, m msgs.Carry, s *segs.Segment) {
+func (a *Agent) routePacket(now time.Time, m msgs.Forward, s *segs.Segment) {
 	if m.Hops >= maxHops {
 		countDropped("hops")
 		a.Events.Flow(event.Failure, "circled", s.Flow).Uint8("hops", m.Hops).Stringer("revision", a.Log.Revision()).Send()
 		return
 	}
-	if m.Named {
+	if m.ToOwner {
 		// Either the home's record is from before this agent's restart, or the server has closed the flow. The
 		// home would only send the packet here again, until it is dropped.
 		a.startLookup(now, m, s)
 		return
 	}
-	if owner, ok := a.home.Find(s.Flow, s.Ack); ok && owner != a.Self {
+	if owner, ok := a.home.Owner(s.Flow, s.Ack); ok && owner != a.Self {
 		if a.suspects.Failed(owner) {
 			a.startLookup(now, m, s)
 			return
 		}
 		a.keepForwarded(now, owner, m, s)
-		m.Named = true
+		m.ToOwner = true
 		a.forward(owner, m)
 		return
 	}
@@ -294,10 +294,10 @@
 	a.forward(home, m)
 }
 
-func (a *Agent) forward(to netip.Addr, m msgs.Carry) {
+func (a *Agent) forward(to netip.Addr, m msgs.Forward) {
 	m.Hops++
 	m.AsHome = false
-	m.Head = a.head()
+	m.Header = a.head()
 	m.Service = 0
 	a.buf = m.AppendTo(a.buf[:0])
 	a.Wire.ToPeer(to, a.buf)
@@ -306,7 +306,7 @@
 
 // sendOwner sends an entry the location of a flow.
 func (a *Agent) sendOwner(entry netip.Addr, m msgs.Owner) {
-	m.Head = a.head()
+	m.Header = a.head()
 	a.buf = m.AppendTo(a.buf[:0])
 	a.Wire.ToPeer(entry, a.buf)
 }
--- a/internal/node/local/evacuate.go
+++ b/internal/node/local/evacuate.go
@@ -22,7 +22,7 @@
 		return
 	}
 	a.wasEvacuated = true
-	a.returnAllWaiting(now, msgs.WhyEvacuated)
+	a.returnAllWaiting(now, msgs.ReasonEvacuated)
 }
 
 // updateEvacuatedFlows sets the metric of flows that are still open in an evacuated domain, so that an operator
--- a/internal/node/local/fails.go
+++ b/internal/node/local/fails.go
@@ -29,7 +29,7 @@
 		return
 	}
 	for f, o := range a.flows.All {
-		if o.Resting() {
+		if o.Idle() {
 			a.pendingResets = append(a.pendingResets, f)
 		}
 	}
@@ -49,7 +49,7 @@
 func (a *Agent) resetIdleFlows(now time.Time) {
 	n := min(len(a.pendingResets), resetsPerTick)
 	for _, f := range a.pendingResets[:n] {
-		if o := a.flows.Get(f); o != nil && o.Resting() {
+		if o := a.flows.Get(f); o != nil && o.Idle() {
 			a.endFlow(now, o, &segs.Segment{Flow: f, Flags: segs.Ack, Ack: o.Ack}, "fails")
 		}
 	}
@@ -59,7 +59,7 @@
 // checkResponseTime records how long an answer took. A server that answers far too fast fails its requests
 // (package quick) and gets few new flows; its open flows continue, as some of its answers may be valid.
 func (a *Agent) checkResponseTime(now time.Time, f segs.Flow, elapsed time.Duration) {
-	if a.Off.Quick || !a.quick.RecordAnswer(now, f.Called(), elapsed) {
+	if a.Off.Quick || !a.quick.RecordAnswer(now, f.ServiceAddr(), elapsed) {
 		return
 	}
 	a.Events.State("server-too-fast").Stringer("server", a.Backend).Bool("failing", a.quick.Open()).Dur("took", elapsed).Send()
--- a/internal/node/local/lead.go
+++ b/internal/node/local/lead.go
@@ -16,7 +16,7 @@
 
 // enqueueQuestion adds a home's question to the next round.
 func (a *Agent) enqueueQuestion(now time.Time, home netip.Addr, q msgs.Question) {
-	if !a.rounds.Want(home, q) {
+	if !a.rounds.Add(home, q) {
 		countDropped("searches")
 		return
 	}
@@ -26,7 +26,7 @@
 // sendQuestions sends the questions that are due.
 func (a *Agent) sendQuestions(now time.Time) {
 	for _, ask := range a.rounds.Next(now, a.expectedAgents()) {
-		find := msgs.Find{Head: a.head(), Round: ask.Round, Questions: ask.Questions}
+		find := msgs.Query{Header: a.head(), Round: ask.Round, Questions: ask.Questions}
 		a.buf = find.AppendTo(a.buf[:0])
 		for _, to := range ask.To {
 			if to != a.Self {
@@ -37,21 +37,21 @@
 		if ask.Repeats == 0 {
 			rounds.Inc()
 		}
-		if ask.Repeats >= seek.Slow {
+		if ask.Repeats >= seek.SlowRepeats {
 			a.suspectAll(now, ask.To)
 		}
-		if ask.Repeats == seek.Slow {
+		if ask.Repeats == seek.SlowRepeats {
 			a.logUnresponsive(ask)
-			a.sendResults(now, a.rounds.SoFar(ask.Round))
+			a.sendResults(now, a.rounds.PartialResults(ask.Round))
 		}
 		if slices.Contains(ask.To, a.Self) {
-			a.handleAnswer(now, a.Self, msgs.Found{Round: ask.Round, Verdicts: a.verdicts(now, ask.Questions)})
+			a.handleAnswer(now, a.Self, msgs.QueryAnswer{Round: ask.Round, Verdicts: a.verdicts(now, ask.Questions)})
 		}
 	}
 }
 
 // logUnresponsive logs why lookups take long: some agents have not answered a repeated question either.
-func (a *Agent) logUnresponsive(ask seek.Ask) {
+func (a *Agent) logUnresponsive(ask seek.Query) {
 	for _, q := range ask.Questions {
 		a.Events.Flow(event.Failure, "unheard", q.Flow).Int("agents", len(ask.To)).Stringer("agent", ask.To[0]).
 			Stringer("revision", a.Log.Revision()).Send()
@@ -83,25 +83,25 @@
 func (a *Agent) complete(now time.Time) bool { return a.server.newer || now.Sub(a.Started) > a.MaxLife }
 
 // answerQuestions answers a lead's questions.
-func (a *Agent) answerQuestions(now time.Time, from netip.Addr, m msgs.Find) {
-	answer := msgs.Found{Head: a.head(), Round: m.Round, Verdicts: a.verdicts(now, m.Questions)}
+func (a *Agent) answerQuestions(now time.Time, from netip.Addr, m msgs.Query) {
+	answer := msgs.QueryAnswer{Header: a.head(), Round: m.Round, Verdicts: a.verdicts(now, m.Questions)}
 	a.buf = answer.AppendTo(a.buf[:0])
 	a.Wire.ToPeer(from, a.buf)
 }
 
 // handleAnswer records an agent's answer to a round of this lead.
-func (a *Agent) handleAnswer(now time.Time, from netip.Addr, m msgs.Found) {
+func (a *Agent) handleAnswer(now time.Time, from netip.Addr, m msgs.QueryAnswer) {
 	a.sendResults(now, a.rounds.Answer(from, m.Round, m.Verdicts, a.expectedAgents()))
 }
 
 // sendResults sends the results of rounds to the homes that asked.
 func (a *Agent) sendResults(now time.Time, results []seek.Result) {
 	for _, r := range results {
-		m := msgs.Sought{Head: a.head(), Flow: r.Flow, Owner: r.Owner, Unsure: r.Unsure, Partial: r.Partial}
+		m := msgs.LookupResult{Header: a.head(), Flow: r.Flow, Owner: r.Owner, Unsure: r.Unsure, Partial: r.Partial}
 		if len(m.Unsure) > msgs.MaxUnsure {
-			m.Unsure, m.All = nil, true
+			m.Unsure, m.AllUnsure = nil, true
 		}
-		for _, home := range r.Homes {
+		for _, home := range r.Requesters {
 			if home == a.Self {
 				a.handleResult(now, m)
 				continue
@@ -119,7 +119,7 @@
 	a.sendResults(now, results)
 	for _, u := range unanswered {
 		for _, f := range u.Flows {
-			a.Events.Flow(event.Failure, "unfound", f).Str("why", "no answer").Int("agents", len(u.Silent)).Send()
+			a.Events.Flow(event.Failure, "unfound", f).Str("why", "no answer").Int("agents", len(u.Unresponsive)).Send()
 		}
 	}
 	a.sendQuestions(now)
--- a/internal/node/local/local.go
+++ b/internal/node/local/local.go
@@ -63,7 +63,7 @@
 	Control          Control
 	Prober           doubt.Prober // its answers are reported to Agent.MarkAlive
 	Codec            segs.Codec
-	Callers          segs.Callers
+	Callers          segs.CallerTiming
 	Wire             Wire
 	Events           *event.Log
 	PropagationBound time.Duration // within which a change is in force everywhere
@@ -128,10 +128,10 @@
 func New(c Config) *Agent {
 	return &Agent{
 		Config:           c,
-		hash:             belief.Hash(c.Service),
+		hash:             belief.ServiceHash(c.Service),
 		flows:            owner.NewAgent(flowLimit, c.Off),
 		home:             owner.NewHome(homeLimit),
-		waiting:          hold.New(c.Callers.Patience()),
+		waiting:          hold.New(c.Callers.OpenWindow()),
 		probes:           map[segs.Flow]probe{},
 		lookups:          map[segs.Flow]*lookup{},
 		rounds:           seek.New(rand.Uint32()),
@@ -153,7 +153,7 @@
 func (a *Agent) SetService(service string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.Service, a.hash = service, belief.Hash(service)
+	a.Service, a.hash = service, belief.ServiceHash(service)
 }
 
 // Waiting returns the number of flows that wait for the server.
@@ -168,7 +168,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.leaving = true
-	a.returnAllWaiting(now, msgs.WhyLeaving)
+	a.returnAllWaiting(now, msgs.ReasonLeaving)
 }
 
 // downFor is how long the server counts as down after its address refused a packet, unless it sends something.
@@ -189,7 +189,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	idle := a.idle()
-	a.flows.Expire(now, owner.Lives{Idle: idle, Life: a.MaxLife + closedRetention, Over: closedRetention, Opening: a.Callers.GiveUp + openingRetention})
+	a.flows.Expire(now, owner.Lifetimes{Idle: idle, MaxAge: a.MaxLife + closedRetention, Closed: closedRetention, Opening: a.Callers.GiveUp + openingRetention})
 	a.admit(now)
 	a.home.Expire(now, a.MaxLife+closedRetention)
 	a.resetIdleFlows(now)
@@ -219,7 +219,7 @@
 	} else if a.server.firstRevision == 0 {
 		a.server.firstRevision = v.Revision
 	}
-	moved := map[netip.Addr][]msgs.Place{}
+	moved := map[netip.Addr][]msgs.Location{}
 	for f, o := range a.flows.All {
 		if !o.Accepted {
 			continue
@@ -229,7 +229,7 @@
 			continue
 		}
 		o.Home = home
-		moved[home] = append(moved[home], msgs.Place{Flow: f, Seq: o.Seq})
+		moved[home] = append(moved[home], msgs.Location{Flow: f, Seq: o.Seq})
 	}
 	for home, places := range moved {
 		a.register(now, home, places)
@@ -266,7 +266,7 @@
 }
 
 // register sends a home the flows of its share that this agent owns.
-func (a *Agent) register(now time.Time, home netip.Addr, places []msgs.Place) {
+func (a *Agent) register(now time.Time, home netip.Addr, places []msgs.Location) {
 	if home == a.Self {
 		for _, p := range places {
 			a.home.Register(now, a.Self, p)
@@ -274,8 +274,8 @@
 		return
 	}
 	for len(places) > 0 {
-		n := min(len(places), msgs.MaxPlaces)
-		m := msgs.Register{Head: a.head(), Places: places[:n]}
+		n := min(len(places), msgs.MaxLocations)
+		m := msgs.Register{Header: a.head(), Locations: places[:n]}
 		a.buf = m.AppendTo(a.buf[:0])
 		a.Wire.ToPeer(home, a.buf)
 		registered.Add(n)
@@ -284,17 +284,17 @@
 }
 
 // registerOne registers one flow with its home.
-func (a *Agent) registerOne(now time.Time, o *owner.Own, f segs.Flow) {
+func (a *Agent) registerOne(now time.Time, o *owner.Flow, f segs.Flow) {
 	home, ok := a.Log.View().Homes.Of(f)
 	if !ok {
 		return
 	}
 	o.Home = home
-	a.register(now, home, []msgs.Place{{Flow: f, Seq: o.Seq}})
+	a.register(now, home, []msgs.Location{{Flow: f, Seq: o.Seq}})
 }
 
-func (a *Agent) head() msgs.Head {
-	return msgs.Head{Revision: a.Log.Revision(), Service: a.hash}
+func (a *Agent) head() msgs.Header {
+	return msgs.Header{Revision: a.Log.Revision(), Service: a.hash}
 }
 
 // self returns the platform's record of the local server.
--- a/internal/node/local/lost.go
+++ b/internal/node/local/lost.go
@@ -48,14 +48,14 @@
 // forwardedPacket is a packet that a home has forwarded to a flow's owner.
 type forwardedPacket struct {
 	owner  netip.Addr
-	carry  msgs.Carry
+	carry  msgs.Forward
 	packet []byte
 	at     time.Time
 }
 
 // keepForwarded keeps a packet that is forwarded to an owner from which nothing has been received lately, and
 // suspects the owner.
-func (a *Agent) keepForwarded(now time.Time, owner netip.Addr, m msgs.Carry, s *segs.Segment) {
+func (a *Agent) keepForwarded(now time.Time, owner netip.Addr, m msgs.Forward, s *segs.Segment) {
 	if a.Off.Lost || a.Control.Leaving(owner) {
 		return
 	}
@@ -90,7 +90,7 @@
 	if len(list) == 0 {
 		return
 	}
-	m := msgs.Lost{Head: a.head(), Agents: list}
+	m := msgs.Failed{Header: a.head(), Agents: list}
 	a.buf = m.AppendTo(a.buf[:0])
 	a.Wire.ToPeer(to, a.buf)
 }
--- a/internal/node/local/probe.go
+++ b/internal/node/local/probe.go
@@ -32,17 +32,17 @@
 		return false
 	}
 	delete(a.probes, s.Flow)
-	a.sendProbeResult(now, p.home, msgs.Tried{Flow: s.Flow})
+	a.sendProbeResult(now, p.home, msgs.ProbeResult{Flow: s.Flow})
 	return true
 }
 
 // sendProbeResult notifies the home that looks for a flow whether the local server holds it.
-func (a *Agent) sendProbeResult(now time.Time, home netip.Addr, m msgs.Tried) {
+func (a *Agent) sendProbeResult(now time.Time, home netip.Addr, m msgs.ProbeResult) {
 	if home == a.Self {
 		a.handleProbeResult(now, a.Self, m)
 		return
 	}
-	m.Head = a.head()
+	m.Header = a.head()
 	a.buf = m.AppendTo(a.buf[:0])
 	a.Wire.ToPeer(home, a.buf)
 }
--- a/internal/node/local/search.go
+++ b/internal/node/local/search.go
@@ -56,7 +56,7 @@
 	began        time.Time
 	ended        time.Time // zero while the lookup is in progress
 	question     msgs.Question
-	carry        msgs.Carry // header of the newest packet
+	carry        msgs.Forward // header of the newest packet
 	packet       []byte
 	askedAt      time.Time              // when a lead was last asked
 	leadRequests int                    // number of questions sent to leads
@@ -78,7 +78,7 @@
 }
 
 // startLookup starts a lookup of a flow's owner.
-func (a *Agent) startLookup(now time.Time, m msgs.Carry, s *segs.Segment) {
+func (a *Agent) startLookup(now time.Time, m msgs.Forward, s *segs.Segment) {
 	if a.Off.Search {
 		countDropped("searches")
 		return
@@ -98,7 +98,7 @@
 	a.askLead(now, q)
 }
 
-func (q *lookup) keepPacket(m msgs.Carry) {
+func (q *lookup) keepPacket(m msgs.Forward) {
 	q.packet = append(q.packet[:0], m.Packet...)
 	q.carry = m
 	q.carry.Packet = nil
@@ -122,13 +122,13 @@
 		return
 	}
 	a.sendFailed(now, lead)
-	m := msgs.Seek{Head: a.head(), Question: q.question}
+	m := msgs.Lookup{Header: a.head(), Question: q.question}
 	a.buf = m.AppendTo(a.buf[:0])
 	a.Wire.ToPeer(lead, a.buf)
 }
 
 // handleResult processes a lead's answer.
-func (a *Agent) handleResult(now time.Time, m msgs.Sought) {
+func (a *Agent) handleResult(now time.Time, m msgs.LookupResult) {
 	q := a.lookups[m.Flow]
 	if q == nil || !q.ended.IsZero() || q.answered {
 		return
@@ -139,7 +139,7 @@
 	}
 	q.answered = !m.Partial
 	v := a.Log.View()
-	if m.All {
+	if m.AllUnsure {
 		m.Unsure = v.Homes.Agents()
 	}
 	q.near, q.far = splitByDomain(v, m.Unsure, q.carry.Domain)
@@ -168,13 +168,13 @@
 		a.sendOwner(q.carry.Origin, msgs.Owner{Flow: f, Open: true})
 		return
 	}
-	a.home.Register(now, agent, msgs.Place{Flow: f})
+	a.home.Register(now, agent, msgs.Location{Flow: f})
 	if _, tried := q.attempts[agent]; tried {
 		return // the agent has the packet already
 	}
 	m := q.carry
 	m.Packet = q.packet
-	m.Named = true
+	m.ToOwner = true
 	a.forward(agent, m)
 }
 
@@ -224,7 +224,7 @@
 }
 
 // handleProbeResult processes an agent's report on whether its server holds a flow.
-func (a *Agent) handleProbeResult(now time.Time, from netip.Addr, m msgs.Tried) {
+func (a *Agent) handleProbeResult(now time.Time, from netip.Addr, m msgs.ProbeResult) {
 	q := a.lookups[m.Flow]
 	if q == nil || !q.ended.IsZero() {
 		return
@@ -265,7 +265,7 @@
 	delete(a.lookups, f)
 	lookupTime.Update(now.Sub(q.began).Seconds())
 	a.reset(now, &s, "unheld")
-	a.sendOwner(q.carry.Origin, msgs.Owner{Flow: f, Gone: true})
+	a.sendOwner(q.carry.Origin, msgs.Owner{Flow: f, NoOwner: true})
 }
 
 // tickLookups repeats unanswered questions and probes, and deletes lookups that are over.
--- a/internal/node/local/server.go
+++ b/internal/node/local/server.go
@@ -47,7 +47,7 @@
 		learned.Inc()
 		if p, tried := a.probes[s.Flow]; tried {
 			delete(a.probes, s.Flow)
-			a.sendProbeResult(now, p.home, msgs.Tried{Flow: s.Flow, Held: true})
+			a.sendProbeResult(now, p.home, msgs.ProbeResult{Flow: s.Flow, Held: true})
 		}
 		a.Events.Flow(event.Ordinary, "learned", s.Flow).Stringer("revision", a.Log.Revision()).Send()
 	}
@@ -70,26 +70,26 @@
 }
 
 // accept notes that the server holds a flow.
-func (a *Agent) accept(now time.Time, o *owner.Own, s *segs.Segment) {
+func (a *Agent) accept(now time.Time, o *owner.Flow, s *segs.Segment) {
 	if !s.Accepting() {
 		a.flows.Learn(o, s.Seq-learnedWindow) // in mid-flow, after a restart of the agent
 		return
 	}
 	a.flows.Accept(now, o, s.Seq)
-	openTime.Update(now.Sub(o.Began).Seconds())
+	openTime.Update(now.Sub(o.Created).Seconds())
 }
 
 // announce notifies the flow's home and the entry that the agent owns the flow.
-func (a *Agent) announce(now time.Time, o *owner.Own, s *segs.Segment) {
+func (a *Agent) announce(now time.Time, o *owner.Flow, s *segs.Segment) {
 	a.registerOne(now, o, s.Flow)
 	if !o.Origin.IsValid() {
 		return
 	}
-	m := msgs.Opened{Head: a.head(), Flow: s.Flow, Seq: o.Seq, Load: a.flows.Load(now)}
+	m := msgs.Opened{Header: a.head(), Flow: s.Flow, Seq: o.Seq, Load: a.flows.Load(now)}
 	a.buf = m.AppendTo(a.buf[:0])
 	a.Wire.ToPeer(o.Origin, a.buf)
 	a.Events.Flow(event.Ordinary, "opened", s.Flow).Stringer("entry", o.Origin).Uint16("busy", m.Load.Busy).
-		Uint16("flows", m.Load.Flows).Dur("took", now.Sub(o.Began)).Send()
+		Uint16("flows", m.Load.Flows).Dur("took", now.Sub(o.Created)).Send()
 }
 
 // handleReturned processes a caller's packet that the server returned. The datagram has been restored to what
@@ -100,15 +100,15 @@
 	case s.Opening():
 		if o != nil && !o.Accepted {
 			a.flows.Delete(s.Flow)
-			a.returnOpening(now, o.Origin, s, datagram, msgs.WhyServer)
+			a.returnOpening(now, o.Origin, s, datagram, msgs.ReasonServer)
 		}
 	case a.handleReturnedProbe(now, s):
-	case o != nil && o.Over():
+	case o != nil && o.Closed():
 		countDropped("over")
-	case o != nil && !o.Proved:
+	case o != nil && !o.Established:
 		// This server accepted the flow, and so did another one, which the caller has chosen.
 		a.flows.Delete(s.Flow)
-		a.routePacket(now, msgs.Carry{Origin: o.Origin, Packet: datagram}, s)
+		a.routePacket(now, msgs.Forward{Origin: o.Origin, Packet: datagram}, s)
 	case o != nil:
 		// The server held the flow and no longer does: it was restarted, or has dropped an old flow. No other
 		// server can hold it, so the caller would wait in vain.
@@ -120,12 +120,12 @@
 
 // endFlow deletes a flow and resets it, so that its caller can retry at once. The flow is one that no server
 // holds, or an idle flow of a server that aborts its requests.
-func (a *Agent) endFlow(now time.Time, o *owner.Own, s *segs.Segment, why string) {
+func (a *Agent) endFlow(now time.Time, o *owner.Flow, s *segs.Segment, why string) {
 	a.flows.Delete(s.Flow)
 	a.home.Delete(s.Flow, a.Self)
 	a.reset(now, s, why)
 	if o.Origin.IsValid() {
-		a.sendOwner(o.Origin, msgs.Owner{Flow: s.Flow, Gone: true})
+		a.sendOwner(o.Origin, msgs.Owner{Flow: s.Flow, NoOwner: true})
 	}
 }
 
--- a/internal/node/opaque/messages.go
+++ b/internal/node/opaque/messages.go
@@ -24,14 +24,14 @@
 
 // flowHandler handles the messages about flows that one role receives. It reports whether the message is of
 // such a kind.
-type flowHandler func(now time.Time, from netip.Addr, h msgs.Head, rest []byte) bool
+type flowHandler func(now time.Time, from netip.Addr, h msgs.Header, rest []byte) bool
 
 // messages returns the function that reads other processes' messages. Messages about flows are passed to
 // flow.
 func (p *process) messages(flow flowHandler) func() error {
 	var lastLogged time.Time
 	return func() error {
-		return p.sockets.readMessages(func(now time.Time, from netip.Addr, h msgs.Head, rest []byte) {
+		return p.sockets.readMessages(func(now time.Time, from netip.Addr, h msgs.Header, rest []byte) {
 			if err := p.handle(now, from, h, rest, flow); err != nil {
 				unreadable.Inc()
 				if now.Sub(lastLogged) < unreadableLogEvery {
@@ -45,7 +45,7 @@
 }
 
 // handle handles one message.
-func (p *process) handle(now time.Time, from netip.Addr, h msgs.Head, rest []byte, flow flowHandler) error {
+func (p *process) handle(now time.Time, from netip.Addr, h msgs.Header, rest []byte, flow flowHandler) error {
 	p.prober.MarkAlive(now, from)
 	switch h.Kind {
 	case msgs.KindBeacon:
@@ -53,22 +53,22 @@
 		if err != nil {
 			return err
 		}
-		p.follow.Heard(now, from, m)
+		p.follow.HandleBeacon(now, from, m)
 		return nil
-	case msgs.KindNews:
-		c, err := follow.DecodeNews(rest)
+	case msgs.KindUpdate:
+		c, err := follow.DecodeUpdate(rest)
 		if err != nil {
 			return err
 		}
-		p.follow.Learn(now, from, c)
+		p.follow.HandleChange(now, from, c)
 		return nil
 	}
-	p.follow.Noticed(from, h.Revision)
+	p.follow.ObserveRevision(from, h.Revision)
 	switch h.Kind {
-	case msgs.KindAsk:
-		return msgs.Take(h, rest, msgs.ReadAsk, func(m msgs.Ask) { p.prober.HandleProbe(from, m) })
-	case msgs.KindAlive:
-		return msgs.Take(h, rest, msgs.ReadAlive, func(m msgs.Alive) { p.prober.HandleAck(now, m) })
+	case msgs.KindPing:
+		return msgs.Handle(h, rest, msgs.ReadPing, func(m msgs.Ping) { p.prober.HandleProbe(from, m) })
+	case msgs.KindPingAck:
+		return msgs.Handle(h, rest, msgs.ReadPingAck, func(m msgs.PingAck) { p.prober.HandleAck(now, m) })
 	}
 	if !flow(now, from, h, rest) {
 		return errUnknownKind
