--- a/internal/node/opaque/messages_test.go
+++ b/internal/node/opaque/messages_test.go
@@ -37,8 +37,8 @@
 		Fetch: func(context.Context, netip.Addr, order.Revision) (belief.Change, error) {
 			return belief.Change{}, context.Canceled
 		},
-		Events: events,
-		Bound:  3 * time.Second,
+		Events:           events,
+		PropagationBound: 3 * time.Second,
 	})}
 }
 
@@ -53,9 +53,9 @@
 	p.sockets = &sockets{link: link}
 	before := unreadable.Get()
 	done := make(chan error)
-	go func() { done <- p.messages(func(time.Time, netip.Addr, msgs.Head, []byte) bool { return false })() }()
+	go func() { done <- p.messages(func(time.Time, netip.Addr, msgs.Header, []byte) bool { return false })() }()
 
-	beacon, news := msgs.Beacon{Role: msgs.Entry}, msgs.News{Change: []byte("no change")}
+	beacon, news := msgs.Beacon{Role: msgs.Entry}, msgs.Update{Change: []byte("no change")}
 	unknown := beacon.AppendTo(nil)
 	unknown[1] = 99
 	complete := beacon.AppendTo(nil)
@@ -80,12 +80,12 @@
 	p := newTestProcess(io.Discard)
 	from := netip.MustParseAddr("10.0.0.2")
 	taken := 0
-	take := func(time.Time, netip.Addr, msgs.Head, []byte) bool { taken++; return true }
-	assert.NilError(t, p.handle(time.Now(), from, msgs.Head{Kind: msgs.KindOpened}, nil, take))
+	take := func(time.Time, netip.Addr, msgs.Header, []byte) bool { taken++; return true }
+	assert.NilError(t, p.handle(time.Now(), from, msgs.Header{Kind: msgs.KindOpened}, nil, take))
 	assert.Equal(t, taken, 1)
 
 	beacon := msgs.Beacon{Role: msgs.Entry, Age: 5}
-	h, rest, err := msgs.ReadHead(beacon.AppendTo(nil))
+	h, rest, err := msgs.ReadHeader(beacon.AppendTo(nil))
 	assert.NilError(t, err)
 	assert.NilError(t, p.handle(time.Now(), from, h, rest, take))
 	assert.Equal(t, taken, 1)
--- a/internal/node/opaque/opaque.go
+++ b/internal/node/opaque/opaque.go
@@ -39,7 +39,7 @@
 // Adapter holds what the process needs of the platform.
 type Adapter struct {
 	Codec   segs.Codec
-	Callers segs.Callers
+	Callers segs.CallerTiming
 	Source  follow.Source
 	Reload  func() (*carry.Settings, error) // reads the settings again
 }
@@ -73,17 +73,17 @@
 		return nil, err
 	}
 	p.follow = follow.New(follow.Config{
-		Self:    s.Link.Addr(),
-		Role:    role,
-		Domain:  s.Process.Domain,
-		Seeds:   addrsOf(s.Seeds),
-		Log:     p.log,
-		Source:  a.Source,
-		Send:    p.sockets.ToPeer,
-		Fetch:   follow.Dial(s.Link.Port()),
-		Events:  p.events,
-		Bound:   s.Bounds.Change,
-		Changed: changed,
+		Self:             s.Link.Addr(),
+		Role:             role,
+		Domain:           s.Process.Domain,
+		Seeds:            addrsOf(s.Seeds),
+		Log:              p.log,
+		Source:           a.Source,
+		Send:             p.sockets.ToPeer,
+		Fetch:            follow.Dial(s.Link.Port()),
+		Events:           p.events,
+		PropagationBound: s.Bounds.Change,
+		Changed:          changed,
 	})
 	p.prober = vouch.New(s.Link.Addr(), p.sockets.ToPeer)
 	p.admin = admin.New(s.Process.Operator, p.events.Logger())
--- a/internal/node/opaque/sockets.go
+++ b/internal/node/opaque/sockets.go
@@ -82,7 +82,7 @@
 }
 
 // sentBytes counts the bytes of messages to other processes, by kind.
-var sentBytes = func() (counters [msgs.Kinds]*metrics.Counter) {
+var sentBytes = func() (counters [msgs.NumKinds]*metrics.Counter) {
 	for k := range counters {
 		counters[k] = metrics.NewCounter(`mangowinch_message_bytes_total{kind="` + msgs.Kind(k).String() + `"}`)
 	}
@@ -144,9 +144,9 @@
 }
 
 // readMessages passes each message of other processes to handle.
-func (k *sockets) readMessages(handle func(now time.Time, from netip.Addr, h msgs.Head, rest []byte)) error {
+func (k *sockets) readMessages(handle func(now time.Time, from netip.Addr, h msgs.Header, rest []byte)) error {
 	return read(k.link, func(now time.Time, from netip.Addr, datagram []byte) {
-		h, rest, err := msgs.ReadHead(datagram)
+		h, rest, err := msgs.ReadHeader(datagram)
 		if err != nil {
 			metrics.GetOrCreateCounter(`mangowinch_foreign_messages_total`).Inc()
 			return
--- a/internal/node/opaque/traffic.go
+++ b/internal/node/opaque/traffic.go
@@ -18,7 +18,7 @@
 )
 
 // kindBytes holds the bytes sent to other processes, by kind of message.
-type kindBytes [msgs.Kinds]uint64
+type kindBytes [msgs.NumKinds]uint64
 
 // sentTotals returns the current values of the counters.
 func sentTotals() (sent kindBytes) {
--- a/internal/node/opaque/traffic_test.go
+++ b/internal/node/opaque/traffic_test.go
@@ -19,10 +19,10 @@
 	var sent kindBytes
 	lines := 0
 	for i := range 2 * samplesPerLine {
-		sent[msgs.KindCarry] += 1_000_000
+		sent[msgs.KindForward] += 1_000_000
 		sent[msgs.KindBeacon] += 100
 		if i == 3 {
-			sent[msgs.KindNews] += 5000
+			sent[msgs.KindUpdate] += 5000
 		}
 		if tr.sample(sent) {
 			tr.log(events)
--- a/internal/node/start/relayentry.go
+++ b/internal/node/start/relayentry.go
@@ -27,8 +27,10 @@
 		Self: peers.Member{Role: peers.Entry, Address: p.settings.Entry.Link},
 	})
 	e.SetHooks(entry.Hooks{
-		NewerDocument: func(link netip.AddrPort, service string, revision order.Revision) { c.Heard(service, revision, link) },
-		Refresh:       c.Refresh,
+		NewerDocument: func(link netip.AddrPort, service string, revision order.Revision) {
+			c.Observe(service, revision, link)
+		},
+		Refresh: c.Refresh,
 	})
 	mux := drpcmux.New()
 	if err := c.Register(mux); err != nil {
--- a/internal/node/vouch/vouch.go
+++ b/internal/node/vouch/vouch.go
@@ -43,7 +43,7 @@
 
 // Probe probes a process, directly and by way of helpers. The answers carry the round.
 func (n *Node) Probe(target netip.Addr, helpers []netip.Addr, round uint32) {
-	m := msgs.Ask{Target: target, Origin: n.self, Round: round}
+	m := msgs.Ping{Target: target, Origin: n.self, Round: round}
 	message := m.AppendTo(nil)
 	n.send(target, message)
 	for _, h := range helpers {
@@ -52,10 +52,10 @@
 }
 
 // HandleProbe answers a probe of this process, or forwards a probe of another process to its target.
-func (n *Node) HandleProbe(from netip.Addr, m msgs.Ask) {
+func (n *Node) HandleProbe(from netip.Addr, m msgs.Ping) {
 	switch {
 	case m.Target == n.self:
-		answer := msgs.Alive{Target: n.self, Origin: m.Origin, Round: m.Round}
+		answer := msgs.PingAck{Target: n.self, Origin: m.Origin, Round: m.Round}
 		n.send(from, answer.AppendTo(nil))
 	case !m.Relayed:
 		m.Relayed = true
@@ -64,7 +64,7 @@
 }
 
 // HandleAck handles an answer to a probe of this process, or forwards the answer to the requester.
-func (n *Node) HandleAck(now time.Time, m msgs.Alive) {
+func (n *Node) HandleAck(now time.Time, m msgs.PingAck) {
 	if m.Origin != n.self {
 		n.send(m.Origin, m.AppendTo(nil))
 		return
--- a/internal/node/vouch/vouch_test.go
+++ b/internal/node/vouch/vouch_test.go
@@ -34,16 +34,16 @@
 	if n == nil || w.cut[[2]netip.Addr{from, to}] || w.cut[[2]netip.Addr{to, from}] {
 		return
 	}
-	h, rest, err := msgs.ReadHead(message)
+	h, rest, err := msgs.ReadHeader(message)
 	if err != nil {
 		panic(err)
 	}
 	switch h.Kind {
-	case msgs.KindAsk:
-		m, _ := msgs.ReadAsk(h, rest)
+	case msgs.KindPing:
+		m, _ := msgs.ReadPing(h, rest)
 		n.HandleProbe(from, m)
-	case msgs.KindAlive:
-		m, _ := msgs.ReadAlive(h, rest)
+	case msgs.KindPingAck:
+		m, _ := msgs.ReadPingAck(h, rest)
 		n.HandleAck(time.Time{}, m)
 	}
 }
