--- a/internal/stand/described/described.go
+++ b/internal/stand/described/described.go
@@ -23,8 +23,8 @@
 func File(f protoreflect.FileDescriptor) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "package %s\n", f.Package())
-	messages(&b, f.Messages())
-	enums(&b, f.Enums())
+	writeMessages(&b, f.Messages())
+	writeEnums(&b, f.Enums())
 	for i := range f.Services().Len() {
 		s := f.Services().Get(i)
 		for j := range s.Methods().Len() {
@@ -36,19 +36,19 @@
 	return b.String()
 }
 
-func messages(b *strings.Builder, list protoreflect.MessageDescriptors) {
+func writeMessages(b *strings.Builder, list protoreflect.MessageDescriptors) {
 	for i := range list.Len() {
 		m := list.Get(i)
 		fmt.Fprintf(b, "message %s\n", m.FullName())
 		for j := range m.Fields().Len() {
-			field(b, m.Fields().Get(j))
+			writeField(b, m.Fields().Get(j))
 		}
-		enums(b, m.Enums())
-		messages(b, m.Messages())
+		writeEnums(b, m.Enums())
+		writeMessages(b, m.Messages())
 	}
 }
 
-func field(b *strings.Builder, f protoreflect.FieldDescriptor) {
+func writeField(b *strings.Builder, f protoreflect.FieldDescriptor) {
 	fmt.Fprintf(b, "  %d %s json %s %s %s", f.Number(), f.Name(), f.JSONName(), f.Cardinality(), f.Kind())
 	switch {
 	case f.Message() != nil:
@@ -62,7 +62,7 @@
 	b.WriteByte('\n')
 }
 
-func enums(b *strings.Builder, list protoreflect.EnumDescriptors) {
+func writeEnums(b *strings.Builder, list protoreflect.EnumDescriptors) {
 	for i := range list.Len() {
 		e := list.Get(i)
 		fmt.Fprintf(b, "enum %s\n", e.FullName())
--- a/internal/stand/described/flags.go
+++ b/internal/stand/described/flags.go
@@ -15,11 +15,11 @@
 		return "", err
 	}
 	var b strings.Builder
-	command(&b, k.Model.Node)
+	writeCommand(&b, k.Model.Node)
 	return b.String(), nil
 }
 
-func command(b *strings.Builder, n *kong.Node) {
+func writeCommand(b *strings.Builder, n *kong.Node) {
 	fmt.Fprintf(b, "command %s\n", n.Path())
 	for _, a := range n.Positional {
 		fmt.Fprintf(b, "  argument %s\n", a.Name)
@@ -28,6 +28,6 @@
 		fmt.Fprintf(b, "  --%s choice %q variables %q\n", f.Name, f.Enum, f.Envs)
 	}
 	for _, c := range n.Children {
-		command(b, c)
+		writeCommand(b, c)
 	}
 }
--- a/internal/stand/faults/copy.go
+++ b/internal/stand/faults/copy.go
@@ -9,12 +9,12 @@
 // The platform comes back from a copy of some versions ago, and numbers are given out a second time; a second later the teams have written
 // again what it lost.
 
-// returnFor is how long a run goes on after the platform's return, until all that was lost is in force again.
-const returnFor = 6 * time.Second
+// restoreTime is how long a run goes on after the platform's return, until all that was lost is in force again.
+const restoreTime = 6 * time.Second
 
-// platformCopy changes a document, and once more after the platform's return.
-func platformCopy(r *run) error {
-	service := r.largest()
+// platformRestored changes a document, and once more after the platform's return.
+func platformRestored(r *run) error {
+	service := r.largestService()
 	for range 2 {
 		if err := r.touch(service); err != nil {
 			return err
@@ -27,7 +27,7 @@
 	if err := r.post("platform", "/restore?back=2", ""); err != nil {
 		return err
 	}
-	r.wait(returnFor)
+	r.wait(restoreTime)
 	if err := r.touch(service); err != nil {
 		return err
 	}
@@ -37,10 +37,10 @@
 	return nil
 }
 
-// platformCopyDrain makes a server leave by document; then the platform comes back from a copy in which the server stays.
-func platformCopyDrain(r *run) error {
-	a := r.agent()
-	r.leaves(a)
+// platformRestoredDrain makes a server leave by document; then the platform comes back from a copy in which the server stays.
+func platformRestoredDrain(r *run) error {
+	a := r.randomAgent()
+	r.markLeaving(a)
 	if err := r.setLeaving(a); err != nil {
 		return err
 	}
@@ -48,14 +48,14 @@
 	if err := r.post("platform", "/restore?back=1", ""); err != nil {
 		return err
 	}
-	r.wait(returnFor)
+	r.wait(restoreTime)
 	r.expectRevision(a.Process.Name, a.Agent.Service, order.At(1, 2))
 	return nil
 }
 
-// agentReplacedPlatformCopy replaces an agent as planned while the platform has a copy's documents.
-func agentReplacedPlatformCopy(r *run) error {
-	a := r.agent()
+// agentReplacedPlatformRestored replaces an agent as planned while the platform has a copy's documents.
+func agentReplacedPlatformRestored(r *run) error {
+	a := r.randomAgent()
 	if err := r.touch(a.Agent.Service); err != nil {
 		return err
 	}
--- a/internal/stand/faults/flood.go
+++ b/internal/stand/faults/flood.go
@@ -21,26 +21,26 @@
 )
 
 const (
-	floodFor     = 5 * time.Second
-	floodSenders = 4                    // goroutines
-	openerWait   = 2 * time.Millisecond // until a first flight has left
-	mostMemory   = 160 << 20            // resident bytes of a process: the size to design for allows 256 MB
+	floodTime       = 5 * time.Second
+	floodSenders    = 4                    // goroutines
+	firstFlightWait = 2 * time.Millisecond // until a first flight has left
+	maxResident     = 160 << 20            // resident bytes of a process: the size to design for allows 256 MB
 )
 
-// hole is a packet connection that sends and never receives, as a flood does whose
+// sendOnlyConn is a packet connection that sends and never receives, as a flood does whose
 // source addresses are forged.
-type hole struct {
+type sendOnlyConn struct {
 	*net.UDPConn
 	closed chan struct{}
 }
 
-func (h hole) ReadFrom([]byte) (int, net.Addr, error) {
+func (h sendOnlyConn) ReadFrom([]byte) (int, net.Addr, error) {
 	<-h.closed
 	return 0, nil, net.ErrClosed
 }
 
-// opening hides the socket's own methods of reading.
-type opening struct{ net.PacketConn }
+// plainConn hides the socket's own methods of reading.
+type plainConn struct{ net.PacketConn }
 
 // flood opens connections that it never goes on with, while ordinary callers call.
 func flood(r *run) error {
@@ -48,8 +48,8 @@
 	if err := os.Setenv("QUIC_GO_DISABLE_RECEIVE_BUFFER_WARNING", "true"); err != nil {
 		return err
 	}
-	service := r.fleet.Service(r.largest())
-	ctx, cancel := context.WithTimeout(r.ctx, floodFor)
+	service := r.fleet.Service(r.largestService())
+	ctx, cancel := context.WithTimeout(r.ctx, floodTime)
 	defer cancel()
 	var group errgroup.Group
 	sent := make([]int, floodSenders)
@@ -58,7 +58,7 @@
 			local := service.Callers[0].Networks[0].Addr().As4()
 			local[3] = byte(200 + i)
 			for ctx.Err() == nil {
-				if err := opener(ctx, netip.AddrFrom4(local), service); err != nil {
+				if err := sendFirstFlight(ctx, netip.AddrFrom4(local), service); err != nil {
 					return err
 				}
 				sent[i]++
@@ -74,23 +74,23 @@
 		total += n
 	}
 	var stats fabric.Stats
-	if err := r.fleet.Ask(r.ctx, "fabric", "/stats", &stats); err != nil {
+	if err := r.fleet.GetJSON(r.ctx, "fabric", "/stats", &stats); err != nil {
 		return err
 	}
 	r.note = fmt.Sprintf("%d openers, %d of them seen by the fabric", total, stats.Callers)
-	return r.weigh()
+	return r.checkMemory()
 }
 
-// opener sends the first flight of one connection and forgets it.
-func opener(ctx context.Context, local netip.Addr, service *docs.Service) error {
+// sendFirstFlight sends the first flight of one connection and forgets it.
+func sendFirstFlight(ctx context.Context, local netip.Addr, service *docs.Service) error {
 	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.AddrPortFrom(local, 0)))
 	if err != nil {
 		return err
 	}
 	defer socket.Close()
-	h := hole{UDPConn: socket, closed: make(chan struct{})}
-	transport := &quic.Transport{Conn: opening{h}}
-	ctx, cancel := context.WithTimeout(ctx, openerWait)
+	h := sendOnlyConn{UDPConn: socket, closed: make(chan struct{})}
+	transport := &quic.Transport{Conn: plainConn{h}}
+	ctx, cancel := context.WithTimeout(ctx, firstFlightWait)
 	defer cancel()
 	_, err = transport.Dial(ctx, net.UDPAddrFromAddrPort(service.Address),
 		&tls.Config{ServerName: service.Name, NextProtos: []string{"h3"}}, &quic.Config{})
@@ -101,8 +101,8 @@
 	return transport.Close()
 }
 
-// weigh adds a violation for each process of the system that has grown too large.
-func (r *run) weigh() error {
+// checkMemory adds a violation for each process of the system that has grown too large.
+func (r *run) checkMemory() error {
 	largest := 0
 	for _, n := range r.fleet.Nodes {
 		size, err := resident(r.fleet.Process(n.Process.Name).ID())
@@ -110,8 +110,8 @@
 			return err
 		}
 		largest = max(largest, size)
-		if size > mostMemory {
-			r.extra = append(r.extra, check.Violation{Rule: check.Grown, Token: n.Process.Name,
+		if size > maxResident {
+			r.extraViolations = append(r.extraViolations, check.Violation{Rule: check.TooMuchMemory, Token: n.Process.Name,
 				Detail: fmt.Sprintf("%d MiB resident", size>>20)})
 		}
 	}
--- a/internal/stand/faults/load.go
+++ b/internal/stand/faults/load.go
@@ -20,19 +20,19 @@
 )
 
 const (
-	perNetwork  = 3                      // callers of each caller network of a document
-	heavyFactor = 4                      // times as many fill all slots, so that requests wait and are handed over
-	idleTimeout = 5 * time.Second        // a caller gives up a silent connection after this
-	requestTime = 20 * time.Second       // and a request after this
-	dialTime    = 5 * time.Second        // and a handshake
-	redialAfter = 50 * time.Millisecond  // pause after a handshake that failed
-	reconnects  = 4                      // one in so many requests is the last of its connection
-	refusedWait = 50 * time.Millisecond  // after a request that was refused
-	repeats     = 2                      // of a request that was not sent, or is unknown and has a key
-	feedEvery   = 20 * time.Millisecond  // between two lines
-	chunkEvery  = 10 * time.Millisecond  // pace of an upload
-	chunkSize   = 16 << 10               //
-	longestWork = 200 * time.Millisecond // of a lookup at its server
+	callersPerNetwork = 3                      // callers of each caller network of a document
+	heavyFactor       = 4                      // times as many fill all slots, so that requests wait and are handed over
+	idleTimeout       = 5 * time.Second        // a caller gives up a silent connection after this
+	requestTimeout    = 20 * time.Second       // and a request after this
+	dialTimeout       = 5 * time.Second        // and a handshake
+	redialDelay       = 50 * time.Millisecond  // pause after a handshake that failed
+	reconnectOneIn    = 4                      // one in so many requests is the last of its connection
+	refusedDelay      = 50 * time.Millisecond  // after a request that was refused
+	maxRepeats        = 2                      // of a request that was not sent, or is unknown and has a key
+	feedInterval      = 20 * time.Millisecond  // between two lines
+	chunkInterval     = 10 * time.Millisecond  // pace of an upload
+	chunkSize         = 16 << 10               //
+	maxWorkTime       = 200 * time.Millisecond // of a lookup at its server
 )
 
 // load is all callers of one run.
@@ -40,11 +40,11 @@
 	cancel  context.CancelFunc // ends the asking, not what is in progress
 	callers sync.WaitGroup
 
-	mutex    sync.Mutex
-	attempts []check.Attempt
-	dials    []dialing
-	undialed int // dials that failed
-	repeated int // requests of unknown outcome sent again with their key
+	mutex       sync.Mutex
+	attempts    []check.Attempt
+	dials       []handshake
+	failedDials int // dials that failed
+	repeated    int // requests of unknown outcome sent again with their key
 }
 
 // Heavy says whether the load of a seed is more than the servers have slots for:
@@ -53,10 +53,10 @@
 
 func startLoad(ctx context.Context, f *fleet.Fleet, seed uint64) *load {
 	l := &load{}
-	asking, cancel := context.WithCancel(ctx)
+	active, cancel := context.WithCancel(ctx)
 	l.cancel = cancel
 	number := uint64(0)
-	callers := perNetwork
+	callers := callersPerNetwork
 	if Heavy(seed) {
 		callers *= heavyFactor
 	}
@@ -66,9 +66,9 @@
 			for range callers {
 				address = address.Next()
 				number++
-				p := &party{load: l, fleet: f, service: s, local: address, name: fmt.Sprintf("%s-%d", c.Name, number),
+				p := &caller{load: l, fleet: f, service: s, local: address, name: fmt.Sprintf("%s-%d", c.Name, number),
 					random: rand.New(rand.NewPCG(seed, 100+number)), heavy: Heavy(seed)}
-				l.callers.Go(func() { p.run(asking, context.WithoutCancel(asking)) })
+				l.callers.Go(func() { p.run(active, context.WithoutCancel(active)) })
 			}
 		}
 	}
@@ -82,13 +82,13 @@
 	return l.attempts
 }
 
-// dialing is the time that a handshake took.
-type dialing struct {
+// handshake is the time that a handshake took.
+type handshake struct {
 	begun, ended time.Time
 }
 
-// opening counts the handshakes that were half done at a time.
-func (l *load) opening(at time.Time) (n int) {
+// openHandshakes counts the handshakes that were half done at a time.
+func (l *load) openHandshakes(at time.Time) (n int) {
 	for _, d := range l.dials {
 		if d.begun.Before(at) && d.ended.After(at) {
 			n++
@@ -97,8 +97,8 @@
 	return n
 }
 
-// party is one caller with a connection of its own.
-type party struct {
+// caller is one caller with a connection of its own.
+type caller struct {
 	load    *load
 	fleet   *fleet.Fleet
 	service *docs.Service
@@ -106,50 +106,50 @@
 	name    string
 	random  *rand.Rand
 	heavy   bool
-	asked   int
+	sent    int
 	key     string // of the last answer, for the next request
-	caller  *client.Caller
+	conn    *client.Caller
 }
 
-func (p *party) run(asking, ctx context.Context) {
-	defer p.hangUp()
-	for asking.Err() == nil {
-		if !p.connect(asking, ctx) {
+func (p *caller) run(active, ctx context.Context) {
+	defer p.disconnect()
+	for active.Err() == nil {
+		if !p.connect(active, ctx) {
 			return
 		}
-		a := p.ask(ctx)
+		a := p.attempt(ctx)
 		p.load.mutex.Lock()
 		p.load.attempts = append(p.load.attempts, a)
 		p.load.mutex.Unlock()
 		if a.Outcome == result.NotRun {
-			time.Sleep(refusedWait)
+			time.Sleep(refusedDelay)
 		}
-		if p.random.IntN(reconnects) == 0 {
-			p.hangUp()
+		if p.random.IntN(reconnectOneIn) == 0 {
+			p.disconnect()
 		}
 	}
 }
 
 // connect dials until a connection is there. It reports false when the run ends.
-func (p *party) connect(asking, ctx context.Context) bool {
-	for p.caller == nil {
-		if asking.Err() != nil {
+func (p *caller) connect(active, ctx context.Context) bool {
+	for p.conn == nil {
+		if active.Err() != nil {
 			return false
 		}
 		begun := time.Now()
-		ctx, cancel := context.WithTimeout(ctx, dialTime)
-		caller, err := client.Dial(ctx, client.Settings{
-			Local: p.local, Service: p.service.Address, Name: p.service.Name, Roots: p.fleet.Roots, Idle: idleTimeout,
+		ctx, cancel := context.WithTimeout(ctx, dialTimeout)
+		conn, err := client.Dial(ctx, client.Settings{
+			Local: p.local, Service: p.service.Address, Name: p.service.Name, Roots: p.fleet.Roots, IdleTimeout: idleTimeout,
 		})
 		cancel()
 		p.load.dialed(begun, err)
 		if err == nil {
-			p.caller = caller
+			p.conn = conn
 			return true
 		}
 		select {
-		case <-asking.Done():
-		case <-time.After(redialAfter):
+		case <-active.Done():
+		case <-time.After(redialDelay):
 		}
 	}
 	return true
@@ -158,43 +158,43 @@
 func (l *load) dialed(begun time.Time, err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.dials = append(l.dials, dialing{begun: begun, ended: time.Now()})
+	l.dials = append(l.dials, handshake{begun: begun, ended: time.Now()})
 	if err != nil {
-		l.undialed++
+		l.failedDials++
 	}
 }
 
-func (p *party) hangUp() {
-	if p.caller != nil {
-		p.caller.Close()
-		p.caller = nil
+func (p *caller) disconnect() {
+	if p.conn != nil {
+		p.conn.Close()
+		p.conn = nil
 		p.key = "" // its owner may be gone; the next connection brings another
 	}
 }
 
-// ask sends one request, repeats it if its outcome is unknown and it has a key, and
+// attempt sends one request, repeats it if its outcome is unknown and it has a key, and
 // returns the attempt.
-func (p *party) ask(ctx context.Context) check.Attempt {
-	p.asked++
-	token := fmt.Sprintf("%s-%d", p.name, p.asked)
-	a, build := p.choose(token)
+func (p *caller) attempt(ctx context.Context) check.Attempt {
+	p.sent++
+	token := fmt.Sprintf("%s-%d", p.name, p.sent)
+	a, build := p.newRequest(token)
 	a.Begun = time.Now()
 	key := p.key
 	p.key = "" // a key is for one request
 	for i := 0; ; i++ {
 		answer := p.send(ctx, build(), key)
 		a.Outcome, a.Reason, a.Got = answer.Outcome, answer.Reason, answer.Body
-		a.Err = describe(answer)
+		a.Err = errorText(answer)
 		if answer.Key != "" {
 			p.key = answer.Key
 		}
 		if answer.Status == 0 || answer.Err != nil {
-			p.hangUp() // the connection may be dead; the next request gets a new one
+			p.disconnect() // the connection may be dead; the next request gets a new one
 		}
-		if answer.Reason == client.Unsent && i < repeats && p.connect(ctx, ctx) {
+		if answer.Reason == client.Unsent && i < maxRepeats && p.connect(ctx, ctx) {
 			continue
 		}
-		if answer.Outcome != result.Unknown || !a.Once || key == "" || i == repeats || !p.connect(ctx, ctx) {
+		if answer.Outcome != result.Unknown || !a.AtMostOnce || key == "" || i == maxRepeats || !p.connect(ctx, ctx) {
 			break
 		}
 		p.load.mutex.Lock()
@@ -205,18 +205,18 @@
 	return a
 }
 
-func (p *party) send(ctx context.Context, r client.Request, key string) client.Answer {
-	limited, cancel := context.WithTimeout(ctx, requestTime)
+func (p *caller) send(ctx context.Context, r client.Request, key string) client.Answer {
+	limited, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	r.Key = key
-	answer := p.caller.Do(limited, r)
+	answer := p.conn.Do(limited, r)
 	if answer.Reason == client.Unsent {
-		p.hangUp() // the agent stops; as any caller does, this one goes on by a new connection
+		p.disconnect() // the agent stops; as any caller does, this one goes on by a new connection
 	}
 	return answer
 }
 
-func describe(answer client.Answer) string {
+func errorText(answer client.Answer) string {
 	switch {
 	case answer.Err != nil:
 		return answer.Err.Error()
@@ -227,33 +227,33 @@
 	}
 }
 
-// choose draws a request. The function makes it anew for each sending.
-func (p *party) choose(token string) (check.Attempt, func() client.Request) {
+// newRequest draws a request. The function makes it anew for each sending.
+func (p *caller) newRequest(token string) (check.Attempt, func() client.Request) {
 	// Under a heavy load a lookup may reach its deadline at its server.
-	a := check.Attempt{Token: token, Service: p.service.Name, Steady: !p.heavy}
-	work := time.Duration(p.random.Int64N(int64(longestWork))).Round(time.Millisecond)
+	a := check.Attempt{Token: token, Service: p.service.Name, MustComplete: !p.heavy}
+	work := time.Duration(p.random.Int64N(int64(maxWorkTime))).Round(time.Millisecond)
 	switch n := p.random.IntN(100); {
 	case n < 50:
-		a.Once = true
+		a.AtMostOnce = true
 		return p.lookup(a, fmt.Sprintf("/lookup/%s?time=%s", token, work))
 	case n < 70:
 		return p.lookup(a, fmt.Sprintf("/status/%s?time=%s", token, work))
 	case n < 85:
-		return p.feed(a, fmt.Sprintf("/feed/%s?n=%d&every=%s", token, 20+p.random.IntN(80), feedEvery))
+		return p.feed(a, fmt.Sprintf("/feed/%s?n=%d&every=%s", token, 20+p.random.IntN(80), feedInterval))
 	default:
 		return p.upload(a, "/upload/"+token, chunkSize*(10+p.random.IntN(60)))
 	}
 }
 
-func (p *party) lookup(a check.Attempt, path string) (check.Attempt, func() client.Request) {
+func (p *caller) lookup(a check.Attempt, path string) (check.Attempt, func() client.Request) {
 	a.Want = fmt.Sprintf("%s %s\n", path, a.Token)
 	return a, func() client.Request {
 		return client.Request{Method: "POST", Path: path, Body: strings.NewReader(a.Token)}
 	}
 }
 
-func (p *party) feed(a check.Attempt, path string) (check.Attempt, func() client.Request) {
-	a.Long, a.Steady = true, true
+func (p *caller) feed(a check.Attempt, path string) (check.Attempt, func() client.Request) {
+	a.Long, a.MustComplete = true, true
 	var lines int
 	_, query, _ := strings.Cut(path, "?n=")
 	if _, err := fmt.Sscanf(query, "%d&", &lines); err != nil {
@@ -267,8 +267,8 @@
 	return a, func() client.Request { return client.Request{Method: "GET", Path: path} }
 }
 
-func (p *party) upload(a check.Attempt, path string, size int) (check.Attempt, func() client.Request) {
-	a.Long, a.Steady, a.Once = true, true, true
+func (p *caller) upload(a check.Attempt, path string, size int) (check.Attempt, func() client.Request) {
+	a.Long, a.MustComplete, a.AtMostOnce = true, true, true
 	body := make([]byte, size)
 	for i := range body {
 		body[i] = byte(p.random.Uint32())
@@ -289,6 +289,6 @@
 	if p.rest.Len() == 0 {
 		return 0, io.EOF
 	}
-	time.Sleep(chunkEvery)
+	time.Sleep(chunkInterval)
 	return p.rest.Read(b[:min(len(b), chunkSize)])
 }
--- a/internal/stand/faults/move.go
+++ b/internal/stand/faults/move.go
@@ -36,14 +36,14 @@
 // to another service, while an entry is frozen. The entry wakes and goes on
 // sending the first service's packets to the address, as its old document says.
 func addressMoves(r *run) error {
-	agents := r.fleet.Agents(r.largest())
+	agents := r.fleet.Agents(r.largestService())
 	a := agents[len(agents)-1]
-	r.hits(a)
-	entry := r.fleet.Process(r.entry().Process.Name)
+	r.markAffected(a)
+	entry := r.fleet.Process(r.randomEntry().Process.Name)
 	entry.Freeze()
 	r.fleet.Process(a.Process.Name).Kill()
 	r.fleet.Process(a.Process.Name + "-server").Kill()
-	if err := r.give(a, r.smallest()); err != nil {
+	if err := r.reassign(a, r.otherService()); err != nil {
 		return err
 	}
 	if err := r.restart(a.Process.Name + "-server"); err != nil {
@@ -52,22 +52,22 @@
 	if err := r.restart(a.Process.Name); err != nil {
 		return err
 	}
-	entry.Wake()
+	entry.Resume()
 	r.wait(3 * time.Second)
 	return nil
 }
 
-func (r *run) smallest() string {
+func (r *run) otherService() string {
 	for _, s := range r.fleet.Services {
-		if s.Name != r.largest() {
+		if s.Name != r.largestService() {
 			return s.Name
 		}
 	}
-	return r.largest()
+	return r.largestService()
 }
 
-// give rewrites both documents and the agent's settings.
-func (r *run) give(a *prefs.Settings, to string) error {
+// reassign rewrites both documents and the agent's settings.
+func (r *run) reassign(a *prefs.Settings, to string) error {
 	server, ok := r.fleet.Server(a.Agent.Service, a.Agent.Server)
 	if !ok {
 		return errors.Newf("no server %s", a.Agent.Server)
--- a/internal/stand/faults/pairs.go
+++ b/internal/stand/faults/pairs.go
@@ -6,46 +6,46 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// both runs two faults at once. The victims that each draws come from one source of
+// concurrently runs two faults at once. The victims that each draws come from one source of
 // randomness, so the second fault draws none.
-func both(one, other func(*run) error) func(*run) error {
+func concurrently(one, other func(*run) error) func(*run) error {
 	return func(r *run) error {
 		var group errgroup.Group
 		group.Go(func() error { return one(r) })
 		group.Go(func() error {
-			r.wait(withdrawAfter / 2)
+			r.wait(withdrawDelay / 2)
 			return other(r)
 		})
 		return group.Wait()
 	}
 }
 
-// cutFirst cuts the way back from the first entry.
-func cutFirst(r *run) error {
+// cutFirstEntry cuts the way back from the first entry.
+func cutFirstEntry(r *run) error {
 	e := r.fleet.Entries()[0]
-	if err := r.cut(e, 0, 1); err != nil {
+	if err := r.setLoss(e, 0, 1); err != nil {
 		return err
 	}
-	r.wait(cutFor)
-	return r.cut(e, 0, 0)
+	r.wait(cutDuration)
+	return r.setLoss(e, 0, 0)
 }
 
-// stopSecond makes the planned stop of the second entry.
-func stopSecond(r *run) error {
+// stopSecondEntry makes the planned stop of the second entry.
+func stopSecondEntry(r *run) error {
 	e := r.fleet.Entries()[1]
 	r.fleet.Process(e.Process.Name).Stop()
-	r.wait(withdrawAfter)
-	if err := r.spray(e); err != nil {
+	r.wait(withdrawDelay)
+	if err := r.routeAround(e); err != nil {
 		return err
 	}
-	return ends(r, e.Process.Name, 10*time.Second)
+	return awaitStop(r, e.Process.Name, 10*time.Second)
 }
 
 func entryStoppedEntryJoins(r *run) error {
 	if err := entryJoins(r); err != nil {
 		return err
 	}
-	return stopSecond(r)
+	return stopSecondEntry(r)
 }
 
 // agentReplacedPlatformDown replaces an agent as planned while its successor has
@@ -63,7 +63,7 @@
 // agentReplacedPlatformStale replaces an agent as planned while the platform serves
 // the revision before the one in force.
 func agentReplacedPlatformStale(r *run) error {
-	a := r.agent()
+	a := r.randomAgent()
 	if err := r.touch(a.Agent.Service); err != nil {
 		return err
 	}
@@ -72,7 +72,7 @@
 		return err
 	}
 	r.fleet.Process(a.Process.Name).Stop()
-	if err := ends(r, a.Process.Name, 20*time.Second); err != nil {
+	if err := awaitStop(r, a.Process.Name, 20*time.Second); err != nil {
 		return err
 	}
 	if err := r.restart(a.Process.Name); err != nil {
@@ -83,9 +83,9 @@
 }
 
 func documentAndDrain(r *run) error {
-	one, other := r.agent(), r.agent()
-	r.leaves(one)
-	r.leaves(other)
+	one, other := r.randomAgent(), r.randomAgent()
+	r.markLeaving(one)
+	r.markLeaving(other)
 	if err := r.setLeaving(one); err != nil {
 		return err
 	}
@@ -97,8 +97,8 @@
 }
 
 func entryKilledServerDrains(r *run) error {
-	a := r.agent()
-	r.leaves(a)
+	a := r.randomAgent()
+	r.markLeaving(a)
 	if err := r.post(a.Process.Name+"-server", "/drain", ""); err != nil {
 		return err
 	}
@@ -112,14 +112,14 @@
 // entryFrozenDocument freezes an entry, makes a server leave by document
 // meanwhile, and wakes the entry with its old knowledge.
 func entryFrozenDocument(r *run) error {
-	a, p := r.agent(), r.fleet.Process(r.entry().Process.Name)
+	a, p := r.randomAgent(), r.fleet.Process(r.randomEntry().Process.Name)
 	p.Freeze()
-	r.leaves(a)
+	r.markLeaving(a)
 	if err := r.setLeaving(a); err != nil {
 		return err
 	}
 	r.wait(3 * time.Second)
-	p.Wake()
+	p.Resume()
 	r.expectRevision(p.Name, a.Agent.Service, 2)
 	r.wait(time.Second)
 	return nil
@@ -129,8 +129,8 @@
 	if err := r.post("platform", "/fault?mode=down", ""); err != nil {
 		return err
 	}
-	a := r.agent()
-	r.hits(a)
+	a := r.randomAgent()
+	r.markAffected(a)
 	p := r.fleet.Process(a.Process.Name)
 	p.Kill()
 	if err := p.Start(); err != nil {
@@ -142,13 +142,13 @@
 
 // partitionDrain drains a server while the callers are parted.
 func partitionDrain(r *run) error {
-	if err := r.part(r.sides()...); err != nil {
+	if err := r.setPartition(r.partitionSides()...); err != nil {
 		return err
 	}
 	if err := drainByDocument(r); err != nil {
 		return err
 	}
-	return r.part()
+	return r.setPartition()
 }
 
 // platformDownDrain drains a server by its own word while the platform is down.
@@ -165,8 +165,8 @@
 // platformStaleDrain makes a server leave by document; then the platform serves the
 // revision before again, in which the server was to stay.
 func platformStaleDrain(r *run) error {
-	a := r.agent()
-	r.leaves(a)
+	a := r.randomAgent()
+	r.markLeaving(a)
 	if err := r.setLeaving(a); err != nil {
 		return err
 	}
@@ -182,9 +182,9 @@
 // agentKilledDrain makes a server leave by document and replaces its agent without
 // warning: the successor must not take new work either.
 func agentKilledDrain(r *run) error {
-	a := r.agent()
-	r.leaves(a)
-	r.hits(a)
+	a := r.randomAgent()
+	r.markLeaving(a)
+	r.markAffected(a)
 	if err := r.setLeaving(a); err != nil {
 		return err
 	}
@@ -199,19 +199,19 @@
 
 // cutDrain drains a server while the way back from an entry is cut.
 func cutDrain(r *run) error {
-	e := r.entry()
-	if err := r.cut(e, 0, 1); err != nil {
+	e := r.randomEntry()
+	if err := r.setLoss(e, 0, 1); err != nil {
 		return err
 	}
 	if err := drainByServer(r); err != nil {
 		return err
 	}
-	return r.cut(e, 0, 0)
+	return r.setLoss(e, 0, 0)
 }
 
 func entryJoinsDrain(r *run) error {
-	a := r.agent()
-	r.leaves(a)
+	a := r.randomAgent()
+	r.markLeaving(a)
 	if err := r.post(a.Process.Name+"-server", "/drain", ""); err != nil {
 		return err
 	}
@@ -227,11 +227,11 @@
 	entries := r.fleet.Entries()
 	stopped, killed := entries[0], entries[1]
 	r.fleet.Process(stopped.Process.Name).Stop()
-	r.wait(time.Duration(r.random.Int64N(int64(withdrawAfter))))
+	r.wait(time.Duration(r.random.Int64N(int64(withdrawDelay))))
 	r.fleet.Process(killed.Process.Name).Kill()
-	r.wait(withdrawAfter)
-	if err := r.spray(stopped, killed); err != nil {
+	r.wait(withdrawDelay)
+	if err := r.routeAround(stopped, killed); err != nil {
 		return err
 	}
-	return ends(r, stopped.Process.Name, 10*time.Second)
+	return awaitStop(r, stopped.Process.Name, 10*time.Second)
 }
--- a/internal/stand/faults/scenario.go
+++ b/internal/stand/faults/scenario.go
@@ -9,9 +9,9 @@
 	"mangowinch/internal/stand/fabric"
 )
 
-// cutFor is longer than a caller's idle timeout, so that a flow which does not find
+// cutDuration is longer than a caller's idle timeout, so that a flow which does not find
 // its way round the cut does not live through it.
-const cutFor = idleTimeout + time.Second
+const cutDuration = idleTimeout + time.Second
 
 // Scenario is one fault, or several together.
 type Scenario struct {
@@ -29,9 +29,9 @@
 		{Name: "entry-joins", Before: entryAbsent, Steps: entryJoins},
 		{Name: "entry-frozen", Steps: entryFrozen},
 		{Name: "entry-stopped", Steps: entryStopped},
-		{Name: "cut-toward-entry", Steps: func(r *run) error { return oneWay(r, 1, 0) }},
-		{Name: "cut-back-from-entry", Steps: func(r *run) error { return oneWay(r, 0, 1) }},
-		{Name: "loss-both-ways", Steps: func(r *run) error { return oneWay(r, 0.3, 0.3) }},
+		{Name: "cut-toward-entry", Steps: func(r *run) error { return entryLoss(r, 1, 0) }},
+		{Name: "cut-back-from-entry", Steps: func(r *run) error { return entryLoss(r, 0, 1) }},
+		{Name: "loss-both-ways", Steps: func(r *run) error { return entryLoss(r, 0.3, 0.3) }},
 		{Name: "agent-killed", Steps: agentKilled},
 		{Name: "agent-frozen", Steps: agentFrozen},
 		{Name: "agent-frozen-past-deadline", Steps: agentFrozenLong},
@@ -48,7 +48,7 @@
 		{Name: "platform-down", Steps: platformDown},
 		{Name: "platform-down-entry-restarted", Steps: platformDownRestart},
 		{Name: "platform-stale-entry-restarted", Steps: platformStaleRestart},
-		{Name: "platform-copy", Steps: platformCopy},
+		{Name: "platform-copy", Steps: platformRestored},
 		{Name: "partition", Steps: partition},
 		{Name: "two-documents-at-once", Steps: twoDocuments},
 		{Name: "document-and-drain-at-once", Steps: documentAndDrain},
@@ -66,40 +66,40 @@
 		{Name: "partition+drain", Steps: partitionDrain},
 		{Name: "platform-down+drain", Steps: platformDownDrain},
 		{Name: "platform-stale+drain", Steps: platformStaleDrain},
-		{Name: "platform-copy+drain", Steps: platformCopyDrain},
+		{Name: "platform-copy+drain", Steps: platformRestoredDrain},
 		{Name: "agent-killed+drain", Steps: agentKilledDrain},
 		{Name: "cut-back+drain", Steps: cutDrain},
 		{Name: "entry-joins+drain", Before: entryAbsent, Steps: entryJoinsDrain},
 		{Name: "entry-stopped+entry-killed", Steps: entryStoppedEntryKilled},
 		{Name: "entry-stopped+entry-joins", Before: entryAbsent, Steps: entryStoppedEntryJoins},
-		{Name: "entry-stopped+agent-killed", Steps: both(agentKilled, stopSecond)},
-		{Name: "entry-stopped+agent-frozen", Steps: both(agentFrozen, stopSecond)},
-		{Name: "entry-stopped+partition", Steps: both(partition, stopSecond)},
-		{Name: "entry-stopped+cut-back", Steps: both(cutFirst, stopSecond)},
+		{Name: "entry-stopped+agent-killed", Steps: concurrently(agentKilled, stopSecondEntry)},
+		{Name: "entry-stopped+agent-frozen", Steps: concurrently(agentFrozen, stopSecondEntry)},
+		{Name: "entry-stopped+partition", Steps: concurrently(partition, stopSecondEntry)},
+		{Name: "entry-stopped+cut-back", Steps: concurrently(cutFirstEntry, stopSecondEntry)},
 		{Name: "agent-replaced+platform-down", Steps: agentReplacedPlatformDown},
 		{Name: "agent-replaced+platform-stale", Steps: agentReplacedPlatformStale},
-		{Name: "agent-replaced+platform-copy", Steps: agentReplacedPlatformCopy},
-		{Name: "agent-replaced+documents", Steps: both(agentReplaced, twoDocuments)},
-		{Name: "partition+document", Steps: both(partition, twoDocuments)},
-		{Name: "cut-back+document", Steps: both(cutFirst, twoDocuments)},
+		{Name: "agent-replaced+platform-copy", Steps: agentReplacedPlatformRestored},
+		{Name: "agent-replaced+documents", Steps: concurrently(agentReplaced, twoDocuments)},
+		{Name: "partition+document", Steps: concurrently(partition, twoDocuments)},
+		{Name: "cut-back+document", Steps: concurrently(cutFirstEntry, twoDocuments)},
 	}
 }
 
 func entryKilled(r *run) error {
-	e := r.entry()
+	e := r.randomEntry()
 	r.fleet.Process(e.Process.Name).Kill()
-	r.wait(withdrawAfter)
-	return r.spray(e)
+	r.wait(withdrawDelay)
+	return r.routeAround(e)
 }
 
 func entriesKilledInTurn(r *run) error {
 	for _, e := range r.fleet.Entries() {
 		r.fleet.Process(e.Process.Name).Kill()
-		r.wait(withdrawAfter)
+		r.wait(withdrawDelay)
 		if err := r.restart(e.Process.Name); err != nil {
 			return err
 		}
-		r.wait(withdrawAfter)
+		r.wait(withdrawDelay)
 	}
 	return nil
 }
@@ -107,12 +107,12 @@
 func entryAbsent(r *run) error {
 	e := r.fleet.Entries()[0]
 	r.fleet.Process(e.Process.Name).Kill()
-	return r.spray(e)
+	return r.routeAround(e)
 }
 
 // entryJoins starts the entry that was absent, which has missed a document.
 func entryJoins(r *run) error {
-	service := r.largest()
+	service := r.largestService()
 	if err := r.touch(service); err != nil {
 		return err
 	}
@@ -121,30 +121,30 @@
 		return err
 	}
 	r.expectRevision(name, service, 2)
-	return r.spray()
+	return r.routeAround()
 }
 
 func entryFrozen(r *run) error {
-	p := r.fleet.Process(r.entry().Process.Name)
+	p := r.fleet.Process(r.randomEntry().Process.Name)
 	p.Freeze()
 	r.wait(2 * time.Second)
-	p.Wake()
+	p.Resume()
 	return nil
 }
 
 func entryStopped(r *run) error {
-	e := r.entry()
+	e := r.randomEntry()
 	p := r.fleet.Process(e.Process.Name)
 	p.Stop()
-	r.wait(withdrawAfter)
-	if err := r.spray(e); err != nil {
+	r.wait(withdrawDelay)
+	if err := r.routeAround(e); err != nil {
 		return err
 	}
-	return ends(r, e.Process.Name, 10*time.Second)
+	return awaitStop(r, e.Process.Name, 10*time.Second)
 }
 
-// ends returns an error if a process that was asked to stop does not end well.
-func ends(r *run, name string, within time.Duration) error {
+// awaitStop returns an error if a process that was asked to stop does not end well.
+func awaitStop(r *run, name string, within time.Duration) error {
 	p := r.fleet.Process(name)
 	select {
 	case <-p.Ended():
@@ -154,57 +154,57 @@
 	}
 }
 
-func oneWay(r *run, toward, back float64) error {
-	e := r.entry()
-	if err := r.cut(e, toward, back); err != nil {
+func entryLoss(r *run, toward, back float64) error {
+	e := r.randomEntry()
+	if err := r.setLoss(e, toward, back); err != nil {
 		return err
 	}
-	r.wait(cutFor)
-	return r.cut(e, 0, 0)
+	r.wait(cutDuration)
+	return r.setLoss(e, 0, 0)
 }
 
 func agentKilled(r *run) error {
-	a := r.agent()
-	r.hits(a)
+	a := r.randomAgent()
+	r.markAffected(a)
 	r.fleet.Process(a.Process.Name).Kill()
 	r.wait(time.Second)
 	return r.restart(a.Process.Name)
 }
 
 func agentFrozen(r *run) error {
-	a := r.agent()
+	a := r.randomAgent()
 	p := r.fleet.Process(a.Process.Name)
 	p.Freeze()
 	r.wait(time.Second)
-	p.Wake()
+	p.Resume()
 	return nil
 }
 
 // agentFrozenLong freezes an agent for longer than a lookup's deadline and the
 // idle timeout of its callers.
 func agentFrozenLong(r *run) error {
-	a := r.agent()
-	r.hits(a)
+	a := r.randomAgent()
+	r.markAffected(a)
 	p := r.fleet.Process(a.Process.Name)
 	p.Freeze()
 	r.wait(idleTimeout + time.Second)
-	p.Wake()
+	p.Resume()
 	return nil
 }
 
 // agentReplaced stops an agent as planned and starts its successor.
 func agentReplaced(r *run) error {
-	a := r.agent()
+	a := r.randomAgent()
 	r.fleet.Process(a.Process.Name).Stop()
-	if err := ends(r, a.Process.Name, 20*time.Second); err != nil {
+	if err := awaitStop(r, a.Process.Name, 20*time.Second); err != nil {
 		return err
 	}
 	return r.restart(a.Process.Name)
 }
 
 func serverKilled(r *run) error {
-	a := r.agent()
-	r.hits(a)
+	a := r.randomAgent()
+	r.markAffected(a)
 	name := a.Process.Name + "-server"
 	r.fleet.Process(name).Kill()
 	r.wait(time.Second)
@@ -212,8 +212,8 @@
 }
 
 func serverFault(r *run, mode string) error {
-	a := r.agent()
-	r.hits(a)
+	a := r.randomAgent()
+	r.markAffected(a)
 	name := a.Process.Name + "-server"
 	if err := r.post(name, "/fault?mode="+mode, ""); err != nil {
 		return err
@@ -223,8 +223,8 @@
 }
 
 func drainByDocument(r *run) error {
-	a := r.agent()
-	r.leaves(a)
+	a := r.randomAgent()
+	r.markLeaving(a)
 	if err := r.setLeaving(a); err != nil {
 		return err
 	}
@@ -233,8 +233,8 @@
 }
 
 func drainByServer(r *run) error {
-	a := r.agent()
-	r.leaves(a)
+	a := r.randomAgent()
+	r.markLeaving(a)
 	if err := r.post(a.Process.Name+"-server", "/drain", ""); err != nil {
 		return err
 	}
@@ -243,9 +243,9 @@
 }
 
 func drainByList(r *run) error {
-	a := r.agent()
-	r.leaves(a)
-	if err := r.setListed(a.Process.Name, "leaving"); err != nil {
+	a := r.randomAgent()
+	r.markLeaving(a)
+	if err := r.setInstanceState(a.Process.Name, "leaving"); err != nil {
 		return err
 	}
 	r.wait(4 * time.Second)
@@ -253,11 +253,11 @@
 }
 
 func drainBySignal(r *run) error {
-	a := r.agent()
-	r.leaves(a)
+	a := r.randomAgent()
+	r.markLeaving(a)
 	r.fleet.Process(a.Process.Name).Stop()
 	r.wait(4 * time.Second)
-	return ends(r, a.Process.Name, 20*time.Second)
+	return awaitStop(r, a.Process.Name, 20*time.Second)
 }
 
 func platformDown(r *run) error {
@@ -271,11 +271,11 @@
 // platformDownRestart restarts an entry while the platform is down: it has only
 // its peers to learn the documents from.
 func platformDownRestart(r *run) error {
-	service := r.largest()
+	service := r.largestService()
 	if err := r.touch(service); err != nil {
 		return err
 	}
-	e := r.entry()
+	e := r.randomEntry()
 	r.expectRevision(e.Process.Name, service, 2)
 	if err := r.post("platform", "/fault?mode=down", ""); err != nil {
 		return err
@@ -286,7 +286,7 @@
 // platformStaleRestart lets the platform fall back to an old revision and restarts
 // an entry: it must not go back behind what its peers have.
 func platformStaleRestart(r *run) error {
-	service := r.largest()
+	service := r.largestService()
 	if err := r.touch(service); err != nil {
 		return err
 	}
@@ -296,7 +296,7 @@
 	if err := r.post("platform", "/fault?mode=stale&back=1", ""); err != nil {
 		return err
 	}
-	return restartAndExpect(r, r.entry().Process.Name, service)
+	return restartAndExpect(r, r.randomEntry().Process.Name, service)
 }
 
 func restartAndExpect(r *run, name, service string) error {
@@ -311,16 +311,16 @@
 
 // partition parts callers and entries in two; agents are reached from both sides.
 func partition(r *run) error {
-	if err := r.part(r.sides()...); err != nil {
+	if err := r.setPartition(r.partitionSides()...); err != nil {
 		return err
 	}
-	r.wait(cutFor)
-	return r.part()
+	r.wait(cutDuration)
+	return r.setPartition()
 }
 
-func (r *run) sides() []fabric.Side {
+func (r *run) partitionSides() []fabric.Side {
 	entries := r.fleet.Entries()
-	networks := r.fleet.Service(r.largest()).Callers
+	networks := r.fleet.Service(r.largestService()).Callers
 	var one, other fabric.Side
 	for i, c := range networks {
 		if i%2 == 0 {
@@ -338,7 +338,7 @@
 
 // twoDocuments makes two revisions in quick succession; the second must win everywhere.
 func twoDocuments(r *run) error {
-	service := r.largest()
+	service := r.largestService()
 	if err := r.touch(service); err != nil {
 		return err
 	}
--- a/internal/stand/faults/steps.go
+++ b/internal/stand/faults/steps.go
@@ -17,23 +17,23 @@
 )
 
 const (
-	withdrawAfter = time.Second     // until the fabric notices that an entry is gone
-	inForceWithin = 7 * time.Second // from the platform's having a document to its being in force everywhere
+	withdrawDelay  = time.Second     // until the fabric notices that an entry is gone
+	inForceTimeout = 7 * time.Second // from the platform's having a document to its being in force everywhere
 )
 
-// entry draws an entry.
-func (r *run) entry() *prefs.Settings {
+// randomEntry draws an entry.
+func (r *run) randomEntry() *prefs.Settings {
 	entries := r.fleet.Entries()
 	return entries[r.random.IntN(len(entries))]
 }
 
-// agent draws an agent of the larger service.
-func (r *run) agent() *prefs.Settings {
-	agents := r.fleet.Agents(r.largest())
+// randomAgent draws an agent of the larger service.
+func (r *run) randomAgent() *prefs.Settings {
+	agents := r.fleet.Agents(r.largestService())
 	return agents[r.random.IntN(len(agents))]
 }
 
-func (r *run) largest() string {
+func (r *run) largestService() string {
 	largest := r.fleet.Services[0]
 	for _, s := range r.fleet.Services {
 		if len(s.Servers) > len(largest.Servers) {
@@ -43,13 +43,13 @@
 	return largest.Name
 }
 
-// hits says that flows and requests at an agent's server may be cut by the fault.
-func (r *run) hits(agent *prefs.Settings) {
-	r.hit[agent.Agent.Service+"/"+agent.Agent.Server] = true
+// markAffected says that flows and requests at an agent's server may be cut by the fault.
+func (r *run) markAffected(agent *prefs.Settings) {
+	r.affected[agent.Agent.Service+"/"+agent.Agent.Server] = true
 }
 
-// leaves says that a server is told to leave now.
-func (r *run) leaves(agent *prefs.Settings) {
+// markLeaving says that a server is told to leave now.
+func (r *run) markLeaving(agent *prefs.Settings) {
 	r.leaving = append(r.leaving, check.Leave{Service: agent.Agent.Service, Server: agent.Agent.Server, At: time.Now()})
 }
 
@@ -58,8 +58,8 @@
 	return r.fleet.Post(r.ctx, process, path, text)
 }
 
-// spray lets the fabric send to all entries but these.
-func (r *run) spray(without ...*prefs.Settings) error {
+// routeAround lets the fabric send to all entries but these.
+func (r *run) routeAround(without ...*prefs.Settings) error {
 	var addresses []string
 	for _, e := range r.fleet.Entries() {
 		gone := false
@@ -73,13 +73,13 @@
 	return r.post("fabric", "/entries?set="+strings.Join(addresses, ","), "")
 }
 
-// cut sets the loss at an entry.
-func (r *run) cut(e *prefs.Settings, toward, back float64) error {
+// setLoss sets the loss at an entry.
+func (r *run) setLoss(e *prefs.Settings, toward, back float64) error {
 	return r.post("fabric", fmt.Sprintf("/fault?entry=%s&toward=%g&back=%g", e.Entry.Bind, toward, back), "")
 }
 
-// part shows each side of the callers other entries; no sides end it.
-func (r *run) part(sides ...fabric.Side) error {
+// setPartition shows each side of the callers other entries; no sides end it.
+func (r *run) setPartition(sides ...fabric.Side) error {
 	if sides == nil {
 		sides = []fabric.Side{}
 	}
@@ -126,8 +126,8 @@
 	return r.edit(service+".ini", func(text string) string { return text + "\n; touched\n" })
 }
 
-// setListed writes an instance's state into the platform's list.
-func (r *run) setListed(name, state string) error {
+// setInstanceState writes an instance's state into the platform's list.
+func (r *run) setInstanceState(name, state string) error {
 	return r.edit("instances.json", func(text string) string {
 		lines := strings.Split(text, "\n")
 		for i, line := range lines {
@@ -144,11 +144,11 @@
 func (r *run) expectRevision(process, service string, least order.Revision) {
 	var got order.Revision
 	var err error
-	for end := time.Now().Add(inForceWithin); time.Now().Before(end); r.wait(20 * time.Millisecond) {
+	for end := time.Now().Add(inForceTimeout); time.Now().Before(end); r.wait(20 * time.Millisecond) {
 		if got, err = r.fleet.Revision(r.ctx, process, service); err == nil && got >= least {
 			return
 		}
 	}
-	r.extra = append(r.extra, check.Violation{Rule: check.Reverted, Token: process,
-		Detail: fmt.Sprintf("has revision %s of %s and not %s after %s (%v)", got, service, least, inForceWithin, err)})
+	r.extraViolations = append(r.extraViolations, check.Violation{Rule: check.Reverted, Token: process,
+		Detail: fmt.Sprintf("has revision %s of %s and not %s after %s (%v)", got, service, least, inForceTimeout, err)})
 }
--- a/internal/stand/faults/twice.go
+++ b/internal/stand/faults/twice.go
@@ -13,12 +13,12 @@
 	for _, e := range entries[:2] {
 		r.fleet.Process(e.Process.Name).Kill()
 	}
-	r.wait(withdrawAfter)
-	return r.spray(entries[0], entries[1])
+	r.wait(withdrawDelay)
+	return r.routeAround(entries[0], entries[1])
 }
 
 func entryKilledTwice(r *run) error {
-	name := r.entry().Process.Name
+	name := r.randomEntry().Process.Name
 	for range 2 {
 		r.fleet.Process(name).Kill()
 		if err := r.restart(name); err != nil {
@@ -29,8 +29,8 @@
 }
 
 func agentKilledTwice(r *run) error {
-	a := r.agent()
-	r.hits(a)
+	a := r.randomAgent()
+	r.markAffected(a)
 	for range 2 {
 		r.fleet.Process(a.Process.Name).Kill()
 		if err := r.restart(a.Process.Name); err != nil {
@@ -46,14 +46,14 @@
 	}
 	r.wait(time.Second)
 	for _, e := range r.fleet.Entries() {
-		r.fleet.Process(e.Process.Name).Wake()
+		r.fleet.Process(e.Process.Name).Resume()
 	}
 	return nil
 }
 
 // domainLost kills every process of one failure domain and starts them again.
 func domainLost(r *run) error {
-	domain := r.entry().Process.Domain
+	domain := r.randomEntry().Process.Domain
 	var names []string
 	for _, n := range r.fleet.Nodes {
 		if n.Process.Domain != domain {
@@ -61,7 +61,7 @@
 		}
 		names = append(names, n.Process.Name)
 		if n.Agent != nil {
-			r.hits(n)
+			r.markAffected(n)
 			names = append(names, n.Process.Name+"-server")
 		}
 	}
@@ -88,10 +88,10 @@
 		}
 		return nil
 	})
-	for _, a := range r.fleet.Agents(r.largest())[:3] {
+	for _, a := range r.fleet.Agents(r.largestService())[:3] {
 		name := a.Process.Name
 		r.fleet.Process(name).Stop()
-		if err := ends(r, name, 20*time.Second); err != nil {
+		if err := awaitStop(r, name, 20*time.Second); err != nil {
 			return err
 		}
 		if err := r.restart(name); err != nil {
@@ -104,20 +104,20 @@
 // replaceEntry makes a planned stop: the fabric is told a second after the entry.
 func replaceEntry(r *run, name string) error {
 	r.fleet.Process(name).Stop()
-	r.wait(withdrawAfter)
+	r.wait(withdrawDelay)
 	for _, e := range r.fleet.Entries() {
 		if e.Process.Name != name {
 			continue
 		}
-		if err := r.spray(e); err != nil {
+		if err := r.routeAround(e); err != nil {
 			return err
 		}
 	}
-	if err := ends(r, name, 10*time.Second); err != nil {
+	if err := awaitStop(r, name, 10*time.Second); err != nil {
 		return err
 	}
 	if err := r.restart(name); err != nil {
 		return err
 	}
-	return r.spray()
+	return r.routeAround()
 }
--- a/internal/stand/filled/filled.go
+++ b/internal/stand/filled/filled.go
@@ -24,8 +24,8 @@
 	"time"
 )
 
-// deepest bounds types that hold themselves.
-const deepest = 12
+// maxDepth bounds types that hold themselves.
+const maxDepth = 12
 
 // Fill sets all that v points to: each exported field to a value that isn't zero, each slice and map to one element,
 // each pointer to a value of its own. It panics on a type that it can't fill, such as a function.
@@ -36,10 +36,10 @@
 
 // fill sets v, which is at position n of what holds it.
 func fill(v reflect.Value, n, depth int) {
-	if depth > deepest {
+	if depth > maxDepth {
 		return
 	}
-	if known(v, n) {
+	if fillKnown(v, n) {
 		return
 	}
 	switch v.Kind() {
@@ -60,7 +60,7 @@
 	case reflect.Interface:
 		v.Set(reflect.ValueOf(fmt.Sprintf("any%d", n)))
 	default:
-		fillPlain(v, n)
+		fillBasic(v, n)
 	}
 }
 
@@ -80,8 +80,8 @@
 	v.SetMapIndex(key, value)
 }
 
-// fillPlain sets a number, a text or a truth. Numbers fit into 8 bits.
-func fillPlain(v reflect.Value, n int) {
+// fillBasic sets a number, a text or a truth. Numbers fit into 8 bits.
+func fillBasic(v reflect.Value, n int) {
 	small := n%120 + 1
 	switch {
 	case v.Kind() == reflect.Bool:
@@ -99,8 +99,8 @@
 	}
 }
 
-// known sets values of types whose fields aren't exported.
-func known(v reflect.Value, n int) bool {
+// fillKnown sets values of types whose fields aren't exported.
+func fillKnown(v reflect.Value, n int) bool {
 	last := byte(n%250 + 1)
 	addr := netip.AddrFrom4([4]byte{10, 0, 0, last})
 	var value any
@@ -129,7 +129,7 @@
 	if !v.IsValid() || v.IsZero() || hasLen(v) && v.Len() == 0 {
 		return append(paths, path)
 	}
-	if opaque(v) {
+	if hasOwnEncoding(v) {
 		return paths
 	}
 	switch v.Kind() {
@@ -153,8 +153,8 @@
 	return paths
 }
 
-// opaque says whether a value is written as a whole, such as an address or a URL.
-func opaque(v reflect.Value) bool {
+// hasOwnEncoding says whether a value is written as a whole, such as an address or a URL.
+func hasOwnEncoding(v reflect.Value) bool {
 	switch v.Interface().(type) {
 	case encoding.TextMarshaler, encoding.BinaryMarshaler:
 		return true
--- a/internal/stand/fleet/ask.go
+++ b/internal/stand/fleet/ask.go
@@ -12,10 +12,10 @@
 	"mangowinch/internal/flow/order"
 )
 
-// Ask reads what a process tells at a path of its operators' address into answer.
-func (f *Fleet) Ask(ctx context.Context, process, path string, answer any) (err error) {
+// GetJSON reads what a process tells at a path of its operators' address into answer.
+func (f *Fleet) GetJSON(ctx context.Context, process, path string, answer any) (err error) {
 	defer func() { err = errors.Wrapf(err, "ask %s for %s", process, path) }()
-	body, err := f.do(ctx, http.MethodGet, process, path, "")
+	body, err := f.request(ctx, http.MethodGet, process, path, "")
 	if err != nil {
 		return err
 	}
@@ -26,14 +26,14 @@
 // Post tells a stand-in what to do.
 func (f *Fleet) Post(ctx context.Context, process, path, text string) (err error) {
 	defer func() { err = errors.Wrapf(err, "tell %s %s", process, path) }()
-	body, err := f.do(ctx, http.MethodPost, process, path, text)
+	body, err := f.request(ctx, http.MethodPost, process, path, text)
 	if err != nil {
 		return err
 	}
 	return body.Close()
 }
 
-func (f *Fleet) do(ctx context.Context, method, process, path, text string) (io.ReadCloser, error) {
+func (f *Fleet) request(ctx context.Context, method, process, path, text string) (io.ReadCloser, error) {
 	url := "http://" + f.Process(process).Operator.String() + path
 	request, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(text))
 	if err != nil {
@@ -61,7 +61,7 @@
 			} `json:"documents"`
 		} `json:"sections"`
 	}
-	if err := f.Ask(ctx, process, "/status", &status); err != nil {
+	if err := f.GetJSON(ctx, process, "/status", &status); err != nil {
 		return 0, err
 	}
 	for _, d := range status.Sections.Documents {
--- a/internal/stand/fleet/copy.go
+++ b/internal/stand/fleet/copy.go
@@ -17,11 +17,11 @@
 const (
 	// Blocks are 127.1.0.0/16 to 127.199.0.0/16. The examples' own 127.0.0.0/16 is
 	// left to people who start an example's processes by hand.
-	blocks    = 200
+	octetEnd  = 200
 	claimPort = 65000
 )
 
-var firstBlock = regexp.MustCompile(`\b127\.0\.`)
+var exampleBlock = regexp.MustCompile(`\b127\.0\.`)
 
 // block is a /16 of loopback addresses that one fleet has for itself.
 type block struct {
@@ -32,7 +32,7 @@
 // claimBlock takes the first free block. A socket that only one process can open
 // marks it as taken, and closes with its owner, however that ends.
 func claimBlock() (*block, error) {
-	for octet := 1; octet < blocks; octet++ {
+	for octet := 1; octet < octetEnd; octet++ {
 		claim, err := net.Listen("tcp", fmt.Sprintf("127.%d.255.254:%d", octet, claimPort))
 		if err == nil {
 			return &block{octet: octet, claim: claim}, nil
@@ -45,7 +45,7 @@
 
 // rewrite moves addresses of 127.0.0.0/16 into the block.
 func (b *block) rewrite(text []byte) []byte {
-	return firstBlock.ReplaceAll(text, fmt.Appendf(nil, "127.%d.", b.octet))
+	return exampleBlock.ReplaceAll(text, fmt.Appendf(nil, "127.%d.", b.octet))
 }
 
 func copyDeployment(from, to string, b *block) (err error) {
--- a/internal/stand/fleet/fleet.go
+++ b/internal/stand/fleet/fleet.go
@@ -36,9 +36,9 @@
 )
 
 const (
-	readyWithin = 30 * time.Second // a process that is not ready by then has failed
-	readyEvery  = 20 * time.Millisecond
-	adminPort   = 8501 // of the platform's and the fabric's stand-in
+	readyTimeout      = 30 * time.Second // a process that is not ready by then has failed
+	readyPollInterval = 20 * time.Millisecond
+	adminPort         = 8501 // of the platform's and the fabric's stand-in
 )
 
 // Settings say what to start.
@@ -55,11 +55,11 @@
 	Roots     *x509.CertPool // that the agents' certificate is under
 	Nodes     []*prefs.Settings
 
-	settings  Settings
-	block     *block
-	temporary bool
-	processes map[string]*Process
-	order     []string // of starting
+	settings   Settings
+	block      *block
+	temporary  bool
+	processes  map[string]*Process
+	startOrder []string // of starting
 }
 
 // Start starts every process of a deployment and returns once all are ready.
@@ -83,20 +83,20 @@
 	if f.block, err = claimBlock(); err != nil {
 		return err
 	}
-	if err := f.layOut(); err != nil {
+	if err := f.prepare(); err != nil {
 		return err
 	}
-	f.plan()
-	for _, name := range f.order {
+	f.addProcesses()
+	for _, name := range f.startOrder {
 		if err := f.processes[name].Start(); err != nil {
 			return err
 		}
 	}
-	return f.AwaitReady(ctx, f.order...)
+	return f.AwaitReady(ctx, f.startOrder...)
 }
 
-// layOut copies the deployment, makes its keys and reads what was copied.
-func (f *Fleet) layOut() error {
+// prepare copies the deployment, makes its keys and reads what was copied.
+func (f *Fleet) prepare() error {
 	if err := copyDeployment(f.settings.Deployment, f.Directory, f.block); err != nil {
 		return err
 	}
@@ -111,8 +111,8 @@
 	return err
 }
 
-// plan lists the processes: the stand-ins, then the nodes.
-func (f *Fleet) plan() {
+// addProcesses lists the processes: the stand-ins, then the nodes.
+func (f *Fleet) addProcesses() {
 	standin := filepath.Join(f.settings.Binaries, "standin")
 	program := filepath.Join(f.settings.Binaries, "mangowinch")
 	platform := netip.MustParseAddrPort(f.Nodes[0].Platform.Address.Host)
@@ -149,7 +149,7 @@
 
 func (f *Fleet) serverArguments(n *prefs.Settings) []string {
 	arguments := []string{"server", "--address", n.Agent.Backend.Host, "--cold", "0s",
-		"--journal", f.journal(n.Process.Name)}
+		"--journal", f.journalFile(n.Process.Name)}
 	server, ok := f.Server(n.Agent.Service, n.Agent.Server)
 	if !ok {
 		return arguments
@@ -158,7 +158,7 @@
 }
 
 func (f *Fleet) add(name string, operator netip.AddrPort, program string, arguments ...string) {
-	f.order = append(f.order, name)
+	f.startOrder = append(f.startOrder, name)
 	f.processes[name] = &Process{
 		Name:      name,
 		Operator:  operator,
@@ -184,7 +184,7 @@
 }
 
 // Names returns the names of all processes in the order of starting.
-func (f *Fleet) Names() []string { return slices.Clone(f.order) }
+func (f *Fleet) Names() []string { return slices.Clone(f.startOrder) }
 
 // Service returns a document by name. It panics if there is none.
 func (f *Fleet) Service(name string) *docs.Service {
@@ -227,7 +227,7 @@
 
 // AwaitReady returns once each named process answers GET /healthz with 200.
 func (f *Fleet) AwaitReady(ctx context.Context, names ...string) (err error) {
-	ctx, cancel := context.WithTimeout(ctx, readyWithin)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, name := range names {
 		p := f.Process(name)
@@ -236,17 +236,17 @@
 			case <-p.Ended():
 				return errors.Newf("%s ended at once: %s", name, p.lastLine())
 			case <-ctx.Done():
-				return errors.Newf("%s is not ready after %s: %s", name, readyWithin, p.lastLine())
-			case <-time.After(readyEvery):
+				return errors.Newf("%s is not ready after %s: %s", name, readyTimeout, p.lastLine())
+			case <-time.After(readyPollInterval):
 			}
 		}
 	}
-	return f.noneEnded(names)
+	return f.checkRunning(names)
 }
 
-// noneEnded guards against a process that found its address taken and ended, while
+// checkRunning guards against a process that found its address taken and ended, while
 // whoever took the address answered in its place.
-func (f *Fleet) noneEnded(names []string) error {
+func (f *Fleet) checkRunning(names []string) error {
 	for _, name := range names {
 		p := f.Process(name)
 		select {
@@ -273,7 +273,7 @@
 
 // Close ends every process and removes the temporary directory.
 func (f *Fleet) Close() {
-	for _, name := range slices.Backward(f.order) {
+	for _, name := range slices.Backward(f.startOrder) {
 		f.processes[name].Kill()
 	}
 	if f.block != nil {
--- a/internal/stand/fleet/fleet_test.go
+++ b/internal/stand/fleet/fleet_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// laidOut is a fleet that is planned and not started.
-func laidOut(t *testing.T, deployment string) *Fleet {
+// preparedFleet is a fleet that is planned and not started.
+func preparedFleet(t *testing.T, deployment string) *Fleet {
 	t.Helper()
 	b, err := claimBlock()
 	assert.NilError(t, err)
@@ -19,8 +19,8 @@
 		processes: map[string]*Process{},
 	}
 	t.Cleanup(f.Close)
-	assert.NilError(t, f.layOut())
-	f.plan()
+	assert.NilError(t, f.prepare())
+	f.addProcesses()
 	return f
 }
 
@@ -32,7 +32,7 @@
 		"rabat":  {"dossier-desk": {7, 5, 4}, "pieces-depot": {4, 5, 4}},
 	}
 	for deployment, services := range want {
-		f := laidOut(t, deployment)
+		f := preparedFleet(t, deployment)
 		assert.Equal(t, len(f.Services), len(services))
 		for name, size := range services {
 			s := f.Service(name)
@@ -53,7 +53,7 @@
 // its document says would never get a packet.
 func TestExamplesAgree(t *testing.T) {
 	for _, deployment := range []string{"zagreb", "rabat"} {
-		f := laidOut(t, deployment)
+		f := preparedFleet(t, deployment)
 		used := map[netip.AddrPort]string{}
 		for _, n := range f.Nodes {
 			other, taken := used[n.Process.Operator]
@@ -76,7 +76,7 @@
 }
 
 func TestFleetsGetBlocksOfTheirOwn(t *testing.T) {
-	one, other := laidOut(t, "zagreb"), laidOut(t, "zagreb")
+	one, other := preparedFleet(t, "zagreb"), preparedFleet(t, "zagreb")
 	assert.Assert(t, one.block.octet != other.block.octet)
 	assert.Assert(t, one.Service("tracing-core").Address != other.Service("tracing-core").Address)
 }
--- a/internal/stand/fleet/history.go
+++ b/internal/stand/fleet/history.go
@@ -14,7 +14,7 @@
 	"mangowinch/internal/stand/server"
 )
 
-func (f *Fleet) journal(agent string) string {
+func (f *Fleet) journalFile(agent string) string {
 	return filepath.Join(f.Directory, "logs", agent+".journal")
 }
 
@@ -26,7 +26,7 @@
 		if n.Agent == nil {
 			continue
 		}
-		ran, err := readJournal(f.journal(n.Process.Name))
+		ran, err := readJournal(f.journalFile(n.Process.Name))
 		if err != nil {
 			return nil, err
 		}
--- a/internal/stand/fleet/keys.go
+++ b/internal/stand/fleet/keys.go
@@ -19,7 +19,7 @@
 	"mangowinch/internal/conf/prefs"
 )
 
-const validFor = 7 * 24 * time.Hour
+const certificateLifetime = 7 * 24 * time.Hour
 
 // makeKeys writes a certificate for all services (cert.pem, cert.key) and each
 // key that the documents name (NAME.key). They are for this machine only.
@@ -53,7 +53,7 @@
 		SerialNumber:          big.NewInt(1),
 		Subject:               pkix.Name{CommonName: "mangowinch on loopback"},
 		NotBefore:             time.Now().Add(-time.Hour),
-		NotAfter:              time.Now().Add(validFor),
+		NotAfter:              time.Now().Add(certificateLifetime),
 		KeyUsage:              x509.KeyUsageDigitalSignature | x509.KeyUsageCertSign,
 		ExtKeyUsage:           []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth},
 		BasicConstraintsValid: true,
