--- a/internal/stand/check/check.go
+++ b/internal/stand/check/check.go
@@ -1,9 +1,10 @@
-// Package check compares what callers were told with what ran: the histories of
-// all backend servers and the attempts of all callers of one run.
+// Package check verifies the outcomes that callers saw against the requests that
+// backend servers executed. Its input is the history of all servers and the attempts
+// of all callers of one run.
 //
-// It is pure, and knows neither processes nor the network. It decides nothing
-// about timing but one thing, whether a server that was told to leave took new
-// work after the allowed time.
+// It is a pure function of that input and uses neither processes nor the network. The
+// only timing rule is that a server which was told to leave takes no new work after a
+// grace period.
 //
 // # Usage
 //
@@ -22,46 +23,46 @@
 	"mangowinch/internal/work/result"
 )
 
-// LeaveGrace is how long a server that was told to leave may take new work.
+// LeaveGrace is how long a server may still take new work after it was told to leave.
 const LeaveGrace = 3 * time.Second
 
-// Rule names what was violated.
+// Rule identifies a rule that a run can violate.
 type Rule string
 
 // The rules.
 const (
 	RanTwice      Rule = "twice"    // a request that is not idempotent ran more than once
-	FalseNotRun   Rule = "lied"     // told not-run, and it ran
-	FalseRan      Rule = "ghost"    // told ran, and no history has it
-	WrongAnswer   Rule = "foreign"  // the answer of another request
-	Truncated     Rule = "partial"  // taken for whole, and is not
-	Interrupted   Rule = "cut"      // had to survive the fault, and did not
-	WrongService  Rule = "crossed"  // ran at another service
-	LateWork      Rule = "late"     // new work at a server that had been told to leave
-	Unrequested   Rule = "stranger" // ran, and no caller asked for it
-	Reverted      Rule = "reverted" // an accepted document is not in force; found by runs, not by Check
-	TooMuchMemory Rule = "grown"    // a process took more memory than it may; found by runs, not by Check
-	Stuck         Rule = "stuck"    // a process did not start or stop as it must; found by runs, not by Check
+	FalseNotRun   Rule = "lied"     // the caller received not-run, but the request ran
+	FalseRan      Rule = "ghost"    // the caller received ran, but no server's history has the request
+	WrongAnswer   Rule = "foreign"  // the caller received the answer to another request
+	Truncated     Rule = "partial"  // the caller accepted an incomplete answer as complete
+	Interrupted   Rule = "cut"      // had to complete in spite of the fault, but did not
+	WrongService  Rule = "crossed"  // ran at a server of another service
+	LateWork      Rule = "late"     // a server took new work more than LeaveGrace after it was told to leave
+	Unrequested   Rule = "stranger" // ran, but no caller sent it
+	Reverted      Rule = "reverted" // an accepted document is not in force; reported by fault runs, not by Check
+	TooMuchMemory Rule = "grown"    // a process exceeds its memory limit; reported by fault runs, not by Check
+	Stuck         Rule = "stuck"    // a step failed, such as a start or stop of a process; reported by fault runs, not by Check
 )
 
-// Attempt is one request as its caller saw it. A repeat with a request key counts
-// as one attempt with its first try, with the outcome of the last.
+// Attempt is one request as its caller saw it. A request and its repeats with the same
+// request key are one attempt, which has the outcome of the last repeat.
 type Attempt struct {
-	Token        string // unique in the run, part of the path
+	Token        string // unique in the run and part of the path
 	Service      string
 	AtMostOnce   bool // not idempotent
-	MustComplete bool // must come to its end whole in spite of the fault
+	MustComplete bool // must end with a complete answer in spite of the fault
 	Long         bool // a feed or an upload
 	Outcome      result.Outcome
 	Reason       string
-	Want         string // the whole answer
-	Got          string // as far as it came
-	Err          string // why the answer is not whole, empty if the caller takes it for whole
+	Want         string // the complete expected answer
+	Got          string // the part of the answer that was received
+	Err          string // why the answer is incomplete; empty if the caller accepted it as complete
 	Begun        time.Time
 	Ended        time.Time
 }
 
-// Execution is one request that ran, by the history of its server.
+// Execution is one request that ran, as recorded by its server.
 type Execution struct {
 	Service string
 	Server  string
@@ -70,21 +71,21 @@
 	At      time.Time
 }
 
-// Leave says that a server was told to leave.
+// Leave records when a server was told to leave.
 type Leave struct {
 	Service string
 	Server  string
 	At      time.Time
 }
 
-// Run is everything that is known of one run.
+// Run holds the records of one run.
 type Run struct {
 	Attempts   []Attempt
 	Executions []Execution
 	Leaving    []Leave
 }
 
-// Violation is one broken promise.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule   Rule
 	Token  string
@@ -126,11 +127,11 @@
 		add(FalseNotRun, "ran at "+serverNames(ran)+", reason "+a.Reason)
 	}
 	if a.Outcome == result.Ran && len(ran) == 0 {
-		add(FalseRan, "in no history")
+		add(FalseRan, "in no server's history")
 	}
 	for _, e := range ran {
 		if e.Service != a.Service {
-			add(WrongService, "asked of "+a.Service+", ran at "+e.Service+" "+e.Server)
+			add(WrongService, "sent to "+a.Service+", ran at "+e.Service+" "+e.Server)
 		}
 	}
 	switch {
--- a/internal/stand/check/check_test.go
+++ b/internal/stand/check/check_test.go
@@ -27,7 +27,7 @@
 	return Execution{Service: service, Server: server, Token: "t1", At: start.Add(after)}
 }
 
-// Each rule is given a run that violates it and nothing else.
+// Each run violates exactly one rule, and Check must report that rule only.
 func TestEachViolationIsCaught(t *testing.T) {
 	ran := []Execution{execution("tracing-core", "s1", 0)}
 	tests := map[Rule]Run{
@@ -61,8 +61,8 @@
 	}
 }
 
-// A run that keeps every promise, whatever mixture of outcomes it has, is clean.
-func TestCleanRunsAreClean(t *testing.T) {
+// Guards against false positives: Check reports nothing for a run without violations, whatever its outcomes.
+func TestRunsWithoutViolationsPass(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r Run
 		r.Leaving = []Leave{{Service: "tracing-core", Server: "s9", At: start}}
--- a/internal/stand/fleet/ask.go
+++ b/internal/stand/fleet/ask.go
@@ -15,7 +15,7 @@
 // GetJSON reads what a process tells at a path of its operators' address into answer.
 func (f *Fleet) GetJSON(ctx context.Context, process, path string, answer any) (err error) {
 	defer func() { err = errors.Wrapf(err, "ask %s for %s", process, path) }()
-	body, err := f.request(ctx, http.MethodGet, process, path, "")
+	body, err := f.send(ctx, http.MethodGet, process, path, "")
 	if err != nil {
 		return err
 	}
@@ -26,14 +26,14 @@
 // Post tells a stand-in what to do.
 func (f *Fleet) Post(ctx context.Context, process, path, text string) (err error) {
 	defer func() { err = errors.Wrapf(err, "tell %s %s", process, path) }()
-	body, err := f.request(ctx, http.MethodPost, process, path, text)
+	body, err := f.send(ctx, http.MethodPost, process, path, text)
 	if err != nil {
 		return err
 	}
 	return body.Close()
 }
 
-func (f *Fleet) request(ctx context.Context, method, process, path, text string) (io.ReadCloser, error) {
+func (f *Fleet) send(ctx context.Context, method, process, path, text string) (io.ReadCloser, error) {
 	url := "http://" + f.Process(process).Operator.String() + path
 	request, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(text))
 	if err != nil {
