--- a/internal/stand/client/client.go
+++ b/internal/stand/client/client.go
@@ -1,8 +1,8 @@
-// Package client is a caller for tests: HTTP/3 over one QUIC connection from a
-// chosen loopback address, saying what became of each request.
+// Package client implements a caller for tests: an HTTP/3 client that uses one QUIC
+// connection from a chosen loopback address and reports the outcome of each request.
 //
-// It is not the caller for people (mangowinch call). It repeats nothing on its own,
-// so that a test sees every outcome.
+// It is not the interactive client (mangowinch call). It never repeats a request on its
+// own, so that a test sees every outcome.
 //
 // # Usage
 //
@@ -39,21 +39,21 @@
 	maxAnswerSize    = 8 << 20
 )
 
-// Unsent is the reason of a request that the other side has not looked at. It goes
-// on a new connection.
+// Unsent is the reason of a request that the other side has not processed. It can be
+// sent again on a new connection.
 const Unsent = "unsent"
 
-// Settings say who calls whom.
+// Settings configure a connection.
 type Settings struct {
-	Local       netip.Addr // the caller's own address
+	Local       netip.Addr // the caller's source address
 	Service     netip.AddrPort
-	Name        string // that the certificate must have
+	Name        string // name that the certificate must have
 	Roots       *x509.CertPool
-	IdleTimeout time.Duration // a connection that hears nothing this long is given up, 30 s if 0
-	KeepAlive   time.Duration // how often a packet is sent on an idle connection, never if 0
+	IdleTimeout time.Duration // a connection that receives nothing this long is closed; 30 s if 0
+	KeepAlive   time.Duration // how often a packet is sent on an idle connection; never if 0
 }
 
-// Caller is one QUIC connection.
+// Caller is a client that has one QUIC connection.
 type Caller struct {
 	settings  Settings
 	socket    *net.UDPConn
@@ -64,7 +64,7 @@
 
 // Dial opens a connection.
 func Dial(ctx context.Context, s Settings) (c *Caller, err error) {
-	defer func() { err = errors.Wrapf(err, "call %s", s.Service) }()
+	defer func() { err = errors.Wrapf(err, "dial %s", s.Service) }()
 	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.AddrPortFrom(s.Local, 0)))
 	if err != nil {
 		return nil, err
@@ -93,36 +93,36 @@
 	return c, nil
 }
 
-// Close ends the connection and what is open on it.
+// Close closes the connection and all streams that are open on it.
 func (c *Caller) Close() {
 	if c.conn != nil {
-		_ = c.conn.CloseWithError(0, "") // the other side learns of it or times out
+		_ = c.conn.CloseWithError(0, "") // if the close frame is lost, the other side times out
 	}
 	_ = c.transport.Close()
 	c.socket.Close()
 }
 
-// Request is one request.
+// Request is one HTTP request.
 type Request struct {
 	Method   string
-	Path     string // with its query
+	Path     string // including the query
 	Body     io.Reader
-	Key      string        // request key of an earlier answer, for a repeat of it
-	Deadline time.Duration // told to the service if not 0
+	Key      string        // request key from an earlier answer, which makes the request safe to repeat
+	Deadline time.Duration // sent to the service if not 0
 }
 
-// Answer is what became of a request.
+// Answer is the result of a request.
 type Answer struct {
-	Status     int // 0 if none came
+	Status     int // 0 if no response arrived
 	Outcome    result.Outcome
 	Reason     string
 	Key        string
-	RetryAfter string // Retry-After
-	Body       string // as far as it came
-	Err        error  // the answer is not whole
+	RetryAfter string // value of Retry-After
+	Body       string // the part that was received
+	Err        error  // why the answer is missing or incomplete
 }
 
-// Do sends a request and waits for the whole answer.
+// Do sends a request and waits for the complete answer.
 func (c *Caller) Do(ctx context.Context, r Request) Answer {
 	request, err := http.NewRequestWithContext(ctx, r.Method, "https://"+c.settings.Name+r.Path, r.Body)
 	if err != nil {
@@ -153,13 +153,13 @@
 		Err:        err,
 	}
 	if err != nil && answer.Outcome == result.Ran {
-		answer.Outcome = result.Unknown // the head came, the answer did not
+		answer.Outcome = result.Unknown // the headers arrived, but not the whole body
 	}
 	return answer
 }
 
-// unsent says whether an error proves that the other side did not and will not look
-// at the request: it had said that it stops (GOAWAY), or it rejected the stream.
+// unsent reports whether an error proves that the other side did not and will not process
+// the request, because it had sent GOAWAY or it rejected the stream.
 func unsent(err error) bool {
 	if err == nil {
 		return false
@@ -168,8 +168,7 @@
 	if errors.As(err, &rejected) {
 		return rejected.Remote && rejected.ErrorCode == http3.ErrCodeRequestRejected
 	}
-	// The library does not export the type of this error, which it gives when no
-	// stream was opened.
+	// The library returns this error when it opened no stream, and does not export its type.
 	return strings.HasPrefix(err.Error(), "http3: conn unusable")
 }
 
