--- a/internal/stand/fleet/ask.go
+++ b/internal/stand/fleet/ask.go
@@ -12,9 +12,9 @@
 	"mangowinch/internal/flow/order"
 )
 
-// GetJSON reads what a process tells at a path of its operators' address into answer.
+// GetJSON gets a path from the operators' address of a process and decodes the JSON into answer.
 func (f *Fleet) GetJSON(ctx context.Context, process, path string, answer any) (err error) {
-	defer func() { err = errors.Wrapf(err, "ask %s for %s", process, path) }()
+	defer func() { err = errors.Wrapf(err, "get %s %s", process, path) }()
 	body, err := f.send(ctx, http.MethodGet, process, path, "")
 	if err != nil {
 		return err
@@ -23,9 +23,9 @@
 	return json.NewDecoder(body).Decode(answer)
 }
 
-// Post tells a stand-in what to do.
+// Post sends a command to a stand-in.
 func (f *Fleet) Post(ctx context.Context, process, path, text string) (err error) {
-	defer func() { err = errors.Wrapf(err, "tell %s %s", process, path) }()
+	defer func() { err = errors.Wrapf(err, "post %s %s", process, path) }()
 	body, err := f.send(ctx, http.MethodPost, process, path, text)
 	if err != nil {
 		return err
@@ -51,7 +51,8 @@
 	return nil, errors.CombineErrors(errors.Newf("%s: %s", answer.Status, why), err)
 }
 
-// Revision returns the revision of a document that a process has in force, 0 if none.
+// Revision returns the revision of a service document that is in force at a process, or 0 if
+// the process has none.
 func (f *Fleet) Revision(ctx context.Context, process, service string) (revision order.Revision, err error) {
 	var status struct {
 		Sections struct {
--- a/internal/stand/fleet/copy.go
+++ b/internal/stand/fleet/copy.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	// Blocks are 127.1.0.0/16 to 127.199.0.0/16. The examples' own 127.0.0.0/16 is
-	// left to people who start an example's processes by hand.
+	// Blocks are 127.1.0.0/16 to 127.199.0.0/16. Block 127.0.0.0/16, which the examples
+	// use, stays free for processes of an example that are started by hand.
 	octetEnd  = 200
 	claimPort = 65000
 )
 
 var exampleBlock = regexp.MustCompile(`\b127\.0\.`)
 
-// block is a /16 of loopback addresses that one fleet has for itself.
+// block is a /16 of loopback addresses that only one fleet uses.
 type block struct {
 	octet int
-	claim net.Listener // held open as long as the block is in use
+	claim net.Listener // open while the block is in use
 }
 
-// claimBlock takes the first free block. A socket that only one process can open
-// marks it as taken, and closes with its owner, however that ends.
+// claimBlock claims the first free block. A listening socket that only one process can
+// open marks a block as in use; the kernel closes it even if its owner is killed.
 func claimBlock() (*block, error) {
 	for octet := 1; octet < octetEnd; octet++ {
 		claim, err := net.Listen("tcp", fmt.Sprintf("127.%d.255.254:%d", octet, claimPort))
@@ -43,7 +43,7 @@
 
 func (b *block) release() { b.claim.Close() }
 
-// rewrite moves addresses of 127.0.0.0/16 into the block.
+// rewrite replaces addresses in 127.0.0.0/16 by addresses in the block.
 func (b *block) rewrite(text []byte) []byte {
 	return exampleBlock.ReplaceAll(text, fmt.Appendf(nil, "127.%d.", b.octet))
 }
@@ -104,7 +104,7 @@
 			return nil, err
 		}
 		if want := strings.TrimSuffix(filepath.Base(file), ".ini"); n.Process.Name != want {
-			return nil, errors.Newf("%s: the process is called %s", file, n.Process.Name)
+			return nil, errors.Newf("%s: the settings name the process %s", file, n.Process.Name)
 		}
 		nodes = append(nodes, n)
 	}
--- a/internal/stand/fleet/fleet.go
+++ b/internal/stand/fleet/fleet.go
@@ -1,13 +1,14 @@
-// Package fleet starts one deployment on loopback as separate processes, with the
-// stand-ins around it, and lets tests kill, freeze and restart each of them.
+// Package fleet starts a deployment on loopback as separate processes, together with
+// stand-ins for the platform, the fabric and the backend servers. Tests can kill, freeze
+// and restart each process.
 //
-// It is scaffolding for the demo, the fault runs and benchmarks. Nothing of the
-// system uses it: a process of mangowinch starts no other.
+// It is scaffolding for the demo, the fault runs and benchmarks, and not part of the
+// system: a mangowinch process never starts another.
 //
-// A deployment is a directory as in examples/: documents that the platform
-// serves, and one settings file for each process. A fleet works on a copy, with a
-// certificate and keys made for it alone. Several fleets may run at a time: each
-// takes a block of loopback addresses and writes it into its copy.
+// A deployment is a directory as in examples/: documents that the platform serves, and
+// one settings file per process. A fleet runs a copy of it, with its own certificate and
+// keys. Several fleets may run at the same time: each claims a block of loopback addresses
+// and rewrites the addresses in its copy.
 //
 // # Usage
 //
@@ -36,30 +37,30 @@
 )
 
 const (
-	readyTimeout      = 30 * time.Second // a process that is not ready by then has failed
+	readyTimeout      = 30 * time.Second // a process that is not ready by then counts as failed
 	readyPollInterval = 20 * time.Millisecond
-	adminPort         = 8501 // of the platform's and the fabric's stand-in
+	adminPort         = 8501 // of the stand-ins for the platform and the fabric
 )
 
-// Settings say what to start.
+// Settings configure a fleet.
 type Settings struct {
 	Deployment string // directory with documents/ and settings/
-	Binaries   string // directory with the programs mangowinch and standin
-	Directory  string // where the copy, keys and logs go; a temporary one if empty
+	Binaries   string // directory of the executables mangowinch and standin
+	Directory  string // for the copy, keys and logs; a temporary directory if empty
 }
 
 // Fleet is a running deployment.
 type Fleet struct {
 	Directory string
 	Services  []*docs.Service
-	Roots     *x509.CertPool // that the agents' certificate is under
+	Roots     *x509.CertPool // trusts the certificate of the agents
 	Nodes     []*prefs.Settings
 
 	settings   Settings
 	block      *block
 	temporary  bool
 	processes  map[string]*Process
-	startOrder []string // of starting
+	startOrder []string // process names in the order of starting
 }
 
 // Start starts every process of a deployment and returns once all are ready.
@@ -95,7 +96,7 @@
 	return f.AwaitReady(ctx, f.startOrder...)
 }
 
-// prepare copies the deployment, makes its keys and reads what was copied.
+// prepare copies the deployment, creates its keys, and reads the copied documents and settings.
 func (f *Fleet) prepare() error {
 	if err := copyDeployment(f.settings.Deployment, f.Directory, f.block); err != nil {
 		return err
@@ -111,7 +112,7 @@
 	return err
 }
 
-// addProcesses lists the processes: the stand-ins, then the nodes.
+// addProcesses adds the stand-ins and the nodes in the order in which they are started.
 func (f *Fleet) addProcesses() {
 	standin := filepath.Join(f.settings.Binaries, "standin")
 	program := filepath.Join(f.settings.Binaries, "mangowinch")
@@ -168,7 +169,7 @@
 	}
 }
 
-// DocumentsDirectory is what the platform serves; a test changes documents there.
+// DocumentsDirectory returns the directory that the platform serves, where tests change documents.
 func (f *Fleet) DocumentsDirectory() string { return filepath.Join(f.Directory, "documents") }
 
 func (f *Fleet) settingsDirectory() string { return filepath.Join(f.Directory, "settings") }
@@ -225,7 +226,7 @@
 	return nodes
 }
 
-// AwaitReady returns once each named process answers GET /healthz with 200.
+// AwaitReady waits until each named process answers GET /healthz with 200.
 func (f *Fleet) AwaitReady(ctx context.Context, names ...string) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -234,9 +235,9 @@
 		for !p.ready(ctx) {
 			select {
 			case <-p.Ended():
-				return errors.Newf("%s ended at once: %s", name, p.lastLine())
+				return errors.Newf("%s exited before it was ready: %s", name, p.lastLine())
 			case <-ctx.Done():
-				return errors.Newf("%s is not ready after %s: %s", name, readyTimeout, p.lastLine())
+				return errors.Newf("%s is not ready after %s; last log line: %s", name, readyTimeout, p.lastLine())
 			case <-time.After(readyPollInterval):
 			}
 		}
@@ -244,14 +245,14 @@
 	return f.checkRunning(names)
 }
 
-// checkRunning guards against a process that found its address taken and ended, while
-// whoever took the address answered in its place.
+// checkRunning returns an error if a named process has exited. This happens when its address
+// is in use: the process exits, and the other process on the address answers /healthz.
 func (f *Fleet) checkRunning(names []string) error {
 	for _, name := range names {
 		p := f.Process(name)
 		select {
 		case <-p.Ended():
-			return errors.Newf("%s ended at once: %s", name, p.lastLine())
+			return errors.Newf("%s exited, but its address answers; last log line: %s", name, p.lastLine())
 		default:
 		}
 	}
@@ -271,7 +272,7 @@
 	return answer.StatusCode == http.StatusOK
 }
 
-// Close ends every process and removes the temporary directory.
+// Close kills every process and removes the temporary directory.
 func (f *Fleet) Close() {
 	for _, name := range slices.Backward(f.startOrder) {
 		f.processes[name].Kill()
@@ -280,6 +281,6 @@
 		f.block.release()
 	}
 	if f.temporary {
-		_ = os.RemoveAll(f.Directory) // a rest in the temporary directory harms nobody
+		_ = os.RemoveAll(f.Directory) // files left in the temporary directory are harmless
 	}
 }
--- a/internal/stand/fleet/fleet_test.go
+++ b/internal/stand/fleet/fleet_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// preparedFleet is a fleet that is planned and not started.
+// preparedFleet returns a fleet whose processes are added but not started.
 func preparedFleet(t *testing.T, deployment string) *Fleet {
 	t.Helper()
 	b, err := claimBlock()
@@ -24,7 +24,7 @@
 	return f
 }
 
-// The examples are the deployments of the brief, with their sizes.
+// Checks that the examples have the deployment sizes that the system is designed for.
 func TestExamplesHaveTheirRealSizes(t *testing.T) {
 	type size struct{ servers, slots, domains int }
 	want := map[string]map[string]size{
@@ -49,8 +49,8 @@
 	}
 }
 
-// Settings and documents are written apart; an agent that listens elsewhere than
-// its document says would never get a packet.
+// Guards against settings that contradict the service documents, since both are written
+// separately: an agent that listens on another address than its document states gets no packets.
 func TestExamplesAgree(t *testing.T) {
 	for _, deployment := range []string{"zagreb", "rabat"} {
 		f := preparedFleet(t, deployment)
--- a/internal/stand/fleet/history.go
+++ b/internal/stand/fleet/history.go
@@ -18,8 +18,8 @@
 	return filepath.Join(f.Directory, "logs", agent+".journal")
 }
 
-// Executions returns what ran at all servers since the fleet was started, also at
-// servers that have been killed.
+// Executions returns the requests that ran at all servers since the start of the fleet,
+// including servers that have been killed.
 func (f *Fleet) Executions() (executions []check.Execution, err error) {
 	defer func() { err = errors.Wrap(err, "read journals") }()
 	for _, n := range f.Nodes {
@@ -43,8 +43,8 @@
 	return executions, nil
 }
 
-// origin returns the server whose agent made a request's ID: the ID begins with
-// the server's.
+// origin returns the server whose agent assigned a request ID, which begins with the
+// number of that server.
 func (f *Fleet) origin(service, id string) string {
 	number, _, _ := strings.Cut(id, "-")
 	for _, s := range f.Service(service).Servers {
@@ -55,11 +55,11 @@
 	return ""
 }
 
-// readJournal returns the executions that began.
+// readJournal returns the executions that a server began.
 func readJournal(path string) (executions []server.Execution, err error) {
 	file, err := os.Open(path)
 	if os.IsNotExist(err) {
-		return nil, nil // the server never started
+		return nil, nil // the server was never started
 	}
 	if err != nil {
 		return nil, err
@@ -78,7 +78,7 @@
 	return executions, lines.Err()
 }
 
-// Token returns the part of a request's path that names the request: the second.
+// Token returns the second segment of a path, which identifies the request.
 func Token(path string) string {
 	path, _, _ = strings.Cut(path, "?")
 	parts := strings.SplitN(path, "/", 4)
--- a/internal/stand/fleet/keys.go
+++ b/internal/stand/fleet/keys.go
@@ -21,8 +21,8 @@
 
 const certificateLifetime = 7 * 24 * time.Hour
 
-// makeKeys writes a certificate for all services (cert.pem, cert.key) and each
-// key that the documents name (NAME.key). They are for this machine only.
+// makeKeys writes a certificate for all services (cert.pem, cert.key) and each key that the
+// documents name (NAME.key). They are meant for this machine only.
 func makeKeys(directory string, services []*docs.Service) (roots *x509.CertPool, err error) {
 	defer func() { err = errors.Wrap(err, "make keys") }()
 	names := map[string]bool{}
@@ -57,7 +57,7 @@
 		KeyUsage:              x509.KeyUsageDigitalSignature | x509.KeyUsageCertSign,
 		ExtKeyUsage:           []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth},
 		BasicConstraintsValid: true,
-		IsCA:                  true, // its own root, so that callers can be given it to trust
+		IsCA:                  true, // self-signed, so that callers can use it as their root
 	}
 	for _, s := range services {
 		template.DNSNames = append(template.DNSNames, s.Name)
--- a/internal/stand/fleet/process.go
+++ b/internal/stand/fleet/process.go
@@ -13,10 +13,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Process is one process of a fleet. It may be ended and started again.
+// Process is one process of a fleet. It can be stopped and started again.
 type Process struct {
 	Name     string
-	Operator netip.AddrPort // where it answers /healthz, or its faults are set
+	Operator netip.AddrPort // serves /healthz, and takes commands if the process is a stand-in
 
 	program   string
 	arguments []string
@@ -28,7 +28,7 @@
 	status  error
 }
 
-// Start starts the process. Its output is added to its log.
+// Start starts the process and appends its output to its log.
 func (p *Process) Start() (err error) {
 	defer func() { err = errors.Wrapf(err, "start %s", p.Name) }()
 	if err := os.MkdirAll(filepath.Dir(p.logFile), 0o700); err != nil {
@@ -41,8 +41,8 @@
 	defer log.Close()
 	command := exec.Command(p.program, p.arguments...)
 	command.Stdout, command.Stderr = log, log
-	// The launcher may be killed; its children must not be left behind, and an
-	// interrupt from the terminal is for the launcher alone.
+	// If the launcher is killed, the kernel kills its children too. Their own process group
+	// keeps an interrupt from the terminal away from them.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	if err := command.Start(); err != nil {
 		return err
@@ -71,7 +71,7 @@
 	return p.command.Process.Pid
 }
 
-// Ended returns a channel that is closed once the process has ended.
+// Ended returns a channel that is closed once the process has ended or if it was never started.
 func (p *Process) Ended() <-chan struct{} {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -83,26 +83,27 @@
 	return p.ended
 }
 
-// Status returns nil if the process, which has ended, ended with exit code 0.
+// Status returns nil if the process ended with exit code 0. It is valid only after the process
+// has ended.
 func (p *Process) Status() error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.status
 }
 
-// Kill ends the process as kill -9 does and waits for its end.
+// Kill sends SIGKILL to the process and waits for its end.
 func (p *Process) Kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.Ended()
 }
 
-// Freeze stops the process as SIGSTOP does; Wake lets it run on.
+// Freeze pauses the process with SIGSTOP until Resume is called.
 func (p *Process) Freeze() { p.signal(syscall.SIGSTOP) }
 
-// Resume ends a freeze.
+// Resume continues a frozen process with SIGCONT.
 func (p *Process) Resume() { p.signal(syscall.SIGCONT) }
 
-// Stop asks the process to stop as SIGTERM does; see Ended.
+// Stop requests a graceful shutdown with SIGTERM. It does not wait for the end; see Ended.
 func (p *Process) Stop() { p.signal(syscall.SIGTERM) }
 
 func (p *Process) signal(s syscall.Signal) {
@@ -112,12 +113,11 @@
 	if command == nil {
 		return
 	}
-	// The one error is that the process has ended already, which is what a signal
-	// to it would find as well.
+	// The only error is that the process has already ended, and then the signal has no effect.
 	_ = command.Process.Signal(s)
 }
 
-// lastLine returns the last line of the process's output.
+// lastLine returns the last line of the process's log.
 func (p *Process) lastLine() string {
 	text, err := os.ReadFile(p.logFile)
 	if err != nil {
--- a/internal/stand/fleet/succeed.go
+++ b/internal/stand/fleet/succeed.go
@@ -10,12 +10,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// successorPort is the operators' port of a successor, which runs beside the process
-// that it replaces on the same instance.
+// successorPort is the operators' port of a successor. It differs from that of the process
+// being replaced, because both run on the same instance for a while.
 const successorPort = 9001
 
-// StartSuccessor starts a successor beside a running agent, with the same settings but for
-// the operators' address, and returns its name once it is ready.
+// StartSuccessor starts a successor beside a running agent and returns its name once it is
+// ready. Its settings differ from those of the agent only in the operators' address.
 func (f *Fleet) StartSuccessor(ctx context.Context, name string) (successor string, err error) {
 	defer func() { err = errors.Wrapf(err, "start successor of %s", name) }()
 	old := f.Process(name)
