--- a/internal/stand/faults/copy.go
+++ b/internal/stand/faults/copy.go
@@ -6,20 +6,20 @@
 	"mangowinch/internal/flow/order"
 )
 
-// The platform comes back from a copy of some versions ago, and numbers are given out a second time; a second later the teams have written
-// again what it lost.
+// In the scenarios in this file, the platform is restored from a backup that lacks the last revisions, and
+// assigns their numbers a second time. One second later, the service teams have written the lost changes again.
 
-// restoreTime is how long a run goes on after the platform's return, until all that was lost is in force again.
+// restoreTime is how long a scenario waits after the restore, until the lost changes are in force again.
 const restoreTime = 6 * time.Second
 
-// platformRestored changes a document, and once more after the platform's return.
+// platformRestored changes a document twice, restores the platform, and changes the document again.
 func platformRestored(r *run) error {
 	service := r.largestService()
 	for range 2 {
 		if err := r.touch(service); err != nil {
 			return err
 		}
-		r.wait(200 * time.Millisecond) // the platform sees each change
+		r.wait(200 * time.Millisecond) // the platform reads each change
 	}
 	for _, n := range r.fleet.Entries() {
 		r.expectRevision(n.Process.Name, service, 3)
@@ -37,7 +37,8 @@
 	return nil
 }
 
-// platformRestoredDrain makes a server leave by document; then the platform comes back from a copy in which the server stays.
+// platformRestoredDrain sets a server to leaving in its document. Then the platform is restored from a backup in which
+// the server is not leaving.
 func platformRestoredDrain(r *run) error {
 	a := r.randomAgent()
 	r.markLeaving(a)
@@ -53,7 +54,7 @@
 	return nil
 }
 
-// agentReplacedPlatformRestored replaces an agent as planned while the platform has a copy's documents.
+// agentReplacedPlatformRestored replaces an agent while the platform serves the documents of a backup.
 func agentReplacedPlatformRestored(r *run) error {
 	a := r.randomAgent()
 	if err := r.touch(a.Agent.Service); err != nil {
--- a/internal/stand/faults/faults.go
+++ b/internal/stand/faults/faults.go
@@ -1,11 +1,11 @@
-// Package faults runs deployments as real processes under load, breaks parts of
-// them, and compares what callers were told with what ran.
+// Package faults runs deployments as real processes under load, injects faults, and
+// compares the outcomes that callers saw with the requests that the servers executed.
 //
-// A scenario is one fault, or several together, in plain steps. A run is one
-// scenario with one seed: the seed chooses the victims, the moments and what
-// callers ask. Real processes do not replay exactly, so a seed gives the same
-// plan and not the same interleaving; what must be decided exactly is tested with
-// the pure packages.
+// A scenario is a sequence of steps that injects one fault or a combination of faults. A
+// run is one scenario with one seed, which determines the affected processes, the times
+// of the faults and the requests of the callers. It is not a deterministic simulation:
+// the processes are real, so a seed reproduces the plan but not the interleaving. The
+// tests of the pure packages cover what has to be reproduced exactly.
 //
 // # Usage
 //
@@ -31,50 +31,50 @@
 )
 
 const (
-	loadBeforeFault = 500 * time.Millisecond // load before a fault
-	maxFaultDelay   = time.Second            // the first fault comes within this time after it
-	loadAfterSteps  = 2 * time.Second        // load after the last step
+	loadBeforeFault = 500 * time.Millisecond // load runs at least this long before the first fault
+	maxFaultDelay   = time.Second            // bounds the random delay that is added to loadBeforeFault
+	loadAfterSteps  = 2 * time.Second        // load runs this long after the last step
 )
 
-// Settings say what to run.
+// Settings configure the runs.
 type Settings struct {
 	Deployment string
 	Binaries   string
-	FirstSeed  uint64   // first seed
-	Seeds      int      // runs of each scenario
-	Only       []string // parts of the names of scenarios; all if empty
+	FirstSeed  uint64
+	Seeds      int      // runs of each scenario, each with the next seed
+	Only       []string // runs only scenarios whose name contains one of these; all if empty
 	Verbose    bool     // print requests of unknown outcome
 	Out        io.Writer
 }
 
-// Result is one run.
+// Result is the result of one run.
 type Result struct {
 	Scenario      string
 	Seed          uint64
 	Attempts      int
 	Executions    int
-	Outcomes      [3]int // by result.Outcome
+	Outcomes      [3]int // number of attempts, indexed by result.Outcome
 	Caught        Caught
-	Dials         int           // handshakes begun
+	Dials         int           // handshakes started
 	FailedDials   int           // handshakes that failed
 	Repeated      int           // requests of unknown outcome sent again with their key
-	SlowestLookup time.Duration // lookup, from asking to its end
-	LastNewWork   time.Duration // from telling a server to leave to its last new request
-	Note          string        // what the scenario measured besides
+	SlowestLookup time.Duration // longest duration of an attempt that is not long
+	LastNewWork   time.Duration // longest time from telling a server to leave to a new request at it
+	Note          string        // additional figures of the scenario
 	Violations    []check.Violation
-	Unknown       []string // requests of unknown outcome, each with what its caller saw
+	Unknown       []string // one description for each request of unknown outcome
 }
 
-// Caught counts the requests in progress when the first fault struck, by step.
+// Caught counts the requests in progress at the time of the first fault, by the stage they had reached.
 type Caught struct {
-	Opening    int // handshake half done
-	Waiting    int // not at a server yet
-	Running    int // at a server, nothing of the answer back
-	Midway     int // answer or upload half done
-	HandedOver int // of these, at another agent than that of the caller's connection
+	Opening    int // handshake in progress
+	Waiting    int // not yet started at a server
+	Running    int // started at a server, answer not yet complete
+	Midway     int // feed or upload in progress
+	HandedOver int // started at another server than that of the agent that holds the caller's connection; also counted above
 }
 
-// Run runs each scenario with each seed, one after the other.
+// Run runs each selected scenario with each seed, one after the other.
 func Run(ctx context.Context, s Settings) (results []Result, err error) {
 	defer func() { err = errors.Wrap(err, "fault runs") }()
 	for _, scenario := range Scenarios() {
@@ -114,7 +114,7 @@
 func printResult(out io.Writer, r Result) {
 	details := ""
 	if r.LastNewWork > 0 {
-		details = ", last new work " + r.LastNewWork.Round(time.Millisecond).String() + " after the word to leave"
+		details = ", last new work " + r.LastNewWork.Round(time.Millisecond).String() + " after the server was told to leave"
 	}
 	if r.Note != "" {
 		details += ", " + r.Note
@@ -128,17 +128,17 @@
 	}
 }
 
-// run is one scenario in progress.
+// run is the state of one run of a scenario.
 type run struct {
 	ctx             context.Context
 	fleet           *fleet.Fleet
 	random          *rand.Rand
 	load            *load
-	faultTime       time.Time // when the first fault struck
+	faultTime       time.Time // time of the first fault
 	affected        map[string]bool
 	leaving         []check.Leave
 	moved           *move
-	note            string // what the scenario measured besides
+	note            string // Result.Note
 	extraViolations []check.Violation
 	scenario        Scenario
 }
@@ -182,7 +182,7 @@
 	for _, e := range executions {
 		executionOf[e.Token] = e
 	}
-	answer := Result{
+	res := Result{
 		Scenario:    r.scenario.Name,
 		Seed:        seed,
 		Attempts:    len(attempts),
@@ -193,33 +193,33 @@
 	}
 	for i := range attempts {
 		a := &attempts[i]
-		at, began := executionOf[a.Token]
-		// Whatever had come to a server must end whole, unless the fault hit that
+		e, began := executionOf[a.Token]
+		// A request that started at a server must complete, unless the fault affects that
 		// server or the agent that holds the caller's connection.
-		hit := r.affected[at.Service+"/"+at.Server] || r.affected[at.Service+"/"+at.Origin]
-		a.MustComplete = a.MustComplete && began && !hit
-		answer.Outcomes[a.Outcome]++
+		affected := r.affected[e.Service+"/"+e.Server] || r.affected[e.Service+"/"+e.Origin]
+		a.MustComplete = a.MustComplete && began && !affected
+		res.Outcomes[a.Outcome]++
 		if a.Outcome == result.Unknown {
-			answer.Unknown = append(answer.Unknown, fmt.Sprintf("%s (%s) after %s, ran at %q: %s %s",
-				a.Token, a.Want[:min(len(a.Want), 10)], a.Ended.Sub(a.Begun).Round(time.Millisecond), at.Server, a.Reason, a.Err))
+			res.Unknown = append(res.Unknown, fmt.Sprintf("%s (%s) after %s, ran at %q: %s %s",
+				a.Token, a.Want[:min(len(a.Want), 10)], a.Ended.Sub(a.Begun).Round(time.Millisecond), e.Server, a.Reason, a.Err))
 		}
 		if !a.Long {
-			answer.SlowestLookup = max(answer.SlowestLookup, a.Ended.Sub(a.Begun))
+			res.SlowestLookup = max(res.SlowestLookup, a.Ended.Sub(a.Begun))
 		}
-		answer.Caught.add(*a, at, began, r.faultTime)
+		res.Caught.add(*a, e, began, r.faultTime)
 	}
-	answer.Caught.Opening = r.load.openHandshakes(r.faultTime)
-	answer.Note = r.note
-	answer.LastNewWork = lastNewWork(r.leaving, executions)
-	answer.Violations = append(check.Check(check.Run{
+	res.Caught.Opening = r.load.openHandshakes(r.faultTime)
+	res.Note = r.note
+	res.LastNewWork = lastNewWork(r.leaving, executions)
+	res.Violations = append(check.Check(check.Run{
 		Attempts:   attempts,
 		Executions: executions,
 		Leaving:    r.leaving,
 	}), r.extraViolations...)
-	return answer
+	return res
 }
 
-// lastNewWork returns how long after being told to leave a server last took new work.
+// lastNewWork returns the longest time after which a server that was told to leave took new work.
 func lastNewWork(leaving []check.Leave, executions []check.Execution) (last time.Duration) {
 	for _, l := range leaving {
 		for _, e := range executions {
@@ -231,15 +231,15 @@
 	return last
 }
 
-func (c *Caught) add(a check.Attempt, at check.Execution, began bool, struck time.Time) {
-	if a.Begun.After(struck) || a.Ended.Before(struck) {
+func (c *Caught) add(a check.Attempt, e check.Execution, began bool, faultTime time.Time) {
+	if a.Begun.After(faultTime) || a.Ended.Before(faultTime) {
 		return
 	}
-	if began && at.Origin != at.Server {
+	if began && e.Origin != e.Server {
 		c.HandedOver++
 	}
 	switch {
-	case !began || at.At.After(struck):
+	case !began || e.At.After(faultTime):
 		c.Waiting++
 	case a.Long:
 		c.Midway++
--- a/internal/stand/faults/faults_test.go
+++ b/internal/stand/faults/faults_test.go
@@ -22,7 +22,8 @@
 	}
 }
 
-// An instance that was given to another service runs that service's work from then on.
+// Checks that work at a reassigned instance counts for its new service from the time of the move, and
+// that other executions keep their labels.
 func TestMoveRelabelsWhatRanAfterIt(t *testing.T) {
 	at := time.Unix(1000, 0)
 	m := &move{
@@ -42,19 +43,20 @@
 	assert.Equal(t, executions[2].Service, "tracing-core")
 }
 
-// The step at which a fault catches a request is read from two logs.
+// Checks that the stage of each request at the time of the fault is derived correctly from the
+// records of its caller and of its server.
 func TestCaughtSteps(t *testing.T) {
-	struck := time.Unix(1000, 0)
-	before, after := struck.Add(-time.Second), struck.Add(time.Second)
+	faultTime := time.Unix(1000, 0)
+	before, after := faultTime.Add(-time.Second), faultTime.Add(time.Second)
 	open := check.Attempt{Begun: before, Ended: after}
 	long := check.Attempt{Begun: before, Ended: after, Long: true}
 	var c Caught
-	c.add(check.Attempt{Begun: before, Ended: before}, check.Execution{At: before}, true, struck) // over
-	c.add(check.Attempt{Begun: after, Ended: after}, check.Execution{At: after}, true, struck)    // not begun
-	c.add(open, check.Execution{}, false, struck)
-	c.add(open, check.Execution{At: after, Server: "s2", Origin: "s1"}, true, struck)
-	c.add(open, check.Execution{At: before, Server: "s1", Origin: "s1"}, true, struck)
-	c.add(long, check.Execution{At: before, Server: "s1", Origin: "s1"}, true, struck)
+	c.add(check.Attempt{Begun: before, Ended: before}, check.Execution{At: before}, true, faultTime) // already ended
+	c.add(check.Attempt{Begun: after, Ended: after}, check.Execution{At: after}, true, faultTime)    // not yet begun
+	c.add(open, check.Execution{}, false, faultTime)
+	c.add(open, check.Execution{At: after, Server: "s2", Origin: "s1"}, true, faultTime)
+	c.add(open, check.Execution{At: before, Server: "s1", Origin: "s1"}, true, faultTime)
+	c.add(long, check.Execution{At: before, Server: "s1", Origin: "s1"}, true, faultTime)
 	assert.Equal(t, c, Caught{Waiting: 2, Running: 1, Midway: 1, HandedOver: 1})
 }
 
--- a/internal/stand/faults/flood.go
+++ b/internal/stand/faults/flood.go
@@ -23,12 +23,12 @@
 const (
 	floodTime       = 5 * time.Second
 	floodSenders    = 4                    // goroutines
-	firstFlightWait = 2 * time.Millisecond // until a first flight has left
-	maxResident     = 160 << 20            // resident bytes of a process: the size to design for allows 256 MB
+	firstFlightWait = 2 * time.Millisecond // time to send a first flight
+	maxResident     = 160 << 20            // resident bytes per process; the design limit is 256 MB
 )
 
-// sendOnlyConn is a packet connection that sends and never receives, as a flood does whose
-// source addresses are forged.
+// sendOnlyConn is a packet connection that sends and never receives, like a sender that forges
+// its source address.
 type sendOnlyConn struct {
 	*net.UDPConn
 	closed chan struct{}
@@ -39,12 +39,13 @@
 	return 0, nil, net.ErrClosed
 }
 
-// plainConn hides the socket's own methods of reading.
+// plainConn exposes only the methods of net.PacketConn. It hides the other read methods of the
+// UDP socket, which would bypass sendOnlyConn.ReadFrom.
 type plainConn struct{ net.PacketConn }
 
-// flood opens connections that it never goes on with, while ordinary callers call.
+// flood starts handshakes that it never continues, while the load goes on.
 func flood(r *run) error {
-	// The library would warn of the hole's missing buffers at each opener.
+	// Otherwise quic-go warns for each handshake that it can't set the receive buffer of a plainConn.
 	if err := os.Setenv("QUIC_GO_DISABLE_RECEIVE_BUFFER_WARNING", "true"); err != nil {
 		return err
 	}
@@ -77,11 +78,11 @@
 	if err := r.fleet.GetJSON(r.ctx, "fabric", "/stats", &stats); err != nil {
 		return err
 	}
-	r.note = fmt.Sprintf("%d openers, %d of them seen by the fabric", total, stats.Callers)
+	r.note = fmt.Sprintf("%d first flights, %d of them seen by the fabric", total, stats.Callers)
 	return r.checkMemory()
 }
 
-// sendFirstFlight sends the first flight of one connection and forgets it.
+// sendFirstFlight sends the first flight of one handshake and abandons it.
 func sendFirstFlight(ctx context.Context, local netip.Addr, service *docs.Service) error {
 	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.AddrPortFrom(local, 0)))
 	if err != nil {
@@ -96,12 +97,12 @@
 		&tls.Config{ServerName: service.Name, NextProtos: []string{"h3"}}, &quic.Config{})
 	close(h.closed)
 	if err == nil {
-		return errors.New("a connection came about without a word from the other side")
+		return errors.New("handshake completed although no packet was received")
 	}
 	return transport.Close()
 }
 
-// checkMemory adds a violation for each process of the system that has grown too large.
+// checkMemory adds a violation for each node whose resident memory exceeds maxResident.
 func (r *run) checkMemory() error {
 	largest := 0
 	for _, n := range r.fleet.Nodes {
@@ -119,9 +120,9 @@
 	return nil
 }
 
-// resident returns the resident memory of a process in bytes.
+// resident returns the resident memory of a process in bytes, from /proc/ID/statm.
 func resident(id int) (size int, err error) {
-	defer func() { err = errors.Wrapf(err, "memory of process %d", id) }()
+	defer func() { err = errors.Wrapf(err, "read memory of process %d", id) }()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", id))
 	if err != nil {
 		return 0, err
--- a/internal/stand/faults/load.go
+++ b/internal/stand/faults/load.go
@@ -20,35 +20,35 @@
 )
 
 const (
-	callersPerNetwork = 3                      // callers of each caller network of a document
-	heavyFactor       = 4                      // times as many fill all slots, so that requests wait and are handed over
-	idleTimeout       = 5 * time.Second        // a caller gives up a silent connection after this
-	requestTimeout    = 20 * time.Second       // and a request after this
-	dialTimeout       = 5 * time.Second        // and a handshake
-	redialDelay       = 50 * time.Millisecond  // pause after a handshake that failed
-	reconnectOneIn    = 4                      // one in so many requests is the last of its connection
-	refusedDelay      = 50 * time.Millisecond  // after a request that was refused
-	maxRepeats        = 2                      // of a request that was not sent, or is unknown and has a key
-	feedInterval      = 20 * time.Millisecond  // between two lines
-	chunkInterval     = 10 * time.Millisecond  // pace of an upload
-	chunkSize         = 16 << 10               //
-	maxWorkTime       = 200 * time.Millisecond // of a lookup at its server
+	callersPerNetwork = 3                      // callers in each caller network of a document
+	heavyFactor       = 4                      // times as many callers fill all slots, so that requests wait and are handed over
+	idleTimeout       = 5 * time.Second        // of a caller's connection
+	requestTimeout    = 20 * time.Second       // of a request
+	dialTimeout       = 5 * time.Second        // of a handshake
+	redialDelay       = 50 * time.Millisecond  // pause after a failed handshake
+	reconnectOneIn    = 4                      // a caller reconnects after one in so many requests on average
+	refusedDelay      = 50 * time.Millisecond  // pause after a request with outcome not-run
+	maxRepeats        = 2                      // of a request that is unsent, or has a key and an unknown outcome
+	feedInterval      = 20 * time.Millisecond  // time between two lines of a feed
+	chunkInterval     = 10 * time.Millisecond  // time between two chunks of an upload
+	chunkSize         = 16 << 10               // bytes of an upload that are sent at a time
+	maxWorkTime       = 200 * time.Millisecond // time that a lookup takes at its server
 )
 
-// load is all callers of one run.
+// load runs all callers of one run and collects their attempts.
 type load struct {
-	cancel  context.CancelFunc // ends the asking, not what is in progress
+	cancel  context.CancelFunc // stops new requests; those in progress continue
 	callers sync.WaitGroup
 
 	mutex       sync.Mutex
 	attempts    []check.Attempt
 	dials       []handshake
-	failedDials int // dials that failed
+	failedDials int
 	repeated    int // requests of unknown outcome sent again with their key
 }
 
-// Heavy says whether the load of a seed is more than the servers have slots for:
-// that of each even seed.
+// Heavy reports whether the load of a seed exceeds the slots of the servers. Even seeds have
+// a heavy load.
 func Heavy(seed uint64) bool { return seed%2 == 0 }
 
 func startLoad(ctx context.Context, f *fleet.Fleet, seed uint64) *load {
@@ -75,19 +75,19 @@
 	return l
 }
 
-// stop ends the load, waits for what is in progress and returns everything asked.
+// stop stops new requests, waits for those in progress, and returns all attempts.
 func (l *load) stop() []check.Attempt {
 	l.cancel()
 	l.callers.Wait()
 	return l.attempts
 }
 
-// handshake is the time that a handshake took.
+// handshake records when a handshake began and ended.
 type handshake struct {
 	begun, ended time.Time
 }
 
-// openHandshakes counts the handshakes that were half done at a time.
+// openHandshakes returns the number of handshakes that were in progress at a time.
 func (l *load) openHandshakes(at time.Time) (n int) {
 	for _, d := range l.dials {
 		if d.begun.Before(at) && d.ended.After(at) {
@@ -97,7 +97,7 @@
 	return n
 }
 
-// caller is one caller with a connection of its own.
+// caller is a simulated caller with its own connection.
 type caller struct {
 	load    *load
 	fleet   *fleet.Fleet
@@ -107,44 +107,44 @@
 	random  *rand.Rand
 	heavy   bool
 	sent    int
-	key     string // of the last answer, for the next request
+	key     string // request key from the last answer, for the next request
 	conn    *client.Caller
 }
 
-func (p *caller) run(active, ctx context.Context) {
-	defer p.disconnect()
+func (c *caller) run(active, ctx context.Context) {
+	defer c.disconnect()
 	for active.Err() == nil {
-		if !p.connect(active, ctx) {
+		if !c.connect(active, ctx) {
 			return
 		}
-		a := p.attempt(ctx)
-		p.load.mutex.Lock()
-		p.load.attempts = append(p.load.attempts, a)
-		p.load.mutex.Unlock()
+		a := c.attempt(ctx)
+		c.load.mutex.Lock()
+		c.load.attempts = append(c.load.attempts, a)
+		c.load.mutex.Unlock()
 		if a.Outcome == result.NotRun {
 			time.Sleep(refusedDelay)
 		}
-		if p.random.IntN(reconnectOneIn) == 0 {
-			p.disconnect()
+		if c.random.IntN(reconnectOneIn) == 0 {
+			c.disconnect()
 		}
 	}
 }
 
-// connect dials until a connection is there. It reports false when the run ends.
-func (p *caller) connect(active, ctx context.Context) bool {
-	for p.conn == nil {
+// connect dials until it has a connection. It returns false if the load is stopped before.
+func (c *caller) connect(active, ctx context.Context) bool {
+	for c.conn == nil {
 		if active.Err() != nil {
 			return false
 		}
 		begun := time.Now()
 		ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 		conn, err := client.Dial(ctx, client.Settings{
-			Local: p.local, Service: p.service.Address, Name: p.service.Name, Roots: p.fleet.Roots, IdleTimeout: idleTimeout,
+			Local: c.local, Service: c.service.Address, Name: c.service.Name, Roots: c.fleet.Roots, IdleTimeout: idleTimeout,
 		})
 		cancel()
-		p.load.dialed(begun, err)
+		c.load.dialed(begun, err)
 		if err == nil {
-			p.conn = conn
+			c.conn = conn
 			return true
 		}
 		select {
@@ -164,54 +164,54 @@
 	}
 }
 
-func (p *caller) disconnect() {
-	if p.conn != nil {
-		p.conn.Close()
-		p.conn = nil
-		p.key = "" // its owner may be gone; the next connection brings another
+func (c *caller) disconnect() {
+	if c.conn != nil {
+		c.conn.Close()
+		c.conn = nil
+		c.key = "" // the agent that issued it may be unavailable; the next connection provides another
 	}
 }
 
-// attempt sends one request, repeats it if its outcome is unknown and it has a key, and
-// returns the attempt.
-func (p *caller) attempt(ctx context.Context) check.Attempt {
-	p.sent++
-	token := fmt.Sprintf("%s-%d", p.name, p.sent)
-	a, build := p.newRequest(token)
+// attempt sends one request and returns the attempt. It repeats a request that was not sent,
+// or that must not run twice, has a key and has an unknown outcome.
+func (c *caller) attempt(ctx context.Context) check.Attempt {
+	c.sent++
+	token := fmt.Sprintf("%s-%d", c.name, c.sent)
+	a, build := c.newRequest(token)
 	a.Begun = time.Now()
-	key := p.key
-	p.key = "" // a key is for one request
+	key := c.key
+	c.key = "" // a key is valid for one request
 	for i := 0; ; i++ {
-		answer := p.send(ctx, build(), key)
+		answer := c.send(ctx, build(), key)
 		a.Outcome, a.Reason, a.Got = answer.Outcome, answer.Reason, answer.Body
 		a.Err = errorText(answer)
 		if answer.Key != "" {
-			p.key = answer.Key
+			c.key = answer.Key
 		}
 		if answer.Status == 0 || answer.Err != nil {
-			p.disconnect() // the connection may be dead; the next request gets a new one
+			c.disconnect() // the connection may have failed; the next request uses a new one
 		}
-		if answer.Reason == client.Unsent && i < maxRepeats && p.connect(ctx, ctx) {
+		if answer.Reason == client.Unsent && i < maxRepeats && c.connect(ctx, ctx) {
 			continue
 		}
-		if answer.Outcome != result.Unknown || !a.AtMostOnce || key == "" || i == maxRepeats || !p.connect(ctx, ctx) {
+		if answer.Outcome != result.Unknown || !a.AtMostOnce || key == "" || i == maxRepeats || !c.connect(ctx, ctx) {
 			break
 		}
-		p.load.mutex.Lock()
-		p.load.repeated++
-		p.load.mutex.Unlock()
+		c.load.mutex.Lock()
+		c.load.repeated++
+		c.load.mutex.Unlock()
 	}
 	a.Ended = time.Now()
 	return a
 }
 
-func (p *caller) send(ctx context.Context, r client.Request, key string) client.Answer {
+func (c *caller) send(ctx context.Context, r client.Request, key string) client.Answer {
 	limited, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	r.Key = key
-	answer := p.conn.Do(limited, r)
+	answer := c.conn.Do(limited, r)
 	if answer.Reason == client.Unsent {
-		p.disconnect() // the agent stops; as any caller does, this one goes on by a new connection
+		c.disconnect() // the agent is shutting down; callers continue on a new connection
 	}
 	return answer
 }
@@ -227,37 +227,38 @@
 	}
 }
 
-// newRequest draws a request. The function makes it anew for each sending.
-func (p *caller) newRequest(token string) (check.Attempt, func() client.Request) {
+// newRequest chooses a random request. The returned function builds the request again for
+// each repeat, because a body can be read only once.
+func (c *caller) newRequest(token string) (check.Attempt, func() client.Request) {
 	// Under a heavy load a lookup may reach its deadline at its server.
-	a := check.Attempt{Token: token, Service: p.service.Name, MustComplete: !p.heavy}
-	work := time.Duration(p.random.Int64N(int64(maxWorkTime))).Round(time.Millisecond)
-	switch n := p.random.IntN(100); {
+	a := check.Attempt{Token: token, Service: c.service.Name, MustComplete: !c.heavy}
+	work := time.Duration(c.random.Int64N(int64(maxWorkTime))).Round(time.Millisecond)
+	switch n := c.random.IntN(100); {
 	case n < 50:
 		a.AtMostOnce = true
-		return p.lookup(a, fmt.Sprintf("/lookup/%s?time=%s", token, work))
+		return c.lookup(a, fmt.Sprintf("/lookup/%s?time=%s", token, work))
 	case n < 70:
-		return p.lookup(a, fmt.Sprintf("/status/%s?time=%s", token, work))
+		return c.lookup(a, fmt.Sprintf("/status/%s?time=%s", token, work))
 	case n < 85:
-		return p.feed(a, fmt.Sprintf("/feed/%s?n=%d&every=%s", token, 20+p.random.IntN(80), feedInterval))
+		return c.feed(a, fmt.Sprintf("/feed/%s?n=%d&every=%s", token, 20+c.random.IntN(80), feedInterval))
 	default:
-		return p.upload(a, "/upload/"+token, chunkSize*(10+p.random.IntN(60)))
+		return c.upload(a, "/upload/"+token, chunkSize*(10+c.random.IntN(60)))
 	}
 }
 
-func (p *caller) lookup(a check.Attempt, path string) (check.Attempt, func() client.Request) {
+func (c *caller) lookup(a check.Attempt, path string) (check.Attempt, func() client.Request) {
 	a.Want = fmt.Sprintf("%s %s\n", path, a.Token)
 	return a, func() client.Request {
 		return client.Request{Method: "POST", Path: path, Body: strings.NewReader(a.Token)}
 	}
 }
 
-func (p *caller) feed(a check.Attempt, path string) (check.Attempt, func() client.Request) {
+func (c *caller) feed(a check.Attempt, path string) (check.Attempt, func() client.Request) {
 	a.Long, a.MustComplete = true, true
 	var lines int
 	_, query, _ := strings.Cut(path, "?n=")
 	if _, err := fmt.Sscanf(query, "%d&", &lines); err != nil {
-		panic(err) // the path was made above
+		panic(err) // can't happen: newRequest builds the path
 	}
 	var want strings.Builder
 	for i := 1; i <= lines; i++ {
@@ -267,11 +268,11 @@
 	return a, func() client.Request { return client.Request{Method: "GET", Path: path} }
 }
 
-func (p *caller) upload(a check.Attempt, path string, size int) (check.Attempt, func() client.Request) {
+func (c *caller) upload(a check.Attempt, path string, size int) (check.Attempt, func() client.Request) {
 	a.Long, a.MustComplete, a.AtMostOnce = true, true, true
 	body := make([]byte, size)
 	for i := range body {
-		body[i] = byte(p.random.Uint32())
+		body[i] = byte(c.random.Uint32())
 	}
 	a.Want = fmt.Sprintf("%s %d %x\n", path, size, sha256.Sum256(body))
 	return a, func() client.Request {
@@ -279,12 +280,12 @@
 	}
 }
 
-// paced is a body that comes at the pace of a slow line.
+// paced is a body that is sent at the rate of a slow line.
 type paced struct {
 	rest *bytes.Reader
 }
 
-// Read returns the next chunk after a while.
+// Read returns the next chunk after chunkInterval.
 func (p *paced) Read(b []byte) (int, error) {
 	if p.rest.Len() == 0 {
 		return 0, io.EOF
--- a/internal/stand/faults/move.go
+++ b/internal/stand/faults/move.go
@@ -13,13 +13,13 @@
 	"mangowinch/internal/stand/check"
 )
 
-// move says that an instance was given from one service to another.
+// move records that an instance was reassigned from one service to another.
 type move struct {
-	from, to check.Execution // service and server before and after
+	from, to check.Execution // service and server before and after the move
 	at       time.Time
 }
 
-// relabel gives what ran at the moved instance since then to its new service.
+// relabel attributes the requests that ran at the instance after the move to its new service.
 func (m *move) relabel(executions []check.Execution) {
 	if m == nil {
 		return
@@ -32,9 +32,9 @@
 	}
 }
 
-// addressMoves gives the instance of a server of one service, with its addresses,
-// to another service, while an entry is frozen. The entry wakes and goes on
-// sending the first service's packets to the address, as its old document says.
+// addressMoves reassigns the instance of a server, with its addresses, to another service
+// while an entry is frozen. When the entry resumes, it still has the old document and keeps
+// sending packets of the first service to the instance.
 func addressMoves(r *run) error {
 	agents := r.fleet.Agents(r.largestService())
 	a := agents[len(agents)-1]
@@ -66,7 +66,7 @@
 	return r.largestService()
 }
 
-// reassign rewrites both documents and the agent's settings.
+// reassign moves an agent's server to another service in both documents and in the agent's settings.
 func (r *run) reassign(a *prefs.Settings, to string) error {
 	server, ok := r.fleet.Server(a.Agent.Service, a.Agent.Server)
 	if !ok {
@@ -98,7 +98,7 @@
 	return os.WriteFile(path, []byte(changed), 0o600)
 }
 
-// withoutServer cuts a server's section out of a document.
+// withoutServer removes the section of a server from a document.
 func withoutServer(text, name string) string {
 	before, rest, found := strings.Cut(text, "[server "+name+"]\n")
 	if !found {
--- a/internal/stand/faults/pairs.go
+++ b/internal/stand/faults/pairs.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// concurrently runs two faults at once. The victims that each draws come from one source of
-// randomness, so the second fault draws none.
+// concurrently runs two faults, the second of which starts half of withdrawDelay later. Both
+// share one random source, so the second must not choose the affected process at random.
 func concurrently(one, other func(*run) error) func(*run) error {
 	return func(r *run) error {
 		var group errgroup.Group
@@ -20,7 +20,7 @@
 	}
 }
 
-// cutFirstEntry cuts the way back from the first entry.
+// cutFirstEntry drops all packets from the first entry back to callers.
 func cutFirstEntry(r *run) error {
 	e := r.fleet.Entries()[0]
 	if err := r.setLoss(e, 0, 1); err != nil {
@@ -30,7 +30,7 @@
 	return r.setLoss(e, 0, 0)
 }
 
-// stopSecondEntry makes the planned stop of the second entry.
+// stopSecondEntry shuts the second entry down gracefully.
 func stopSecondEntry(r *run) error {
 	e := r.fleet.Entries()[1]
 	r.fleet.Process(e.Process.Name).Stop()
@@ -48,8 +48,8 @@
 	return stopSecondEntry(r)
 }
 
-// agentReplacedPlatformDown replaces an agent as planned while its successor has
-// only peers to learn the document from.
+// agentReplacedPlatformDown replaces an agent while the platform is down, so that the new
+// process can receive the document only from its peers.
 func agentReplacedPlatformDown(r *run) error {
 	if err := r.post("platform", "/fault?mode=down", ""); err != nil {
 		return err
@@ -60,8 +60,8 @@
 	return r.post("platform", "/fault?mode=ok", "")
 }
 
-// agentReplacedPlatformStale replaces an agent as planned while the platform serves
-// the revision before the one in force.
+// agentReplacedPlatformStale replaces an agent while the platform serves the revision before
+// the one in force.
 func agentReplacedPlatformStale(r *run) error {
 	a := r.randomAgent()
 	if err := r.touch(a.Agent.Service); err != nil {
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// entryFrozenDocument freezes an entry, makes a server leave by document
-// meanwhile, and wakes the entry with its old knowledge.
+// entryFrozenDocument freezes an entry and sets a server to leaving in its document. The entry
+// resumes with the old document.
 func entryFrozenDocument(r *run) error {
 	a, p := r.randomAgent(), r.fleet.Process(r.randomEntry().Process.Name)
 	p.Freeze()
@@ -140,7 +140,7 @@
 	return r.post("platform", "/fault?mode=ok", "")
 }
 
-// partitionDrain drains a server while the callers are parted.
+// partitionDrain drains a server while the callers are partitioned.
 func partitionDrain(r *run) error {
 	if err := r.setPartition(r.partitionSides()...); err != nil {
 		return err
@@ -151,7 +151,7 @@
 	return r.setPartition()
 }
 
-// platformDownDrain drains a server by its own word while the platform is down.
+// platformDownDrain drains a server at its own request while the platform is down.
 func platformDownDrain(r *run) error {
 	if err := r.post("platform", "/fault?mode=down", ""); err != nil {
 		return err
@@ -162,8 +162,8 @@
 	return r.post("platform", "/fault?mode=ok", "")
 }
 
-// platformStaleDrain makes a server leave by document; then the platform serves the
-// revision before again, in which the server was to stay.
+// platformStaleDrain sets a server to leaving in its document. Then the platform serves the
+// previous revision, in which the server is not leaving.
 func platformStaleDrain(r *run) error {
 	a := r.randomAgent()
 	r.markLeaving(a)
@@ -179,8 +179,8 @@
 	return r.post("platform", "/fault?mode=ok", "")
 }
 
-// agentKilledDrain makes a server leave by document and replaces its agent without
-// warning: the successor must not take new work either.
+// agentKilledDrain sets a server to leaving in its document, then kills and restarts its agent.
+// The new process must not take new work either.
 func agentKilledDrain(r *run) error {
 	a := r.randomAgent()
 	r.markLeaving(a)
@@ -197,7 +197,7 @@
 	return nil
 }
 
-// cutDrain drains a server while the way back from an entry is cut.
+// cutDrain drains a server while all packets from an entry back to callers are dropped.
 func cutDrain(r *run) error {
 	e := r.randomEntry()
 	if err := r.setLoss(e, 0, 1); err != nil {
@@ -222,7 +222,7 @@
 	return nil
 }
 
-// entryStoppedEntryKilled kills an entry while another makes its planned stop.
+// entryStoppedEntryKilled kills an entry while another shuts down gracefully.
 func entryStoppedEntryKilled(r *run) error {
 	entries := r.fleet.Entries()
 	stopped, killed := entries[0], entries[1]
--- a/internal/stand/faults/scenario.go
+++ b/internal/stand/faults/scenario.go
@@ -9,14 +9,14 @@
 	"mangowinch/internal/stand/fabric"
 )
 
-// cutDuration is longer than a caller's idle timeout, so that a flow which does not find
-// its way round the cut does not live through it.
+// cutDuration exceeds the idle timeout of callers, so that a flow which is not rerouted
+// around the cut does not survive it.
 const cutDuration = idleTimeout + time.Second
 
-// Scenario is one fault, or several together.
+// Scenario injects one fault or a combination of faults.
 type Scenario struct {
 	Name   string
-	Before func(r *run) error // before there is load
+	Before func(r *run) error // runs before the load starts, if not nil
 	Steps  func(r *run) error
 }
 
@@ -110,7 +110,7 @@
 	return r.routeAround(e)
 }
 
-// entryJoins starts the entry that was absent, which has missed a document.
+// entryJoins starts the absent entry, which has missed a revision of a document.
 func entryJoins(r *run) error {
 	service := r.largestService()
 	if err := r.touch(service); err != nil {
@@ -143,7 +143,8 @@
 	return awaitStop(r, e.Process.Name, 10*time.Second)
 }
 
-// awaitStop returns an error if a process that was asked to stop does not end well.
+// awaitStop waits until a process that was asked to stop has exited. It returns an error if the
+// process does not exit in time or exits with an error.
 func awaitStop(r *run, name string, within time.Duration) error {
 	p := r.fleet.Process(name)
 	select {
@@ -180,8 +181,8 @@
 	return nil
 }
 
-// agentFrozenLong freezes an agent for longer than a lookup's deadline and the
-// idle timeout of its callers.
+// agentFrozenLong freezes an agent for longer than the deadline of a lookup and the idle
+// timeout of callers.
 func agentFrozenLong(r *run) error {
 	a := r.randomAgent()
 	r.markAffected(a)
@@ -192,7 +193,7 @@
 	return nil
 }
 
-// agentReplaced stops an agent as planned and starts its successor.
+// agentReplaced shuts an agent down gracefully and starts it again.
 func agentReplaced(r *run) error {
 	a := r.randomAgent()
 	r.fleet.Process(a.Process.Name).Stop()
@@ -268,8 +269,8 @@
 	return r.post("platform", "/fault?mode=ok", "")
 }
 
-// platformDownRestart restarts an entry while the platform is down: it has only
-// its peers to learn the documents from.
+// platformDownRestart restarts an entry while the platform is down, so that it can receive
+// the documents only from its peers.
 func platformDownRestart(r *run) error {
 	service := r.largestService()
 	if err := r.touch(service); err != nil {
@@ -283,8 +284,8 @@
 	return restartAndExpect(r, e.Process.Name, service)
 }
 
-// platformStaleRestart lets the platform fall back to an old revision and restarts
-// an entry: it must not go back behind what its peers have.
+// platformStaleRestart makes the platform serve an old revision and restarts an entry, which
+// must not use an older revision than its peers have.
 func platformStaleRestart(r *run) error {
 	service := r.largestService()
 	if err := r.touch(service); err != nil {
@@ -309,7 +310,7 @@
 	return r.post("platform", "/fault?mode=ok", "")
 }
 
-// partition parts callers and entries in two; agents are reached from both sides.
+// partition splits callers and entries into two sides. Both sides reach all agents.
 func partition(r *run) error {
 	if err := r.setPartition(r.partitionSides()...); err != nil {
 		return err
@@ -336,7 +337,8 @@
 	return []fabric.Side{one, other}
 }
 
-// twoDocuments makes two revisions in quick succession; the second must win everywhere.
+// twoDocuments writes two revisions of a document in quick succession. The later one must
+// come into force everywhere.
 func twoDocuments(r *run) error {
 	service := r.largestService()
 	if err := r.touch(service); err != nil {
@@ -346,9 +348,9 @@
 	if err := r.touch(service); err != nil {
 		return err
 	}
-	r.wait(200 * time.Millisecond) // the platform has read it by now
+	r.wait(200 * time.Millisecond) // the platform has read the document by then
 	for _, n := range append(r.fleet.Entries(), r.fleet.Agents(service)...) {
-		// Both may have come to the platform as one revision.
+		// The platform may have read both changes as one revision, which is then 2.
 		r.expectRevision(n.Process.Name, service, 2)
 	}
 	return nil
--- a/internal/stand/faults/steps.go
+++ b/internal/stand/faults/steps.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	withdrawDelay  = time.Second     // until the fabric notices that an entry is gone
-	inForceTimeout = 7 * time.Second // from the platform's having a document to its being in force everywhere
+	withdrawDelay  = time.Second     // time until the fabric stops using an entry that is unavailable
+	inForceTimeout = 7 * time.Second // from a change of a document to its being in force everywhere
 )
 
-// randomEntry draws an entry.
+// randomEntry returns a random entry.
 func (r *run) randomEntry() *prefs.Settings {
 	entries := r.fleet.Entries()
 	return entries[r.random.IntN(len(entries))]
 }
 
-// randomAgent draws an agent of the larger service.
+// randomAgent returns a random agent of the largest service.
 func (r *run) randomAgent() *prefs.Settings {
 	agents := r.fleet.Agents(r.largestService())
 	return agents[r.random.IntN(len(agents))]
@@ -43,42 +43,43 @@
 	return largest.Name
 }
 
-// markAffected says that flows and requests at an agent's server may be cut by the fault.
+// markAffected records that the fault may interrupt flows and requests at an agent's server.
 func (r *run) markAffected(agent *prefs.Settings) {
 	r.affected[agent.Agent.Service+"/"+agent.Agent.Server] = true
 }
 
-// markLeaving says that a server is told to leave now.
+// markLeaving records that an agent's server is told to leave now.
 func (r *run) markLeaving(agent *prefs.Settings) {
 	r.leaving = append(r.leaving, check.Leave{Service: agent.Agent.Service, Server: agent.Agent.Server, At: time.Now()})
 }
 
-// post sets a fault at a stand-in.
+// post sends a command to a stand-in, such as a fault to inject.
 func (r *run) post(process, path, text string) error {
 	return r.fleet.Post(r.ctx, process, path, text)
 }
 
-// routeAround lets the fabric send to all entries but these.
+// routeAround makes the fabric send to all entries except the given ones.
 func (r *run) routeAround(without ...*prefs.Settings) error {
 	var addresses []string
 	for _, e := range r.fleet.Entries() {
-		gone := false
+		excluded := false
 		for _, w := range without {
-			gone = gone || w == e
+			excluded = excluded || w == e
 		}
-		if !gone {
+		if !excluded {
 			addresses = append(addresses, e.Entry.Bind.String())
 		}
 	}
 	return r.post("fabric", "/entries?set="+strings.Join(addresses, ","), "")
 }
 
-// setLoss sets the loss at an entry.
+// setLoss sets the rates of packet loss toward an entry and back from it, from 0 to 1.
 func (r *run) setLoss(e *prefs.Settings, toward, back float64) error {
 	return r.post("fabric", fmt.Sprintf("/fault?entry=%s&toward=%g&back=%g", e.Entry.Bind, toward, back), "")
 }
 
-// setPartition shows each side of the callers other entries; no sides end it.
+// setPartition makes each side's caller networks reach only that side's entries. Without
+// sides, it ends the partition.
 func (r *run) setPartition(sides ...fabric.Side) error {
 	if sides == nil {
 		sides = []fabric.Side{}
@@ -98,7 +99,7 @@
 	return r.fleet.AwaitReady(r.ctx, name)
 }
 
-// edit changes a file that the platform serves, in one step for its readers.
+// edit changes a file that the platform serves, atomically for its readers.
 func (r *run) edit(file string, change func(text string) string) (err error) {
 	defer func() { err = errors.Wrapf(err, "edit %s", file) }()
 	path := filepath.Join(r.fleet.DocumentsDirectory(), file)
@@ -113,7 +114,7 @@
 	return os.Rename(next, path)
 }
 
-// setLeaving makes a server leave by its document.
+// setLeaving sets the state of an agent's server to leaving in the service document.
 func (r *run) setLeaving(agent *prefs.Settings) error {
 	section := "[server " + agent.Agent.Server + "]\n"
 	return r.edit(agent.Agent.Service+".ini", func(text string) string {
@@ -121,12 +122,12 @@
 	})
 }
 
-// touch makes a new revision of a document that changes nothing else.
+// touch writes a new revision of a document without other changes.
 func (r *run) touch(service string) error {
 	return r.edit(service+".ini", func(text string) string { return text + "\n; touched\n" })
 }
 
-// setInstanceState writes an instance's state into the platform's list.
+// setInstanceState sets the state of a live instance in the platform's instance list.
 func (r *run) setInstanceState(name, state string) error {
 	return r.edit("instances.json", func(text string) string {
 		lines := strings.Split(text, "\n")
@@ -139,8 +140,8 @@
 	})
 }
 
-// expectRevision adds a violation if a process does not have a document's revision
-// in force within inForceWithin, or a later one.
+// expectRevision waits until a process has the given revision of a document, or a later one,
+// in force. It adds a violation if that takes longer than inForceTimeout.
 func (r *run) expectRevision(process, service string, least order.Revision) {
 	var got order.Revision
 	var err error
@@ -150,5 +151,5 @@
 		}
 	}
 	r.extraViolations = append(r.extraViolations, check.Violation{Rule: check.Reverted, Token: process,
-		Detail: fmt.Sprintf("has revision %s of %s and not %s after %s (%v)", got, service, least, inForceTimeout, err)})
+		Detail: fmt.Sprintf("has revision %s of %s instead of %s after %s (%v)", got, service, least, inForceTimeout, err)})
 }
--- a/internal/stand/faults/twice.go
+++ b/internal/stand/faults/twice.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// The scenarios of this file strike several processes at once, or one twice.
+// The scenarios in this file affect several processes at once, or one process twice.
 
 func twoEntriesKilled(r *run) error {
 	entries := r.fleet.Entries()
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// domainLost kills every process of one failure domain and starts them again.
+// domainLost kills all processes of one failure domain and starts them again.
 func domainLost(r *run) error {
 	domain := r.randomEntry().Process.Domain
 	var names []string
@@ -77,7 +77,7 @@
 	return r.fleet.AwaitReady(r.ctx, names...)
 }
 
-// allReplaced replaces all entries in turn, and meanwhile three agents in turn.
+// allReplaced restarts all entries one after the other, and three agents at the same time.
 func allReplaced(r *run) error {
 	var group errgroup.Group
 	group.Go(func() error {
@@ -101,7 +101,8 @@
 	return group.Wait()
 }
 
-// replaceEntry makes a planned stop: the fabric is told a second after the entry.
+// replaceEntry shuts an entry down gracefully and restarts it. The fabric stops using the
+// entry a second after the shutdown begins.
 func replaceEntry(r *run, name string) error {
 	r.fleet.Process(name).Stop()
 	r.wait(withdrawDelay)
