--- a/internal/stand/described/described.go
+++ b/internal/stand/described/described.go
@@ -1,10 +1,10 @@
-// Package described lists names that leave a process and that a library makes of the code: what a protobuf file puts on the
-// wire (names and numbers of fields, values of enums, paths of calls), and what a command line takes.
+// Package described lists external names that a library derives from the code: those of a protobuf file (names and
+// numbers of fields, values of enums, paths of calls), and the commands, arguments and flags of a command line.
 //
-// It exists because old and new processes run side by side during an update, and because protobuf and drpc each have a
-// set of names that both must know: a golden file of the list shows when one changes.
+// It exists because old and new processes run side by side during an update, and both must agree on the names that
+// protobuf and drpc use. A golden file of the list shows when a name changes.
 //
-// It is for tests only, and says nothing about what messages mean.
+// It is for tests only, and does not describe the meaning of messages.
 //
 // # Usage
 //
@@ -19,7 +19,7 @@
 	"storj.io/drpc"
 )
 
-// File lists the messages, enums and services of a file.
+// File lists the messages, enums and services of a protobuf file.
 func File(f protoreflect.FileDescriptor) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "package %s\n", f.Package())
--- a/internal/stand/described/described_test.go
+++ b/internal/stand/described/described_test.go
@@ -10,7 +10,7 @@
 	"mangowinch/internal/stand/described"
 )
 
-// Guards against lists that leave out a kind of thing: messages inside messages, their enums, and fields of each sort.
+// Guards against lists that omit nested messages, their enums, or fields of some kind.
 func TestFileListsEverything(t *testing.T) {
 	text := described.File(descriptorpb.File_google_protobuf_descriptor_proto)
 	for _, line := range []string{
--- a/internal/stand/described/flags.go
+++ b/internal/stand/described/flags.go
@@ -7,8 +7,8 @@
 	"github.com/alecthomas/kong"
 )
 
-// CommandLine lists the commands, arguments and flags that a program takes. Kong makes their names of the names of Go fields
-// where no tag says otherwise.
+// CommandLine lists the commands, arguments and flags of a program. Kong derives their names from the names of the Go
+// fields, unless a tag sets another name.
 func CommandLine(commands any, options ...kong.Option) (string, error) {
 	k, err := kong.New(commands, append([]kong.Option{kong.Name("program")}, options...)...)
 	if err != nil {
--- a/internal/stand/described/flags_test.go
+++ b/internal/stand/described/flags_test.go
@@ -8,7 +8,7 @@
 	"mangowinch/internal/stand/described"
 )
 
-// Guards against lists that leave out commands inside commands, arguments, or flags named by their fields.
+// Guards against lists that omit nested commands, arguments, or flags that are named after their fields.
 func TestCommandLineListsEverything(t *testing.T) {
 	type inner struct {
 		File string `arg:""`
--- a/internal/stand/filled/filled.go
+++ b/internal/stand/filled/filled.go
@@ -1,12 +1,11 @@
-// Package filled sets every exported field of a value that tests encode, so that a golden file shows all names and
-// the test's own text pins none of them.
+// Package filled sets every exported field of a value, so that a golden file of its encoding contains all field names.
 //
-// It exists because old and new processes run side by side during an update and read each other's JSON: a name that
-// a refactoring changes is a name that the other process no longer finds. A test that listed the fields itself would be
-// renamed along with them.
+// It exists because old and new processes run side by side during an update and read each other's JSON: if a
+// refactoring changes a name, the other process no longer finds it. A test that listed the fields in Go would not notice,
+// because the refactoring would rename them in the test too.
 //
-// It is for tests only, and no generator of random values: the same type is always filled in the same way. Fields
-// that aren't exported stay as they are, since no encoding shows them.
+// It is for tests only. It does not generate random values: a type is always filled in the same way. Unexported fields
+// are left unchanged, since they are not encoded.
 //
 // # Usage
 //
@@ -24,17 +23,17 @@
 	"time"
 )
 
-// maxDepth bounds types that hold themselves.
+// maxDepth bounds the recursion into recursive types.
 const maxDepth = 12
 
-// Fill sets all that v points to: each exported field to a value that isn't zero, each slice and map to one element,
-// each pointer to a value of its own. It panics on a type that it can't fill, such as a function.
+// Fill sets the value that v points to: each exported field to a non-zero value, each slice and map to one element,
+// and each pointer to a new value. It panics on a type that it can't fill, such as a function.
 //
-// A value tells the position of its field in its struct, so that fields of a struct differ, and a field added at the end
-// changes nothing else.
+// Each value is derived from the position of its field in the struct. So the fields of a struct differ from each other,
+// and a field added at the end does not change the values of the others.
 func Fill(v any) { fill(reflect.ValueOf(v).Elem(), 1, 0) }
 
-// fill sets v, which is at position n of what holds it.
+// fill sets v, which is at position n of the value that contains it.
 func fill(v reflect.Value, n, depth int) {
 	if depth > maxDepth {
 		return
@@ -80,7 +79,7 @@
 	v.SetMapIndex(key, value)
 }
 
-// fillBasic sets a number, a text or a truth. Numbers fit into 8 bits.
+// fillBasic sets a number, string or bool. Numbers fit into 8 bits.
 func fillBasic(v reflect.Value, n int) {
 	small := n%120 + 1
 	switch {
@@ -99,7 +98,8 @@
 	}
 }
 
-// fillKnown sets values of types whose fields aren't exported.
+// fillKnown sets a value of a type that needs a specific value, such as a netip.Addr, whose fields aren't exported. It
+// reports whether the type of v is one of them.
 func fillKnown(v reflect.Value, n int) bool {
 	last := byte(n%250 + 1)
 	addr := netip.AddrFrom4([4]byte{10, 0, 0, last})
@@ -122,7 +122,7 @@
 	return true
 }
 
-// Unset returns the paths of all exported fields of v that are zero or empty, in the order of the fields.
+// Unset returns the paths of all exported fields of v that are zero or empty, in field order.
 func Unset(v any) (paths []string) { return unset(nil, reflect.ValueOf(v), "") }
 
 func unset(paths []string, v reflect.Value, path string) []string {
@@ -153,7 +153,7 @@
 	return paths
 }
 
-// hasOwnEncoding says whether a value is written as a whole, such as an address or a URL.
+// hasOwnEncoding reports whether a value encodes itself as a whole, such as an address or a URL.
 func hasOwnEncoding(v reflect.Value) bool {
 	switch v.Interface().(type) {
 	case encoding.TextMarshaler, encoding.BinaryMarshaler:
--- a/internal/stand/filled/filled_test.go
+++ b/internal/stand/filled/filled_test.go
@@ -27,7 +27,7 @@
 	hidden int
 }
 
-// Guards against a golden file that lacks a name because its field was left out as empty.
+// Guards against a golden file that lacks a name because Fill left the field empty and the encoder omitted it.
 func TestFillLeavesNothingUnset(t *testing.T) {
 	var a, b outer
 	assert.Assert(t, len(Unset(a)) > 0)
--- a/internal/stand/filled/names.go
+++ b/internal/stand/filled/names.go
@@ -10,8 +10,7 @@
 	"gotest.tools/v3/golden"
 )
 
-// AssertJSON compares the JSON of values, filled, with a golden file. Each value is a pointer; the names are those of the
-// values in the file.
+// AssertJSON fills each value and compares the JSON of the map with a golden file. The values are pointers.
 func AssertJSON(t *testing.T, file string, values map[string]any) {
 	t.Helper()
 	for _, v := range values {
@@ -22,8 +21,8 @@
 	golden.Assert(t, string(text)+"\n", file)
 }
 
-// AssertRoundTrip is Written for values that are read as well: what the golden file holds must be read with no field left unset,
-// and give the same text again.
+// AssertRoundTrip does the same as AssertJSON for types that are also decoded. Decoding the golden file must leave no field
+// unset, and encoding the result must give the same JSON.
 func AssertRoundTrip(t *testing.T, file string, values map[string]any) {
 	t.Helper()
 	AssertJSON(t, file, values)
