--- a/internal/stand/faults/faults.go
+++ b/internal/stand/faults/faults.go
@@ -134,8 +134,8 @@
 	fleet           *fleet.Fleet
 	random          *rand.Rand
 	load            *load
-	faultTime       time.Time // time of the first fault
-	affected        map[string]bool
+	faultTime       time.Time       // time of the first fault
+	affected        map[string]bool // servers, as SERVICE/SERVER, at which the fault may interrupt work
 	leaving         []check.Leave
 	moved           *move
 	note            string // Result.Note
--- a/internal/stand/faults/faults_test.go
+++ b/internal/stand/faults/faults_test.go
@@ -24,7 +24,7 @@
 
 // Checks that work at a reassigned instance counts for its new service from the time of the move, and
 // that other executions keep their labels.
-func TestMoveRelabelsWhatRanAfterIt(t *testing.T) {
+func TestMoveRelabelsLaterExecutions(t *testing.T) {
 	at := time.Unix(1000, 0)
 	m := &move{
 		from: check.Execution{Service: "tracing-core", Server: "s7"},
--- a/internal/stand/faults/flood.go
+++ b/internal/stand/faults/flood.go
@@ -34,8 +34,8 @@
 	closed chan struct{}
 }
 
-func (h sendOnlyConn) ReadFrom([]byte) (int, net.Addr, error) {
-	<-h.closed
+func (c sendOnlyConn) ReadFrom([]byte) (int, net.Addr, error) {
+	<-c.closed
 	return 0, nil, net.ErrClosed
 }
 
@@ -89,13 +89,13 @@
 		return err
 	}
 	defer socket.Close()
-	h := sendOnlyConn{UDPConn: socket, closed: make(chan struct{})}
-	transport := &quic.Transport{Conn: plainConn{h}}
+	conn := sendOnlyConn{UDPConn: socket, closed: make(chan struct{})}
+	transport := &quic.Transport{Conn: plainConn{conn}}
 	ctx, cancel := context.WithTimeout(ctx, firstFlightWait)
 	defer cancel()
 	_, err = transport.Dial(ctx, net.UDPAddrFromAddrPort(service.Address),
 		&tls.Config{ServerName: service.Name, NextProtos: []string{"h3"}}, &quic.Config{})
-	close(h.closed)
+	close(conn.closed)
 	if err == nil {
 		return errors.New("handshake completed although no packet was received")
 	}
--- a/internal/stand/faults/load.go
+++ b/internal/stand/faults/load.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	callersPerNetwork = 3                      // callers in each caller network of a document
-	heavyFactor       = 4                      // times as many callers fill all slots, so that requests wait and are handed over
-	idleTimeout       = 5 * time.Second        // of a caller's connection
-	requestTimeout    = 20 * time.Second       // of a request
-	dialTimeout       = 5 * time.Second        // of a handshake
+	callersPerNetwork = 3               // callers in each caller network of a document
+	heavyFactor       = 4               // times as many callers under a heavy load, which fills all slots, so that requests wait and are handed over
+	idleTimeout       = 5 * time.Second // of a caller's connection
+	requestTimeout    = 20 * time.Second
+	dialTimeout       = 5 * time.Second
 	redialDelay       = 50 * time.Millisecond  // pause after a failed handshake
 	reconnectOneIn    = 4                      // a caller reconnects after one in so many requests on average
 	refusedDelay      = 50 * time.Millisecond  // pause after a request with outcome not-run
@@ -106,11 +106,13 @@
 	name    string
 	random  *rand.Rand
 	heavy   bool
-	sent    int
+	sent    int    // requests so far
 	key     string // request key from the last answer, for the next request
 	conn    *client.Caller
 }
 
+// run sends requests until active is done. It uses ctx for the requests, so that those in
+// progress can complete.
 func (c *caller) run(active, ctx context.Context) {
 	defer c.disconnect()
 	for active.Err() == nil {
--- a/internal/stand/faults/twice.go
+++ b/internal/stand/faults/twice.go
@@ -77,7 +77,7 @@
 	return r.fleet.AwaitReady(r.ctx, names...)
 }
 
-// allReplaced restarts all entries one after the other, and three agents at the same time.
+// allReplaced restarts all entries in turn and, concurrently, three agents in turn.
 func allReplaced(r *run) error {
 	var group errgroup.Group
 	group.Go(func() error {
--- a/internal/stand/fleet/fleet_test.go
+++ b/internal/stand/fleet/fleet_test.go
@@ -25,7 +25,7 @@
 }
 
 // Checks that the examples have the deployment sizes that the system is designed for.
-func TestExamplesHaveTheirRealSizes(t *testing.T) {
+func TestExamplesHaveDesignSizes(t *testing.T) {
 	type size struct{ servers, slots, domains int }
 	want := map[string]map[string]size{
 		"zagreb": {"tracing-core": {7, 4, 3}, "doc-intake": {3, 4, 3}},
@@ -51,7 +51,7 @@
 
 // Guards against settings that contradict the service documents, since both are written
 // separately: an agent that listens on another address than its document states gets no packets.
-func TestExamplesAgree(t *testing.T) {
+func TestExampleSettingsAgreeWithDocuments(t *testing.T) {
 	for _, deployment := range []string{"zagreb", "rabat"} {
 		f := preparedFleet(t, deployment)
 		used := map[netip.AddrPort]string{}
