--- a/internal/node/agent/share_test.go
+++ b/internal/node/agent/share_test.go
@@ -202,12 +202,12 @@
 	<-owner.Ended()
 	a := z.sendClaim(elsewhere, "widow", key)
 	assert.Equal(t, a.Outcome, result.Unknown, "%+v", a)
-	assert.Equal(t, a.Reason, string(result.OwnerGone))
+	assert.Equal(t, a.Reason, string(result.OwnerUnavailable))
 	assert.NilError(t, owner.Start())
 	assert.NilError(t, z.AwaitReady(t.Context(), ranAt[0]))
 	a = z.sendClaim(elsewhere, "widow", key)
 	assert.Equal(t, a.Outcome, result.Unknown, "%+v", a)
-	assert.Equal(t, a.Reason, string(result.OwnerGone))
+	assert.Equal(t, a.Reason, string(result.OwnerUnavailable))
 	assert.Equal(t, len(z.agentsThatRan("widow")), 1)
 
 	// Keys issued by one agent and sent through another one, with the link between the
