--- a/internal/stand/described/described.go
+++ b/internal/stand/described/described.go
@@ -1,10 +1,10 @@
-// Package described lists names that leave a process and that a library makes of the code: what a protobuf file puts on the
-// wire (names and numbers of fields, values of enums, paths of calls), and what a command line takes.
+// Package described lists external names that a library derives from the code: those of a protobuf file (names and
+// numbers of fields, values of enums, paths of calls), and the commands, arguments and flags of a command line.
 //
-// It exists because old and new processes run side by side during an update, and because protobuf and drpc each have a
-// set of names that both must know: a golden file of the list shows when one changes.
+// It exists because old and new processes run side by side during an update, and both must agree on the names that
+// protobuf and drpc use. A golden file of the list shows when a name changes.
 //
-// It is for tests only, and says nothing about what messages mean.
+// It is for tests only, and does not describe the meaning of messages.
 //
 // # Usage
 //
@@ -19,12 +19,12 @@
 	"storj.io/drpc"
 )
 
-// File lists the messages, enums and services of a file.
+// File lists the messages, enums and services of a protobuf file.
 func File(f protoreflect.FileDescriptor) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "package %s\n", f.Package())
-	messages(&b, f.Messages())
-	enums(&b, f.Enums())
+	writeMessages(&b, f.Messages())
+	writeEnums(&b, f.Enums())
 	for i := range f.Services().Len() {
 		s := f.Services().Get(i)
 		for j := range s.Methods().Len() {
@@ -36,19 +36,19 @@
 	return b.String()
 }
 
-func messages(b *strings.Builder, list protoreflect.MessageDescriptors) {
+func writeMessages(b *strings.Builder, list protoreflect.MessageDescriptors) {
 	for i := range list.Len() {
 		m := list.Get(i)
 		fmt.Fprintf(b, "message %s\n", m.FullName())
 		for j := range m.Fields().Len() {
-			field(b, m.Fields().Get(j))
+			writeField(b, m.Fields().Get(j))
 		}
-		enums(b, m.Enums())
-		messages(b, m.Messages())
+		writeEnums(b, m.Enums())
+		writeMessages(b, m.Messages())
 	}
 }
 
-func field(b *strings.Builder, f protoreflect.FieldDescriptor) {
+func writeField(b *strings.Builder, f protoreflect.FieldDescriptor) {
 	fmt.Fprintf(b, "  %d %s json %s %s %s", f.Number(), f.Name(), f.JSONName(), f.Cardinality(), f.Kind())
 	switch {
 	case f.Message() != nil:
@@ -62,7 +62,7 @@
 	b.WriteByte('\n')
 }
 
-func enums(b *strings.Builder, list protoreflect.EnumDescriptors) {
+func writeEnums(b *strings.Builder, list protoreflect.EnumDescriptors) {
 	for i := range list.Len() {
 		e := list.Get(i)
 		fmt.Fprintf(b, "enum %s\n", e.FullName())
--- a/internal/stand/described/flags.go
+++ b/internal/stand/described/flags.go
@@ -7,19 +7,19 @@
 	"github.com/alecthomas/kong"
 )
 
-// CommandLine lists the commands, arguments and flags that a program takes. Kong makes their names of the names of Go fields
-// where no tag says otherwise.
+// CommandLine lists the commands, arguments and flags of a program. Kong derives their names from the names of the Go
+// fields, unless a tag sets another name.
 func CommandLine(commands any, options ...kong.Option) (string, error) {
 	k, err := kong.New(commands, append([]kong.Option{kong.Name("program")}, options...)...)
 	if err != nil {
 		return "", err
 	}
 	var b strings.Builder
-	command(&b, k.Model.Node)
+	writeCommand(&b, k.Model.Node)
 	return b.String(), nil
 }
 
-func command(b *strings.Builder, n *kong.Node) {
+func writeCommand(b *strings.Builder, n *kong.Node) {
 	fmt.Fprintf(b, "command %s\n", n.Path())
 	for _, a := range n.Positional {
 		fmt.Fprintf(b, "  argument %s\n", a.Name)
@@ -28,6 +28,6 @@
 		fmt.Fprintf(b, "  --%s choice %q variables %q\n", f.Name, f.Enum, f.Envs)
 	}
 	for _, c := range n.Children {
-		command(b, c)
+		writeCommand(b, c)
 	}
 }
--- a/internal/stand/faults/steps.go
+++ b/internal/stand/faults/steps.go
@@ -17,23 +17,23 @@
 )
 
 const (
-	withdrawAfter = time.Second     // until the fabric notices that an entry is gone
-	inForceWithin = 7 * time.Second // from the platform's having a document to its being in force everywhere
+	withdrawDelay  = time.Second     // time until the fabric stops using an entry that is unavailable
+	inForceTimeout = 7 * time.Second // from a change of a document to its being in force everywhere
 )
 
-// entry draws an entry.
-func (r *run) entry() *prefs.Settings {
+// randomEntry returns a random entry.
+func (r *run) randomEntry() *prefs.Settings {
 	entries := r.fleet.Entries()
 	return entries[r.random.IntN(len(entries))]
 }
 
-// agent draws an agent of the larger service.
-func (r *run) agent() *prefs.Settings {
-	agents := r.fleet.Agents(r.largest())
+// randomAgent returns a random agent of the largest service.
+func (r *run) randomAgent() *prefs.Settings {
+	agents := r.fleet.Agents(r.largestService())
 	return agents[r.random.IntN(len(agents))]
 }
 
-func (r *run) largest() string {
+func (r *run) largestService() string {
 	largest := r.fleet.Services[0]
 	for _, s := range r.fleet.Services {
 		if len(s.Servers) > len(largest.Servers) {
@@ -43,43 +43,44 @@
 	return largest.Name
 }
 
-// hits says that flows and requests at an agent's server may be cut by the fault.
-func (r *run) hits(agent *prefs.Settings) {
-	r.hit[agent.Agent.Service+"/"+agent.Agent.Server] = true
+// markAffected records that the fault may interrupt flows and requests at an agent's server.
+func (r *run) markAffected(agent *prefs.Settings) {
+	r.affected[agent.Agent.Service+"/"+agent.Agent.Server] = true
 }
 
-// leaves says that a server is told to leave now.
-func (r *run) leaves(agent *prefs.Settings) {
+// markLeaving records that an agent's server is told to leave now.
+func (r *run) markLeaving(agent *prefs.Settings) {
 	r.leaving = append(r.leaving, check.Leave{Service: agent.Agent.Service, Server: agent.Agent.Server, At: time.Now()})
 }
 
-// post sets a fault at a stand-in.
+// post sends a command to a stand-in, such as a fault to inject.
 func (r *run) post(process, path, text string) error {
 	return r.fleet.Post(r.ctx, process, path, text)
 }
 
-// spray lets the fabric send to all entries but these.
-func (r *run) spray(without ...*prefs.Settings) error {
+// routeAround makes the fabric send to all entries except the given ones.
+func (r *run) routeAround(without ...*prefs.Settings) error {
 	var addresses []string
 	for _, e := range r.fleet.Entries() {
-		gone := false
+		excluded := false
 		for _, w := range without {
-			gone = gone || w == e
+			excluded = excluded || w == e
 		}
-		if !gone {
+		if !excluded {
 			addresses = append(addresses, e.Entry.Bind.String())
 		}
 	}
 	return r.post("fabric", "/entries?set="+strings.Join(addresses, ","), "")
 }
 
-// cut sets the loss at an entry.
-func (r *run) cut(e *prefs.Settings, toward, back float64) error {
+// setLoss sets the rates of packet loss toward an entry and back from it, from 0 to 1.
+func (r *run) setLoss(e *prefs.Settings, toward, back float64) error {
 	return r.post("fabric", fmt.Sprintf("/fault?entry=%s&toward=%g&back=%g", e.Entry.Bind, toward, back), "")
 }
 
-// part shows each side of the callers other entries; no sides end it.
-func (r *run) part(sides ...fabric.Side) error {
+// setPartition makes each side's caller networks reach only that side's entries. Without
+// sides, it ends the partition.
+func (r *run) setPartition(sides ...fabric.Side) error {
 	if sides == nil {
 		sides = []fabric.Side{}
 	}
@@ -98,7 +99,7 @@
 	return r.fleet.AwaitReady(r.ctx, name)
 }
 
-// edit changes a file that the platform serves, in one step for its readers.
+// edit changes a file that the platform serves, atomically for its readers.
 func (r *run) edit(file string, change func(text string) string) (err error) {
 	defer func() { err = errors.Wrapf(err, "edit %s", file) }()
 	path := filepath.Join(r.fleet.DocumentsDirectory(), file)
@@ -113,7 +114,7 @@
 	return os.Rename(next, path)
 }
 
-// setLeaving makes a server leave by its document.
+// setLeaving sets the state of an agent's server to leaving in the service document.
 func (r *run) setLeaving(agent *prefs.Settings) error {
 	section := "[server " + agent.Agent.Server + "]\n"
 	return r.edit(agent.Agent.Service+".ini", func(text string) string {
@@ -121,13 +122,13 @@
 	})
 }
 
-// touch makes a new revision of a document that changes nothing else.
+// touch writes a new revision of a document without other changes.
 func (r *run) touch(service string) error {
 	return r.edit(service+".ini", func(text string) string { return text + "\n; touched\n" })
 }
 
-// setListed writes an instance's state into the platform's list.
-func (r *run) setListed(name, state string) error {
+// setInstanceState sets the state of a live instance in the platform's instance list.
+func (r *run) setInstanceState(name, state string) error {
 	return r.edit("instances.json", func(text string) string {
 		lines := strings.Split(text, "\n")
 		for i, line := range lines {
@@ -139,16 +140,16 @@
 	})
 }
 
-// expectRevision adds a violation if a process does not have a document's revision
-// in force within inForceWithin, or a later one.
+// expectRevision waits until a process has the given revision of a document, or a later one,
+// in force. It adds a violation if that takes longer than inForceTimeout.
 func (r *run) expectRevision(process, service string, least order.Revision) {
 	var got order.Revision
 	var err error
-	for end := time.Now().Add(inForceWithin); time.Now().Before(end); r.wait(20 * time.Millisecond) {
+	for end := time.Now().Add(inForceTimeout); time.Now().Before(end); r.wait(20 * time.Millisecond) {
 		if got, err = r.fleet.Revision(r.ctx, process, service); err == nil && got >= least {
 			return
 		}
 	}
-	r.extra = append(r.extra, check.Violation{Rule: check.Reverted, Token: process,
-		Detail: fmt.Sprintf("has revision %s of %s and not %s after %s (%v)", got, service, least, inForceWithin, err)})
+	r.extraViolations = append(r.extraViolations, check.Violation{Rule: check.Reverted, Token: process,
+		Detail: fmt.Sprintf("has revision %s of %s instead of %s after %s (%v)", got, service, least, inForceTimeout, err)})
 }
--- a/internal/stand/fleet/ask.go
+++ b/internal/stand/fleet/ask.go
@@ -12,10 +12,10 @@
 	"mangowinch/internal/flow/order"
 )
 
-// Ask reads what a process tells at a path of its operators' address into answer.
-func (f *Fleet) Ask(ctx context.Context, process, path string, answer any) (err error) {
-	defer func() { err = errors.Wrapf(err, "ask %s for %s", process, path) }()
-	body, err := f.do(ctx, http.MethodGet, process, path, "")
+// GetJSON gets a path from the operators' address of a process and decodes the JSON into answer.
+func (f *Fleet) GetJSON(ctx context.Context, process, path string, answer any) (err error) {
+	defer func() { err = errors.Wrapf(err, "get %s %s", process, path) }()
+	body, err := f.send(ctx, http.MethodGet, process, path, "")
 	if err != nil {
 		return err
 	}
@@ -23,17 +23,17 @@
 	return json.NewDecoder(body).Decode(answer)
 }
 
-// Post tells a stand-in what to do.
+// Post sends a command to a stand-in.
 func (f *Fleet) Post(ctx context.Context, process, path, text string) (err error) {
-	defer func() { err = errors.Wrapf(err, "tell %s %s", process, path) }()
-	body, err := f.do(ctx, http.MethodPost, process, path, text)
+	defer func() { err = errors.Wrapf(err, "post %s %s", process, path) }()
+	body, err := f.send(ctx, http.MethodPost, process, path, text)
 	if err != nil {
 		return err
 	}
 	return body.Close()
 }
 
-func (f *Fleet) do(ctx context.Context, method, process, path, text string) (io.ReadCloser, error) {
+func (f *Fleet) send(ctx context.Context, method, process, path, text string) (io.ReadCloser, error) {
 	url := "http://" + f.Process(process).Operator.String() + path
 	request, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(text))
 	if err != nil {
@@ -51,7 +51,8 @@
 	return nil, errors.CombineErrors(errors.Newf("%s: %s", answer.Status, why), err)
 }
 
-// Revision returns the revision of a document that a process has in force, 0 if none.
+// Revision returns the revision of a service document that is in force at a process, or 0 if
+// the process has none.
 func (f *Fleet) Revision(ctx context.Context, process, service string) (revision order.Revision, err error) {
 	var status struct {
 		Sections struct {
@@ -61,7 +62,7 @@
 			} `json:"documents"`
 		} `json:"sections"`
 	}
-	if err := f.Ask(ctx, process, "/status", &status); err != nil {
+	if err := f.GetJSON(ctx, process, "/status", &status); err != nil {
 		return 0, err
 	}
 	for _, d := range status.Sections.Documents {
--- a/internal/stand/fleet/fleet.go
+++ b/internal/stand/fleet/fleet.go
@@ -1,13 +1,14 @@
-// Package fleet starts one deployment on loopback as separate processes, with the
-// stand-ins around it, and lets tests kill, freeze and restart each of them.
+// Package fleet starts a deployment on loopback as separate processes, together with
+// stand-ins for the platform, the fabric and the backend servers. Tests can kill, freeze
+// and restart each process.
 //
-// It is scaffolding for the demo, the fault runs and benchmarks. Nothing of the
-// system uses it: a process of mangowinch starts no other.
+// It is scaffolding for the demo, the fault runs and benchmarks, and not part of the
+// system: a mangowinch process never starts another.
 //
-// A deployment is a directory as in examples/: documents that the platform
-// serves, and one settings file for each process. A fleet works on a copy, with a
-// certificate and keys made for it alone. Several fleets may run at a time: each
-// takes a block of loopback addresses and writes it into its copy.
+// A deployment is a directory as in examples/: documents that the platform serves, and
+// one settings file per process. A fleet runs a copy of it, with its own certificate and
+// keys. Several fleets may run at the same time: each claims a block of loopback addresses
+// and rewrites the addresses in its copy.
 //
 // # Usage
 //
@@ -36,30 +37,30 @@
 )
 
 const (
-	readyWithin = 30 * time.Second // a process that is not ready by then has failed
-	readyEvery  = 20 * time.Millisecond
-	adminPort   = 8501 // of the platform's and the fabric's stand-in
+	readyTimeout      = 30 * time.Second // a process that is not ready by then counts as failed
+	readyPollInterval = 20 * time.Millisecond
+	adminPort         = 8501 // of the stand-ins for the platform and the fabric
 )
 
-// Settings say what to start.
+// Settings configure a fleet.
 type Settings struct {
 	Deployment string // directory with documents/ and settings/
-	Binaries   string // directory with the programs mangowinch and standin
-	Directory  string // where the copy, keys and logs go; a temporary one if empty
+	Binaries   string // directory of the executables mangowinch and standin
+	Directory  string // for the copy, keys and logs; a temporary directory if empty
 }
 
 // Fleet is a running deployment.
 type Fleet struct {
 	Directory string
 	Services  []*docs.Service
-	Roots     *x509.CertPool // that the agents' certificate is under
+	Roots     *x509.CertPool // trusts the certificate of the agents
 	Nodes     []*prefs.Settings
 
-	settings  Settings
-	block     *block
-	temporary bool
-	processes map[string]*Process
-	order     []string // of starting
+	settings   Settings
+	block      *block
+	temporary  bool
+	processes  map[string]*Process
+	startOrder []string // process names in the order of starting
 }
 
 // Start starts every process of a deployment and returns once all are ready.
@@ -83,20 +84,20 @@
 	if f.block, err = claimBlock(); err != nil {
 		return err
 	}
-	if err := f.layOut(); err != nil {
+	if err := f.prepare(); err != nil {
 		return err
 	}
-	f.plan()
-	for _, name := range f.order {
+	f.addProcesses()
+	for _, name := range f.startOrder {
 		if err := f.processes[name].Start(); err != nil {
 			return err
 		}
 	}
-	return f.AwaitReady(ctx, f.order...)
+	return f.AwaitReady(ctx, f.startOrder...)
 }
 
-// layOut copies the deployment, makes its keys and reads what was copied.
-func (f *Fleet) layOut() error {
+// prepare copies the deployment, creates its keys, and reads the copied documents and settings.
+func (f *Fleet) prepare() error {
 	if err := copyDeployment(f.settings.Deployment, f.Directory, f.block); err != nil {
 		return err
 	}
@@ -111,8 +112,8 @@
 	return err
 }
 
-// plan lists the processes: the stand-ins, then the nodes.
-func (f *Fleet) plan() {
+// addProcesses adds the stand-ins and the nodes in the order in which they are started.
+func (f *Fleet) addProcesses() {
 	standin := filepath.Join(f.settings.Binaries, "standin")
 	program := filepath.Join(f.settings.Binaries, "mangowinch")
 	platform := netip.MustParseAddrPort(f.Nodes[0].Platform.Address.Host)
@@ -149,7 +150,7 @@
 
 func (f *Fleet) serverArguments(n *prefs.Settings) []string {
 	arguments := []string{"server", "--address", n.Agent.Backend.Host, "--cold", "0s",
-		"--journal", f.journal(n.Process.Name)}
+		"--journal", f.journalFile(n.Process.Name)}
 	server, ok := f.Server(n.Agent.Service, n.Agent.Server)
 	if !ok {
 		return arguments
@@ -158,7 +159,7 @@
 }
 
 func (f *Fleet) add(name string, operator netip.AddrPort, program string, arguments ...string) {
-	f.order = append(f.order, name)
+	f.startOrder = append(f.startOrder, name)
 	f.processes[name] = &Process{
 		Name:      name,
 		Operator:  operator,
@@ -168,7 +169,7 @@
 	}
 }
 
-// DocumentsDirectory is what the platform serves; a test changes documents there.
+// DocumentsDirectory returns the directory that the platform serves, where tests change documents.
 func (f *Fleet) DocumentsDirectory() string { return filepath.Join(f.Directory, "documents") }
 
 func (f *Fleet) settingsDirectory() string { return filepath.Join(f.Directory, "settings") }
@@ -184,7 +185,7 @@
 }
 
 // Names returns the names of all processes in the order of starting.
-func (f *Fleet) Names() []string { return slices.Clone(f.order) }
+func (f *Fleet) Names() []string { return slices.Clone(f.startOrder) }
 
 // Service returns a document by name. It panics if there is none.
 func (f *Fleet) Service(name string) *docs.Service {
@@ -225,33 +226,33 @@
 	return nodes
 }
 
-// AwaitReady returns once each named process answers GET /healthz with 200.
+// AwaitReady waits until each named process answers GET /healthz with 200.
 func (f *Fleet) AwaitReady(ctx context.Context, names ...string) (err error) {
-	ctx, cancel := context.WithTimeout(ctx, readyWithin)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, name := range names {
 		p := f.Process(name)
 		for !p.ready(ctx) {
 			select {
 			case <-p.Ended():
-				return errors.Newf("%s ended at once: %s", name, p.lastLine())
+				return errors.Newf("%s exited before it was ready: %s", name, p.lastLine())
 			case <-ctx.Done():
-				return errors.Newf("%s is not ready after %s: %s", name, readyWithin, p.lastLine())
-			case <-time.After(readyEvery):
+				return errors.Newf("%s is not ready after %s; last log line: %s", name, readyTimeout, p.lastLine())
+			case <-time.After(readyPollInterval):
 			}
 		}
 	}
-	return f.noneEnded(names)
+	return f.checkRunning(names)
 }
 
-// noneEnded guards against a process that found its address taken and ended, while
-// whoever took the address answered in its place.
-func (f *Fleet) noneEnded(names []string) error {
+// checkRunning returns an error if a named process has exited. This happens when its address
+// is in use: the process exits, and the other process on the address answers /healthz.
+func (f *Fleet) checkRunning(names []string) error {
 	for _, name := range names {
 		p := f.Process(name)
 		select {
 		case <-p.Ended():
-			return errors.Newf("%s ended at once: %s", name, p.lastLine())
+			return errors.Newf("%s exited, but its address answers; last log line: %s", name, p.lastLine())
 		default:
 		}
 	}
@@ -271,15 +272,15 @@
 	return answer.StatusCode == http.StatusOK
 }
 
-// Close ends every process and removes the temporary directory.
+// Close kills every process and removes the temporary directory.
 func (f *Fleet) Close() {
-	for _, name := range slices.Backward(f.order) {
+	for _, name := range slices.Backward(f.startOrder) {
 		f.processes[name].Kill()
 	}
 	if f.block != nil {
 		f.block.release()
 	}
 	if f.temporary {
-		_ = os.RemoveAll(f.Directory) // a rest in the temporary directory harms nobody
+		_ = os.RemoveAll(f.Directory) // files left in the temporary directory are harmless
 	}
 }
