--- a/cmd/bench/documents.go
+++ b/cmd/bench/documents.go
@@ -15,18 +15,18 @@
 	Rounds     int    `default:"20" help:"Documents, one after the other."`
 }
 
-// Run prints how long documents took, with a sound platform and with one that goes
-// down as soon as one process has the document.
+// Run prints the propagation times of documents, with a healthy platform and with one that goes down as soon as one
+// process has the document.
 func (c *documentsCommand) Run() error {
 	fmt.Printf("%-28s %10s %8s %8s %8s\n", "platform", "processes", "p50", "p99", "max")
-	for _, down := range []bool{false, true} {
-		r, err := docs.Measure(context.Background(), docs.Plan{Deployment: c.Deployment, Binaries: c.Binaries, Service: c.Service, Rounds: c.Rounds, Down: down})
+	for _, platformDown := range []bool{false, true} {
+		r, err := docs.Measure(context.Background(), docs.Plan{Deployment: c.Deployment, Binaries: c.Binaries, Service: c.Service, Rounds: c.Rounds, Down: platformDown})
 		if err != nil {
 			return err
 		}
 		name := "sound"
-		if down {
-			name = "down after the first has it"
+		if platformDown {
+			name = "down after the first receipt"
 		}
 		fmt.Printf("%-28s %10d %8s %8s %8s\n", name, r.Processes, r.At(0.5).Round(time.Millisecond),
 			r.At(0.99).Round(time.Millisecond), r.At(1).Round(time.Millisecond))
--- a/cmd/bench/feeds.go
+++ b/cmd/bench/feeds.go
@@ -16,7 +16,7 @@
 	Length     time.Duration `default:"2m" help:"Length of a feed."`
 }
 
-// Run prints both halves and how much later the last feed ended.
+// Run prints the results of both phases and the ratio of the times at which the last feed ended.
 func (c *feedsCommand) Run() error {
 	r, err := feeds.Measure(context.Background(), feeds.Plan{Deployment: c.Deployment, Binaries: c.Binaries, Service: c.Service, Feeds: c.Feeds, Length: c.Length})
 	if err != nil {
@@ -24,12 +24,12 @@
 	}
 	fmt.Printf("%-12s %6s %6s %10s %14s %14s\n", "half", "killed", "whole", "bytes", "first ended", "last ended")
 	for _, h := range []struct {
-		name string
-		half feeds.Half
+		name  string
+		phase feeds.Phase
 	}{{"undisturbed", r.Undisturbed}, {"disturbed", r.Disturbed}} {
-		fmt.Printf("%-12s %6d %6d %10d %14s %14s\n", h.name, h.half.Killed, h.half.Whole, h.half.Bytes,
-			h.half.Times[0].Round(time.Millisecond), h.half.Last().Round(time.Millisecond))
+		fmt.Printf("%-12s %6d %6d %10d %14s %14s\n", h.name, h.phase.Killed, h.phase.Complete, h.phase.Bytes,
+			h.phase.Times[0].Round(time.Millisecond), h.phase.Last().Round(time.Millisecond))
 	}
-	fmt.Printf("last feed disturbed, to undisturbed: %.4f\n", float64(r.Disturbed.Last())/float64(r.Undisturbed.Last()))
+	fmt.Printf("time of the last feed, disturbed to undisturbed: %.4f\n", float64(r.Disturbed.Last())/float64(r.Undisturbed.Last()))
 	return nil
 }
--- a/cmd/bench/flags_test.go
+++ b/cmd/bench/flags_test.go
@@ -9,7 +9,7 @@
 	"mangowinch/internal/stand/described"
 )
 
-// Guards against commands and flags that change their names: scripts call the program with them.
+// Guards against renamed commands and flags, which scripts use.
 func TestNamesOfFlags(t *testing.T) {
 	text, err := described.CommandLine(&command{})
 	assert.NilError(t, err)
--- a/cmd/bench/main.go
+++ b/cmd/bench/main.go
@@ -1,4 +1,11 @@
-// Command bench measures the data path on loopback; see scripts/bench.
+// Command bench measures the data path on loopback: throughput, memory, latency under load, and the effects of failures.
+// It runs the built programs as separate processes. scripts/bench runs it with the usual arguments; the experiments in
+// virtual time are in command exper.
+//
+// # Usage
+//
+//	bench entry --window 1
+//	bench load --service doc-intake --times 0.7,1,5
 package main
 
 import (
@@ -31,7 +38,7 @@
 	Target netip.AddrPort `arg:"" help:"The other side."`
 }
 
-// Run relays until it is killed.
+// Run forwards datagrams until the process is killed.
 func (c *relayCommand) Run() error { return relay.Run(c.Front, c.Back, c.Target) }
 
 type entryCommand struct {
@@ -42,7 +49,7 @@
 	Rounds  int           `default:"3" help:"Measurements of each."`
 }
 
-// Run prints a row for each measurement and the ratio of the sums.
+// Run prints a row for each measurement, and the ratio of the CPU times per datagram over all measurements.
 func (c *entryCommand) Run() error {
 	self, err := os.Executable()
 	if err != nil {
@@ -84,8 +91,8 @@
 	}
 	fmt.Printf("%6s %8s %8s %8s %6s %8s %10s %10s %12s\n", "times", "sent", "in time", "refused", "rest", "goodput", "p50", "p99", "refusal p99")
 	for _, r := range rows {
-		fmt.Printf("%6.1f %8d %8d %8d %6d %7.1f%% %10s %10s %12s\n", r.Times, r.Sent, r.InTime, r.Refused, r.Rest, 100*r.Goodput,
-			r.P50.Round(100*time.Microsecond), r.P99.Round(100*time.Microsecond), r.Refusal99.Round(100*time.Microsecond))
+		fmt.Printf("%6.1f %8d %8d %8d %6d %7.1f%% %10s %10s %12s\n", r.Times, r.Sent, r.InTime, r.Refused, r.Other, 100*r.Goodput,
+			r.P50.Round(100*time.Microsecond), r.P99.Round(100*time.Microsecond), r.RefusalP99.Round(100*time.Microsecond))
 	}
 	return nil
 }
@@ -98,7 +105,7 @@
 	Rate       time.Duration `default:"5s" help:"How long flows are opened for the rate."`
 }
 
-// Run prints the memory at each step, the slopes and the rate.
+// Run prints the rate at which flows open, the memory at each step, and the memory per flow.
 func (c *flowsCommand) Run() error {
 	r, err := flows.Measure(context.Background(), flows.Plan{Deployment: c.Deployment, Binaries: c.Binaries, Service: c.Service, Steps: c.Steps, Rate: c.Rate})
 	if err != nil {
@@ -108,9 +115,9 @@
 	fmt.Printf("flows opened and closed: %.0f a second, %d failed\n", r.Rate, r.Failed)
 	fmt.Printf("%8s %12s %12s %8s\n", "flows", "agent KiB", "entry KiB", "answered")
 	for _, p := range r.Points {
-		fmt.Printf("%8d %12d %12d %8d\n", p.Flows, p.Agent>>10, p.Entry>>10, p.Heard)
+		fmt.Printf("%8d %12d %12d %8d\n", p.Flows, p.Agent>>10, p.Entry>>10, p.Answered)
 	}
-	fmt.Printf("agent: %.1f MB and %.1f KB a flow of its own, R squared %.4f\n", r.Base/1e6, r.PerAgentFlow/1e3, r.Fit)
+	fmt.Printf("agent: %.1f MB and %.1f KB a flow of its own, R squared %.4f\n", r.BaseMemory/1e6, r.PerAgentFlow/1e3, r.RSquared)
 	fmt.Printf("entry: %.3f KB a flow of the deployment\n", r.PerEntryFlow/1e3)
 	return nil
 }
--- a/cmd/capacity/main.go
+++ b/cmd/capacity/main.go
@@ -1,5 +1,10 @@
-// Command capacity measures what control costs at several sizes, fits lines, and prints the
-// tables that docs/CAPACITY.md quotes. It takes some ten minutes and one machine.
+// Command capacity measures the cost of the control plane at several fleet sizes, fits lines to the results, and prints
+// the tables that docs/CAPACITY.md quotes. It runs on one machine and takes 10 to 15 minutes. It does not measure the
+// data path; command bench does.
+//
+// # Usage
+//
+//	capacity --only entries,documents --window 20s
 package main
 
 import (
@@ -13,14 +18,14 @@
 	"mangowinch/internal/ctrl/scale"
 )
 
-// options are the command line.
+// options holds the command line.
 type options struct {
 	Only   []string      `help:"Only these tables: entries, documents, agents, mates, changes, spread, calls, failures, partition."`
 	Window time.Duration `default:"20s" help:"How long each size is looked at."`
 	Base   int           `default:"100" help:"Addresses are 127.BASE.0.0 and 127.BASE+1.0.0 upwards."`
 }
 
-// table is one measurement.
+// table is a measurement that prints one table.
 type table struct {
 	name string
 	run  func(o options) error
@@ -30,7 +35,7 @@
 	{"entries", entries},
 	{"documents", documents},
 	{"agents", agents},
-	{"mates", mates},
+	{"mates", peers},
 	{"changes", changes},
 	{"spread", spread},
 	{"calls", calls},
@@ -53,23 +58,23 @@
 	}
 }
 
-// settle is how long a fleet is left alone between its start and a measurement.
-const settle = 12 * time.Second
+// settleTime is the time between the start of a fleet and a measurement, in which the fleet becomes idle.
+const settleTime = 12 * time.Second
 
-// settled starts a fleet and waits until it is full and quiet. Memory is what it
-// takes, in bytes for each process.
-func settled(s scale.Size) (f *scale.Fleet, memory float64, err error) {
+// startSettled starts a fleet and waits until every process has all documents and the fleet is idle. It returns the
+// memory used per process, in bytes. The caller stops the fleet, also after an error.
+func startSettled(s scale.Size) (f *scale.Fleet, memory float64, err error) {
 	before := scale.MemoryInUse()
 	f = scale.Start(s)
 	if _, err := f.Await(f.Processes(), 2*time.Minute); err != nil {
 		return f, 0, err
 	}
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	return f, (scale.MemoryInUse() - before) / float64(len(f.Processes())), nil
 }
 
-// show prints the points of one measure and the line through them.
-func show(what, unit string, x, y []float64, at float64) {
+// printRow prints the points of one measure, the line fitted through them, and its value at x = at.
+func printRow(what, unit string, x, y []float64, at float64) {
 	l := scale.Fit(x, y)
 	fmt.Printf("| %s (%s) |", what, unit)
 	for i := range x {
@@ -78,13 +83,13 @@
 	fmt.Printf(" %.4g + %.4g x, residual %.2g | %.4g: %.4g |\n", l.Base, l.Slope, l.Residual, at, l.At(at))
 }
 
-// head prints the head of a table for a number of sizes.
-func head(title, x string, sizes int) {
+// printHead prints the header of a table with the given number of sizes.
+func printHead(title, x string, sizes int) {
 	fmt.Printf("\n### %s\n\n| measure | %s: value |", title, x)
 	for range sizes - 1 {
 		fmt.Print(" |")
 	}
-	fmt.Print(" fit | at the letter's size |\n|---|")
+	fmt.Print(" fit | at the target size |\n|---|")
 	for range sizes + 2 {
 		fmt.Print("---|")
 	}
--- a/cmd/exper/compare.go
+++ b/cmd/exper/compare.go
@@ -20,7 +20,7 @@
 	Policy  string `help:"Only the policy of this name."`
 }
 
-// Run implements kong's command.
+// Run prints the tables of the selected services and cases.
 func (c compareCommand) Run(a *arguments) error {
 	out := bufio.NewWriter(os.Stdout)
 	for _, s := range cases.Services {
@@ -36,7 +36,7 @@
 	return out.Flush()
 }
 
-// compare runs a case with all policies and prints the tables.
+// compare runs a case with the selected policies and prints the tables.
 func (c compareCommand) compare(out io.Writer, a *arguments, s cases.Service, v cases.Case) {
 	var rows []table.Row
 	for _, n := range policy.Names {
@@ -44,7 +44,7 @@
 			rows = append(rows, table.Row{Name: string(n)})
 		}
 	}
-	each(a.Workers, len(rows), func(i int) {
+	forEach(a.Workers, len(rows), func(i int) {
 		rows[i].Report = cases.Run(v, s, policy.Name(rows[i].Name), a.Tuning.policy(), a.Seed)
 	})
 	fmt.Fprintf(out, "### %s, %s\n\n%s.\n\n", v.Name, s.Name, v.Story)
@@ -59,15 +59,15 @@
 	}
 }
 
-// each calls a function with 0 to n-1, some at a time.
-func each(workers, n int, run func(int)) {
+// forEach calls run with each of 0 to n-1, with at most workers calls at a time.
+func forEach(workers, n int, run func(int)) {
 	var group sync.WaitGroup
-	turns := make(chan struct{}, max(1, workers))
+	semaphore := make(chan struct{}, max(1, workers))
 	for i := range n {
-		turns <- struct{}{}
+		semaphore <- struct{}{}
 		group.Go(func() {
 			run(i)
-			<-turns
+			<-semaphore
 		})
 	}
 	group.Wait()
@@ -77,10 +77,10 @@
 	Case string `help:"Only cases whose name begins so."`
 }
 
-// flowSeeds is how many runs make up a row: one alone is noisy.
+// flowSeeds is the number of runs averaged in a row. Single runs vary too much.
 const flowSeeds = 10
 
-// Run implements kong's command.
+// Run prints a table for each selected case.
 func (w weightsCommand) Run(a *arguments) error {
 	out := bufio.NewWriter(os.Stdout)
 	for _, c := range flows.All() {
@@ -89,7 +89,7 @@
 		}
 		rules := flows.Rules()
 		names, reports := make([]string, len(rules)), make([]flows.Report, len(rules))
-		each(a.Workers, len(rules), func(i int) {
+		forEach(a.Workers, len(rules), func(i int) {
 			var seeds []flows.Report
 			for s := range uint64(flowSeeds) {
 				seeds = append(seeds, flows.Run(c, rules[i].Rules, a.Seed+s))
--- a/cmd/exper/main.go
+++ b/cmd/exper/main.go
@@ -1,4 +1,10 @@
-// Command exper runs the experiments with the decisions under load in virtual time.
+// Command exper runs experiments with the load decisions (admission, placement, retries) in virtual time, and compares
+// them with baseline policies. It starts no processes; command bench measures real ones.
+//
+// # Usage
+//
+//	exper compare --service tracing-core --seed 1
+//	exper sweep --threshold place
 package main
 
 import (
@@ -23,7 +29,7 @@
 	Tuning  tuning `embed:""`
 }
 
-// tuning are thresholds to try in place of those in use.
+// tuning holds flags that override the thresholds in use.
 type tuning struct {
 	Wait    float64       `help:"admit: share of the time left that may be spent waiting." default:"${wait}"`
 	Spread  float64       `help:"admit: spread of Retry-After." default:"${spread}"`
@@ -45,7 +51,7 @@
 	return p
 }
 
-// defaults shows the thresholds in use as the flags' defaults.
+// defaults returns the thresholds in use, as defaults of the flags.
 func defaults(t policy.Tuning) kong.Vars {
 	return kong.Vars{
 		"wait": fmt.Sprint(t.Admit.WaitShare), "long": fmt.Sprint(t.Admit.LongShare), "spread": fmt.Sprint(t.Admit.Spread),
--- a/cmd/exper/sweep.go
+++ b/cmd/exper/sweep.go
@@ -17,7 +17,7 @@
 	Seeds     int    `help:"Runs that make up a row." default:"2"`
 }
 
-// threshold is one value to vary, and the loads that it is for.
+// threshold is a parameter to vary, with the cases that it affects.
 type threshold struct {
 	name   string
 	values []float64
@@ -25,7 +25,7 @@
 	cases  []cases.Case
 }
 
-// thresholds lists what is swept. The value in use is among each one's values.
+// thresholds lists the parameters to sweep. The values of each include the value in use.
 func thresholds() []threshold {
 	return []threshold{
 		{"admit wait", []float64{0.1, 0.2, 0.3, 0.4, 0.6, 1}, func(t *policy.Tuning, v float64) { t.Admit.WaitShare = v }, []cases.Case{cases.Tight(), cases.Lying()}},
@@ -43,7 +43,7 @@
 	}
 }
 
-// Run implements kong's command.
+// Run prints a table for each selected threshold and case.
 func (c sweepCommand) Run(a *arguments) error {
 	out := bufio.NewWriter(os.Stdout)
 	for _, t := range thresholds() {
@@ -62,7 +62,7 @@
 	fmt.Fprintln(out, "| value | goodput | in time | p50 | p99 | refused | refusal p99 | late | failed | given up | servers 1 s | servers 10 s | handed |")
 	fmt.Fprintln(out, "|---|---|---|---|---|---|---|---|---|---|---|---|---|")
 	reports := make([]meter.Report, len(t.values)*c.Seeds)
-	each(a.Workers, len(reports), func(i int) {
+	forEach(a.Workers, len(reports), func(i int) {
 		tuning := a.Tuning.policy()
 		t.set(&tuning, t.values[i/c.Seeds])
 		reports[i] = cases.Run(v, cases.TracingCore, policy.Own, tuning, a.Seed+uint64(i%c.Seeds))
@@ -70,14 +70,14 @@
 	for i, value := range t.values {
 		m := mean(reports[i*c.Seeds : (i+1)*c.Seeds])
 		fmt.Fprintf(out, "| %.3g | %.1f%% | %.2f%% | %.1f ms | %.1f ms | %.2f%% | %.1f ms | %.2f%% | %.2f%% | %.0f | %.3f | %.3f | %.1f%% |\n",
-			value, 100*m.goodput, 100*m.inTime, m.p50, m.p99, 100*m.refused, m.refusal, 100*m.late, 100*m.failed, m.givenUp, m.balance1, m.balance10, 100*m.handed)
+			value, 100*m.goodput, 100*m.inTime, m.p50, m.p99, 100*m.refused, m.refusal, 100*m.late, 100*m.failed, m.givenUp, m.imbalance1, m.imbalance10, 100*m.handed)
 	}
 	fmt.Fprintln(out)
 }
 
-// means are the means of several reports; times in milliseconds.
+// means holds the means over several reports, with times in milliseconds.
 type means struct {
-	goodput, inTime, p50, p99, refused, refusal, late, failed, givenUp, balance1, balance10, handed float64
+	goodput, inTime, p50, p99, refused, refusal, late, failed, givenUp, imbalance1, imbalance10, handed float64
 }
 
 func mean(reports []meter.Report) (m means) {
@@ -94,8 +94,8 @@
 		m.late += float64(r.Late) / all
 		m.failed += float64(r.Failed) / all
 		m.givenUp += float64(r.GivenUp) / n
-		m.balance1 += r.Imbalance1 / n
-		m.balance10 += r.Imbalance / n
+		m.imbalance1 += r.Imbalance1 / n
+		m.imbalance10 += r.Imbalance / n
 		m.handed += r.Handed / n
 	}
 	return m
--- a/cmd/mangowinch/main.go
+++ b/cmd/mangowinch/main.go
@@ -1,4 +1,10 @@
-// Command mangowinch is the load balancer's one program; see package verbs.
+// Command mangowinch is the load balancer's only program: it runs entries and agents, and has the operator's commands.
+// Package verbs implements them.
+//
+// # Usage
+//
+//	mangowinch entry --settings FILE
+//	mangowinch agent --settings FILE
 package main
 
 import (
--- a/cmd/standin/demo.go
+++ b/cmd/standin/demo.go
@@ -16,9 +16,9 @@
 	Directory  string `type:"path" help:"Keep the copy, keys and logs here."`
 }
 
-// Run shows the whole path once.
+// Run runs the demo and fails if an answer was incomplete.
 func (c *demoCommand) Run(ctx context.Context) error {
-	whole, err := demo.Run(ctx, os.Stdout, fleet.Settings{
+	complete, err := demo.Run(ctx, os.Stdout, fleet.Settings{
 		Deployment: c.Deployment,
 		Binaries:   c.Binaries,
 		Directory:  c.Directory,
@@ -26,8 +26,8 @@
 	if err != nil {
 		return err
 	}
-	if !whole {
-		return errors.New("not every answer came whole")
+	if !complete {
+		return errors.New("incomplete answers")
 	}
 	return nil
 }
--- a/cmd/standin/faults.go
+++ b/cmd/standin/faults.go
@@ -20,7 +20,7 @@
 	Only       []string `help:"Only scenarios whose name contains one of these."`
 }
 
-// Run runs the scenarios and fails if any promise was broken.
+// Run runs the scenarios and fails if a guarantee was violated.
 func (c *faultsCommand) Run(ctx context.Context) error {
 	begun := time.Now()
 	results, err := faults.Run(ctx, faults.Settings{
@@ -44,7 +44,7 @@
 		return err
 	}
 	if violations > 0 {
-		return errors.Newf("%d violations", violations)
+		return errors.Newf("%d violations of guarantees", violations)
 	}
 	return nil
 }
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,4 +1,10 @@
-// Command standin stands in for the platform, the fabric and backend servers in tests and demos.
+// Command standin simulates the platform, the fabric and backend servers in tests and demos, and runs the demo and the
+// fault scenarios. It is not for production.
+//
+// # Usage
+//
+//	standin demo --binaries out
+//	standin faults --binaries out --seeds 3
 package main
 
 import (
--- a/cmd/standin/serve.go
+++ b/cmd/standin/serve.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	headerTimeout = 10 * time.Second // a client that never sends its headers holds no connection for longer
-	drainTimeout  = 10 * time.Minute // a server told to stop lets its feeds and uploads end
+	headerTimeout = 10 * time.Second // closes connections of clients that do not send their headers
+	drainTimeout  = 10 * time.Minute // time for feeds and uploads to end in a graceful shutdown
 )
 
 type platformCommand struct {
@@ -48,7 +48,7 @@
 	Callers int              `default:"20000" help:"Callers known at a time."`
 }
 
-// Run carries datagrams until the context ends.
+// Run forwards datagrams until the context ends.
 func (c *fabricCommand) Run(ctx context.Context, log zerolog.Logger) error {
 	f, err := fabric.Listen(fabric.Settings{
 		Services: c.Service,
@@ -103,7 +103,7 @@
 	return serve(ctx, c.Address, s.Handler(), c.Connections, drainTimeout)
 }
 
-// serve answers HTTP/1.1 until the context ends, then waits for what runs, up to grace.
+// serve serves HTTP/1.1 until the context ends, then waits up to grace for active requests.
 func serve(ctx context.Context, address netip.AddrPort, handler http.Handler, connections int, grace time.Duration) (err error) {
 	defer func() { err = errors.Wrapf(err, "serve %s", address) }()
 	listener, err := net.Listen("tcp", address.String())
@@ -113,18 +113,18 @@
 	if connections > 0 {
 		listener = netutil.LimitListener(listener, connections)
 	}
-	web := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout}
+	httpServer := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout}
 	stopped := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
 		defer close(stopped)
-		rest, cancel := context.WithTimeout(context.WithoutCancel(ctx), grace)
+		shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), grace)
 		defer cancel()
-		if web.Shutdown(rest) != nil {
-			_ = web.Close() // the grace is over; nothing is left to do about an error
+		if httpServer.Shutdown(shutdownCtx) != nil {
+			_ = httpServer.Close() // the grace period is over; an error has no consequence
 		}
 	})
 	defer stop()
-	if err := web.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+	if err := httpServer.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	<-stopped
--- a/cmd/verdict/main.go
+++ b/cmd/verdict/main.go
@@ -1,5 +1,9 @@
-// Command verdict reads the output of go test -json and says whether the run passes;
-// see package known. It shows the output of what failed.
+// Command verdict reads the output of go test -json, prints the output of failed tests, and reports in its exit code
+// whether the run passes: known failures are tolerated, as package known defines. It does not run tests itself.
+//
+// # Usage
+//
+//	verdict -known KNOWN-RED.txt -events FILE -status CODE
 package main
 
 import (
@@ -33,7 +37,7 @@
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return false, err
 	}
-	reds, err := known.Parse(string(text))
+	knownFailures, err := known.Parse(string(text))
 	if err != nil {
 		return false, err
 	}
@@ -42,7 +46,7 @@
 		return false, err
 	}
 	defer f.Close()
-	v, err := known.Judge(f, status, reds)
+	verdict, err := known.Judge(f, status, knownFailures)
 	if err != nil {
 		return false, err
 	}
@@ -52,6 +56,6 @@
 	if err := known.Show(f, os.Stdout); err != nil {
 		return false, err
 	}
-	v.Print(os.Stdout)
-	return v.Pass(), nil
+	verdict.Print(os.Stdout)
+	return verdict.Pass(), nil
 }
--- a/internal/bench/docs/docs.go
+++ b/internal/bench/docs/docs.go
@@ -1,9 +1,9 @@
-// Package docs measures how long an accepted document takes to be in force in
-// every process of a deployment.
+// Package docs measures how long a new revision of a service document takes to be in force in every process of a
+// deployment. It is a benchmark of propagation, not a test: it does not check what the processes do with the document.
 //
-// The clock starts when the document's file is in its place; the stand-in for the
-// platform reads its directory every 50 ms, so up to 50 ms of each figure are its
-// own. A process is asked what it has in force every few milliseconds.
+// The clock starts when the document's file has been written. The simulated platform reads its directory every 50 ms,
+// so up to 50 ms of each figure are due to the simulation. Each process is polled for its revision every few
+// milliseconds.
 //
 // # Usage
 //
@@ -26,26 +26,26 @@
 )
 
 const (
-	askEvery  = 5 * time.Millisecond
-	roundTime = 30 * time.Second // a round that takes longer has failed
+	pollInterval = 5 * time.Millisecond
+	roundTimeout = 30 * time.Second // a round that takes longer fails
 )
 
-// Plan says what to measure.
+// Plan configures a measurement.
 type Plan struct {
 	Deployment string
 	Binaries   string
 	Service    string
 	Rounds     int
-	Down       bool // the platform goes down as soon as one process has the document
+	Down       bool // take the platform down as soon as one process has the document
 }
 
-// Report holds, for each round and process, the time until the document was in force.
+// Report holds the time until the document was in force, for each round and process.
 type Report struct {
 	Processes int
 	Times     []time.Duration // ascending
 }
 
-// At returns the time within which a share of the processes had a document, 0 to 1.
+// At returns the time within which the given share, from 0 to 1, of the processes had the document.
 func (r Report) At(share float64) time.Duration {
 	return r.Times[min(len(r.Times)-1, int(share*float64(len(r.Times))))]
 }
@@ -61,7 +61,7 @@
 	nodes := append(f.Entries(), f.Agents(p.Service)...)
 	r.Processes = len(nodes)
 	for i := range p.Rounds {
-		times, err := round(ctx, f, p, nodes, order.Revision(i)+2)
+		times, err := runRound(ctx, f, p, nodes, order.Revision(i)+2)
 		if err != nil {
 			return Report{}, errors.Wrapf(err, "round %d", i+1)
 		}
@@ -71,9 +71,9 @@
 	return r, nil
 }
 
-// round makes one new revision and waits until every node has it.
-func round(ctx context.Context, f *fleet.Fleet, p Plan, nodes []*prefs.Settings, revision order.Revision) (times []time.Duration, err error) {
-	ctx, cancel := context.WithTimeout(ctx, roundTime)
+// runRound writes a new revision of the document and returns the time that each node took to have it in force.
+func runRound(ctx context.Context, f *fleet.Fleet, p Plan, nodes []*prefs.Settings, revision order.Revision) (times []time.Duration, err error) {
+	ctx, cancel := context.WithTimeout(ctx, roundTimeout)
 	defer cancel()
 	begun := time.Now()
 	if err := touch(filepath.Join(f.DocumentsDirectory(), p.Service+".ini")); err != nil {
@@ -119,7 +119,7 @@
 	return os.Rename(next, path)
 }
 
-// await asks a process until it has the revision in force.
+// await polls a process until it has the revision in force.
 func await(ctx context.Context, f *fleet.Fleet, n *prefs.Settings, service string, revision order.Revision) (err error) {
 	defer func() { err = errors.Wrapf(err, "await revision %s at %s", revision, n.Process.Name) }()
 	for {
@@ -133,7 +133,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(askEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 }
--- a/internal/bench/entry/entry.go
+++ b/internal/bench/entry/entry.go
@@ -1,10 +1,9 @@
-// Package entry measures what an entry spends on a datagram, against a bare UDP
-// relay in the same run on the same machine.
+// Package entry measures the CPU time that an entry spends per datagram, compared with a plain UDP relay in the same run
+// on the same machine. It does not cover flows, requests or faults.
 //
-// A caller sends datagrams that name a server; a stand-in for its agent sends each
-// back. Both subjects are processes of their own, so that their processor time is
-// theirs alone. The caller keeps a window of datagrams under way: a larger window
-// shows what the subject spends when it is busy, a window of one when it is not.
+// A caller sends datagrams that name a server, and a simulated agent returns each of them. Entry and relay run as
+// separate processes, so that their CPU time can be attributed to them. The caller keeps a window of datagrams in
+// flight: a large window shows the cost under load, a window of one the cost of a subject that is mostly idle.
 //
 // # Usage
 //
@@ -31,47 +30,47 @@
 	"mangowinch/internal/stand/plat"
 )
 
-// Addresses of a run, on loopback.
+// Loopback addresses of a run.
 var (
-	front  = netip.MustParseAddrPort("127.0.61.1:8443")
-	back   = netip.MustParseAddrPort("127.0.61.1:7000")
-	agent  = netip.MustParseAddrPort("127.0.62.1:7001")
-	caller = netip.MustParseAddrPort("127.0.63.1:0")
-	oper   = "127.0.61.1:9000"
+	front    = netip.MustParseAddrPort("127.0.61.1:8443")
+	back     = netip.MustParseAddrPort("127.0.61.1:7000")
+	agent    = netip.MustParseAddrPort("127.0.62.1:7001")
+	caller   = netip.MustParseAddrPort("127.0.63.1:0")
+	operator = "127.0.61.1:9000"
 )
 
 const (
-	service  = "bench"
-	startup  = 10 * time.Second
-	lostTime = 200 * time.Millisecond // a datagram not back by then is lost
+	service        = "bench"
+	startupTimeout = 10 * time.Second
+	lossTimeout    = 200 * time.Millisecond // a datagram that has not returned by then counts as lost
 )
 
-// Plan says what to run.
+// Plan configures a measurement.
 type Plan struct {
-	Program string        // path of mangowinch
-	Self    string        // path of the program with the verb relay
-	Size    int           // of a datagram, bytes
-	Window  int           // datagrams under way
+	Program string        // path of the mangowinch program
+	Self    string        // path of the bench program, which has the command relay
+	Size    int           // of a datagram, in bytes
+	Window  int           // datagrams in flight
 	Time    time.Duration // of each measurement
-	Rounds  int           // measurements of each subject, in turn
+	Rounds  int           // measurements per subject; the subjects alternate
 }
 
-// Row is one measurement.
+// Row is the result of one measurement.
 type Row struct {
 	Subject   string
-	Datagrams int           // carried, both ways together
-	Lost      int           // sent by the caller and not back in time
-	Wall      time.Duration // of the measurement
-	CPU       time.Duration // of the subject, user and system
+	Datagrams int           // forwarded, in both directions together
+	Lost      int           // sent by the caller and not returned in time
+	Wall      time.Duration // duration of the measurement
+	CPU       time.Duration // user and system time of the subject
 }
 
-// PerDatagram is the subject's processor time for one datagram.
+// PerDatagram returns the subject's CPU time per datagram.
 func (r Row) PerDatagram() time.Duration { return r.CPU / time.Duration(max(r.Datagrams, 1)) }
 
-// Rate is datagrams a second, both ways together.
+// Rate returns the datagrams per second, in both directions together.
 func (r Row) Rate() float64 { return float64(r.Datagrams) / r.Wall.Seconds() }
 
-// Measure runs relay and entry in turn.
+// Measure measures the relay and the entry alternately.
 func Measure(p Plan) (rows []Row, err error) {
 	defer func() { err = errors.Wrap(err, "measure entry") }()
 	directory, err := os.MkdirTemp("", "bench")
@@ -141,55 +140,55 @@
 
 func writeSettings(directory, platform string) (path string, err error) {
 	path = filepath.Join(directory, "entry.settings")
-	text := fmt.Sprintf("[process]\nname = e1\ndomain = a\noperator = %s\n[platform]\naddress = %s\n[key k1]\nfile = k1.key\n[entry]\nbind = %s\nlink = %s\n", oper, platform, front.Addr(), back)
+	text := fmt.Sprintf("[process]\nname = e1\ndomain = a\noperator = %s\n[platform]\naddress = %s\n[key k1]\nfile = k1.key\n[entry]\nbind = %s\nlink = %s\n", operator, platform, front.Addr(), back)
 	return path, os.WriteFile(path, []byte(text), 0o600)
 }
 
-// run measures one subject. The turn function makes the agent's answer to what
-// the subject sent it.
-func (p Plan) run(subject string, c *exec.Cmd, turn func([]byte) ([]byte, netip.AddrPort)) (r Row, err error) {
+// run measures one subject. The reply function returns the agent's response to a datagram from the subject, and the
+// address to send it to.
+func (p Plan) run(subject string, c *exec.Cmd, reply func([]byte) ([]byte, netip.AddrPort)) (r Row, err error) {
 	defer func() { err = errors.Wrap(err, subject) }()
 	var output strings.Builder
 	c.Stderr = &output
-	sink, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(agent))
+	agentConn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(agent))
 	if err != nil {
 		return Row{}, err
 	}
-	defer sink.Close()
-	go answer(sink, turn)
+	defer agentConn.Close()
+	go serveAgent(agentConn, reply)
 	if err := c.Start(); err != nil {
 		return Row{}, err
 	}
-	l, err := newLoad(p)
+	s, err := newSender(p)
 	if err != nil {
 		return Row{}, err
 	}
-	defer l.conn.Close()
-	ready := l.await(startup)
+	defer s.conn.Close()
+	ready := s.await(startupTimeout)
 	r = Row{Subject: subject}
 	if ready {
-		r.Wall, r.Datagrams, r.Lost = l.drive(p.Time)
+		r.Wall, r.Datagrams, r.Lost = s.run(p.Time)
 	}
 	if err := c.Process.Signal(syscall.SIGKILL); err != nil {
 		return Row{}, err
 	}
-	_ = c.Wait() // killed on purpose
+	_ = c.Wait() // reports the kill as an error
 	if !ready {
-		return Row{}, errors.Newf("nothing came back in %s: %s", startup, output.String())
+		return Row{}, errors.Newf("no datagram returned within %s: %s", startupTimeout, output.String())
 	}
 	r.CPU = c.ProcessState.UserTime() + c.ProcessState.SystemTime()
 	return r, nil
 }
 
-func answer(sink *net.UDPConn, turn func([]byte) ([]byte, netip.AddrPort)) {
+func serveAgent(conn *net.UDPConn, reply func([]byte) ([]byte, netip.AddrPort)) {
 	buffer := make([]byte, 2048)
 	for {
-		n, _, err := sink.ReadFromUDPAddrPort(buffer)
+		n, _, err := conn.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			return
 		}
-		if b, to := turn(buffer[:n]); b != nil {
-			_, _ = sink.WriteToUDPAddrPort(b, to) // lost ones are counted by the caller
+		if b, to := reply(buffer[:n]); b != nil {
+			_, _ = conn.WriteToUDPAddrPort(b, to) // the caller counts lost datagrams
 		}
 	}
 }
--- a/internal/bench/entry/load.go
+++ b/internal/bench/entry/load.go
@@ -10,14 +10,14 @@
 	"mangowinch/internal/flow/ident"
 )
 
-// load is the caller.
-type load struct {
+// sender is the simulated caller.
+type sender struct {
 	conn     *net.UDPConn
 	datagram []byte
 	window   int
 }
 
-func newLoad(p Plan) (*load, error) {
+func newSender(p Plan) (*sender, error) {
 	conn, err := net.DialUDP("udp", net.UDPAddrFromAddrPort(caller), net.UDPAddrFromAddrPort(front))
 	if err != nil {
 		return nil, err
@@ -28,47 +28,47 @@
 	}
 	id := ring.Seal(ident.Owner{Server: 1}, 1)
 	datagram := make([]byte, p.Size)
-	datagram[0] = 0x40 // a short header
+	datagram[0] = 0x40 // first byte of a QUIC short header
 	copy(datagram[1:], id[:])
-	return &load{conn: conn, datagram: datagram, window: p.Window}, nil
+	return &sender{conn: conn, datagram: datagram, window: p.Window}, nil
 }
 
-// await sends until something comes back.
-func (l *load) await(limit time.Duration) bool {
+// await sends datagrams until one returns, and reports whether one did within limit.
+func (s *sender) await(limit time.Duration) bool {
 	for end := time.Now().Add(limit); time.Now().Before(end); {
-		_, _ = l.conn.Write(l.datagram) // refused until the subject listens
-		if l.read(lostTime) {
+		_, _ = s.conn.Write(s.datagram) // fails until the subject listens
+		if s.read(lossTimeout) {
 			return true
 		}
-		time.Sleep(lostTime / 10)
+		time.Sleep(lossTimeout / 10)
 	}
 	return false
 }
 
-func (l *load) read(wait time.Duration) bool {
+func (s *sender) read(wait time.Duration) bool {
 	var b [2048]byte
-	if err := l.conn.SetReadDeadline(time.Now().Add(wait)); err != nil {
+	if err := s.conn.SetReadDeadline(time.Now().Add(wait)); err != nil {
 		return false
 	}
-	n, err := l.conn.Read(b[:])
-	return err == nil && n == len(l.datagram)
+	n, err := s.conn.Read(b[:])
+	return err == nil && n == len(s.datagram)
 }
 
-// drive keeps the window full for a time, and counts what was carried both ways.
-func (l *load) drive(length time.Duration) (wall time.Duration, datagrams, lost int) {
+// run keeps the window full for the given time, and counts the datagrams forwarded in both directions.
+func (s *sender) run(length time.Duration) (wall time.Duration, datagrams, lost int) {
 	began := time.Now()
-	under := 0
+	inFlight := 0
 	for time.Since(began) < length {
-		for ; under < l.window; under++ {
-			_, _ = l.conn.Write(l.datagram)
+		for ; inFlight < s.window; inFlight++ {
+			_, _ = s.conn.Write(s.datagram)
 		}
-		if l.read(lostTime) {
-			under--
+		if s.read(lossTimeout) {
+			inFlight--
 			datagrams += 2
 			continue
 		}
-		lost += under
-		under = 0
+		lost += inFlight
+		inFlight = 0
 	}
 	return time.Since(began), datagrams, lost
 }
--- a/internal/bench/feeds/feeds.go
+++ b/internal/bench/feeds/feeds.go
@@ -1,9 +1,8 @@
-// Package feeds measures what kill -9 of each entry in turn does to open feeds:
-// whether every byte comes, and how much later than undisturbed the feeds end.
+// Package feeds measures the effect of kill -9 of each entry in turn on open feeds: whether every byte arrives, and how
+// much longer the feeds take than without kills. It is a benchmark: feeds that are incomplete are counted, not an error.
 //
-// Both halves run on one deployment, one after the other. The fabric goes on
-// sending to a dead entry until it is started again, so a third of a caller's
-// datagrams is lost meanwhile.
+// Both phases run on the same deployment, one after the other. The fabric continues to send to a killed entry until it
+// has restarted, so a third of a caller's datagrams is lost in that time.
 //
 // # Usage
 //
@@ -28,11 +27,11 @@
 )
 
 const (
-	lineEvery = 20 * time.Millisecond
-	deadFor   = 2 * time.Second // until a killed entry is started again
+	lineInterval = 20 * time.Millisecond
+	downtime     = 2 * time.Second // time until a killed entry is restarted
 )
 
-// Plan says what to measure.
+// Plan configures a measurement.
 type Plan struct {
 	Deployment string
 	Binaries   string
@@ -41,24 +40,24 @@
 	Length     time.Duration
 }
 
-// Half is one half of a run.
-type Half struct {
-	Whole  int             // feeds of which every byte came
-	Bytes  int             // received by all feeds
-	Times  []time.Duration // from asking to the end, ascending
-	Killed int             // entries killed
+// Phase is the result of one phase of a run, with or without kills.
+type Phase struct {
+	Complete int             // feeds of which every byte arrived
+	Bytes    int             // received by all feeds
+	Times    []time.Duration // from request to end of each feed, ascending
+	Killed   int             // entries killed
 }
 
-// Last returns when the last feed ended.
-func (h Half) Last() time.Duration { return h.Times[len(h.Times)-1] }
+// Last returns the time at which the last feed ended.
+func (p Phase) Last() time.Duration { return p.Times[len(p.Times)-1] }
 
-// Report is what was measured.
+// Report is the result of a measurement.
 type Report struct {
-	Undisturbed Half
-	Disturbed   Half
+	Undisturbed Phase
+	Disturbed   Phase
 }
 
-// Measure starts the deployment and runs both halves.
+// Measure starts the deployment and runs both phases.
 func Measure(ctx context.Context, p Plan) (r Report, err error) {
 	defer func() { err = errors.Wrap(err, "measure feeds") }()
 	f, err := fleet.Start(ctx, fleet.Settings{Deployment: p.Deployment, Binaries: p.Binaries})
@@ -66,17 +65,17 @@
 		return Report{}, err
 	}
 	defer f.Close()
-	if r.Undisturbed, err = half(ctx, f, p, nil); err != nil {
+	if r.Undisturbed, err = runPhase(ctx, f, p, nil); err != nil {
 		return Report{}, err
 	}
-	r.Disturbed, err = half(ctx, f, p, killInTurn)
+	r.Disturbed, err = runPhase(ctx, f, p, killEntries)
 	return r, err
 }
 
-// half opens the feeds, disturbs them and waits for their ends.
-func half(ctx context.Context, f *fleet.Fleet, p Plan, disturb func(context.Context, *fleet.Fleet, time.Duration) (int, error)) (h Half, err error) {
+// runPhase opens the feeds, calls disturb unless it is nil, and waits until all feeds have ended.
+func runPhase(ctx context.Context, f *fleet.Fleet, p Plan, disturb func(context.Context, *fleet.Fleet, time.Duration) (int, error)) (ph Phase, err error) {
 	group, ctx := errgroup.WithContext(ctx)
-	answers := make(chan ended, p.Feeds)
+	answers := make(chan outcome, p.Feeds)
 	for i := range p.Feeds {
 		group.Go(func() error {
 			e, err := feed(ctx, f, f.Service(p.Service), i, p.Length)
@@ -86,33 +85,33 @@
 	}
 	if disturb != nil {
 		group.Go(func() (err error) {
-			h.Killed, err = disturb(ctx, f, p.Length)
+			ph.Killed, err = disturb(ctx, f, p.Length)
 			return err
 		})
 	}
 	if err := group.Wait(); err != nil {
-		return Half{}, err
+		return Phase{}, err
 	}
 	close(answers)
 	for e := range answers {
-		h.Bytes += e.bytes
-		h.Times = append(h.Times, e.took)
-		if e.whole {
-			h.Whole++
+		ph.Bytes += e.bytes
+		ph.Times = append(ph.Times, e.took)
+		if e.complete {
+			ph.Complete++
 		}
 	}
-	slices.Sort(h.Times)
-	return h, nil
+	slices.Sort(ph.Times)
+	return ph, nil
 }
 
-type ended struct {
-	whole bool
-	bytes int
-	took  time.Duration
+type outcome struct {
+	complete bool
+	bytes    int
+	took     time.Duration
 }
 
-// feed opens one feed on a connection of its own and reads it to its end.
-func feed(ctx context.Context, f *fleet.Fleet, s *docs.Service, number int, length time.Duration) (ended, error) {
+// feed opens a feed on its own connection and reads it to the end.
+func feed(ctx context.Context, f *fleet.Fleet, s *docs.Service, number int, length time.Duration) (outcome, error) {
 	address := s.Callers[0].Networks[0].Addr().As4()
 	address[3] = byte(1 + number%250)
 	caller, err := client.Dial(ctx, client.Settings{
@@ -122,39 +121,39 @@
 		Roots:   f.Roots,
 	})
 	if err != nil {
-		return ended{}, err
+		return outcome{}, err
 	}
 	defer caller.Close()
-	lines := int(length / lineEvery)
-	path := fmt.Sprintf("/feed/bench-%d?n=%d&every=%s", number, lines, lineEvery)
+	lines := int(length / lineInterval)
+	path := fmt.Sprintf("/feed/bench-%d?n=%d&every=%s", number, lines, lineInterval)
 	var want strings.Builder
 	for i := 1; i <= lines; i++ {
 		fmt.Fprintf(&want, "%d %s\n", i, path)
 	}
 	begun := time.Now()
 	answer := caller.Do(ctx, client.Request{Method: "GET", Path: path})
-	return ended{
-		whole: answer.Outcome == result.Ran && answer.Body == want.String(),
-		bytes: len(answer.Body),
-		took:  time.Since(begun),
+	return outcome{
+		complete: answer.Outcome == result.Ran && answer.Body == want.String(),
+		bytes:    len(answer.Body),
+		took:     time.Since(begun),
 	}, nil
 }
 
-// killInTurn kills each entry once, spread over the length.
-func killInTurn(ctx context.Context, f *fleet.Fleet, length time.Duration) (killed int, err error) {
+// killEntries kills and restarts each entry once, spread evenly over length.
+func killEntries(ctx context.Context, f *fleet.Fleet, length time.Duration) (killed int, err error) {
 	entries := f.Entries()
-	pause := length/time.Duration(len(entries)+1) - deadFor
+	pause := length/time.Duration(len(entries)+1) - downtime
 	if pause <= 0 {
 		return 0, errors.Newf("%s is too short to kill %d entries", length, len(entries))
 	}
 	for _, e := range entries {
-		if !wait(ctx, pause) {
+		if !sleep(ctx, pause) {
 			return killed, ctx.Err()
 		}
 		p := f.Process(e.Process.Name)
 		p.Kill()
 		killed++
-		if !wait(ctx, deadFor) {
+		if !sleep(ctx, downtime) {
 			return killed, ctx.Err()
 		}
 		if err := p.Start(); err != nil {
@@ -167,7 +166,7 @@
 	return killed, nil
 }
 
-func wait(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
--- a/internal/bench/flows/flows.go
+++ b/internal/bench/flows/flows.go
@@ -1,9 +1,8 @@
-// Package flows measures a deployment of real processes on loopback: how many
-// flows a second open, and what an open flow takes of an agent's and an entry's
-// memory.
+// Package flows measures a deployment of real processes on loopback: the rate at which flows open, and the memory that an
+// open flow takes in an agent and in an entry. It does not measure requests; package load does.
 //
-// Callers run in the measuring process; its own cost is not in the figures but
-// shares the machine with them.
+// Callers run in the measuring process. Its memory is not in the figures, but it competes for CPU time with the
+// deployment.
 //
 // # Usage
 //
@@ -31,39 +30,39 @@
 )
 
 const (
-	parallel  = 64 // flows being opened at a time
-	settle    = 2 * time.Second
-	keepAlive = 5 * time.Second
-	idleLimit = 5 * time.Minute
+	maxParallel = 64 // flows that are opened concurrently
+	settleTime  = 2 * time.Second
+	keepAlive   = 5 * time.Second
+	idleLimit   = 5 * time.Minute
 )
 
-// Plan says what to measure.
+// Plan configures a measurement.
 type Plan struct {
 	Deployment string
 	Binaries   string
 	Service    string
-	Steps      []int         // open flows, over all agents of the service, ascending
-	Rate       time.Duration // how long flows are opened and closed for the rate
+	Steps      []int         // numbers of open flows over all agents of the service, ascending
+	Rate       time.Duration // duration of the rate measurement
 }
 
-// Point is the memory at one number of open flows.
+// Point is the memory in use with a given number of open flows.
 type Point struct {
-	Flows int
-	Agent int64 // resident bytes, mean of the agents
-	Entry int64 // resident bytes, mean of the entries
-	Heard int   // flows that answered a request after settling
+	Flows    int
+	Agent    int64 // resident bytes, mean of the agents
+	Entry    int64 // resident bytes, mean of the entries
+	Answered int   // flows on which a request was answered
 }
 
-// Report is what was measured.
+// Report is the result of a measurement.
 type Report struct {
 	Agents, Entries int
 	Points          []Point
-	PerAgentFlow    float64 // bytes of an agent for each of its flows: slope of the fit
-	Base            float64 // bytes of an agent without flows: intercept
-	Fit             float64 // R squared
-	PerEntryFlow    float64 // bytes of an entry for each flow of the deployment: slope
-	Rate            float64 // flows opened, used once and closed in a second
-	Failed          int64   // flows that did not open
+	PerAgentFlow    float64 // bytes of an agent per flow of its own: slope of the linear fit
+	BaseMemory      float64 // bytes of an agent without flows: intercept of the fit
+	RSquared        float64 // coefficient of determination of the fit
+	PerEntryFlow    float64 // bytes of an entry per flow of the deployment: slope of the linear fit
+	Rate            float64 // flows opened and closed per second
+	Failed          int64   // flows that could not be opened
 }
 
 // Measure starts the deployment and measures it.
@@ -76,7 +75,7 @@
 	defer f.Close()
 	s := f.Service(p.Service)
 	r = Report{Agents: len(f.Agents(p.Service)), Entries: len(f.Entries())}
-	r.Rate, r.Failed = rate(ctx, f, s, p.Rate)
+	r.Rate, r.Failed = measureRate(ctx, f, s, p.Rate)
 	var open []*client.Caller
 	defer func() {
 		for _, c := range open {
@@ -115,7 +114,7 @@
 func dialMany(ctx context.Context, f *fleet.Fleet, s *docs.Service, n int) (callers []*client.Caller, err error) {
 	var mu sync.Mutex
 	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(parallel)
+	g.SetLimit(maxParallel)
 	for i := range n {
 		g.Go(func() error {
 			c, err := dial(ctx, f, s, i)
@@ -131,43 +130,43 @@
 	return callers, g.Wait()
 }
 
-// measure lets the flows settle, uses each once so that it has its whole state,
-// and reads the memory of agents and entries.
+// measure sends a request on each flow, so that its state is complete, waits for settleTime, and reads the memory of
+// agents and entries.
 func measure(ctx context.Context, f *fleet.Fleet, service string, open []*client.Caller) (p Point, err error) {
 	p.Flows = len(open)
-	var heard atomic.Int64
+	var answered atomic.Int64
 	var g errgroup.Group
-	g.SetLimit(parallel / 8)
+	g.SetLimit(maxParallel / 8)
 	for i, c := range open {
 		g.Go(func() error {
 			if a := c.Do(ctx, client.Request{Method: "GET", Path: fmt.Sprintf("/status/%d", i)}); a.Status != 0 {
-				heard.Add(1)
+				answered.Add(1)
 			}
 			return nil
 		})
 	}
-	_ = g.Wait() // its functions give no errors
-	p.Heard = int(heard.Load())
-	time.Sleep(settle)
+	_ = g.Wait() // the functions return no errors
+	p.Answered = int(answered.Load())
+	time.Sleep(settleTime)
 	var names []string
 	for _, n := range f.Agents(service) {
 		names = append(names, n.Process.Name)
 	}
-	if p.Agent, err = resident(f, names); err != nil {
+	if p.Agent, err = meanResident(f, names); err != nil {
 		return Point{}, err
 	}
 	names = names[:0]
 	for _, n := range f.Entries() {
 		names = append(names, n.Process.Name)
 	}
-	p.Entry, err = resident(f, names)
+	p.Entry, err = meanResident(f, names)
 	return p, err
 }
 
-// resident is the mean resident memory of processes, in bytes.
-func resident(f *fleet.Fleet, names []string) (mean int64, err error) {
+// meanResident returns the mean resident memory of the processes, in bytes.
+func meanResident(f *fleet.Fleet, names []string) (mean int64, err error) {
 	for _, n := range names {
-		b, err := residentOf(f.Process(n).ID())
+		b, err := residentBytes(f.Process(n).ID())
 		if err != nil {
 			return 0, err
 		}
@@ -176,7 +175,7 @@
 	return mean / int64(len(names)), nil
 }
 
-func residentOf(id int) (bytes int64, err error) {
+func residentBytes(id int) (bytes int64, err error) {
 	defer func() { err = errors.Wrapf(err, "memory of process %d", id) }()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", id))
 	if err != nil {
@@ -188,20 +187,20 @@
 			return kib << 10, err
 		}
 	}
-	return 0, errors.New("no VmRSS")
+	return 0, errors.New("no VmRSS line in the process status")
 }
 
-// rate opens flows, uses each for one request and closes it.
-func rate(ctx context.Context, f *fleet.Fleet, s *docs.Service, length time.Duration) (perSecond float64, failed int64) {
+// measureRate opens flows and closes each at once, maxParallel at a time.
+func measureRate(ctx context.Context, f *fleet.Fleet, s *docs.Service, length time.Duration) (perSecond float64, failed int64) {
 	began := time.Now()
-	var opened, lost atomic.Int64
+	var opened, failures atomic.Int64
 	var g errgroup.Group
-	for w := range parallel {
+	for w := range maxParallel {
 		g.Go(func() error {
-			for i := w; time.Since(began) < length; i += parallel {
+			for i := w; time.Since(began) < length; i += maxParallel {
 				c, err := dial(ctx, f, s, i)
 				if err != nil {
-					lost.Add(1)
+					failures.Add(1)
 					continue
 				}
 				c.Close()
@@ -210,8 +209,8 @@
 			return nil
 		})
 	}
-	_ = g.Wait() // its functions give no errors
-	return float64(opened.Load()) / time.Since(began).Seconds(), lost.Load()
+	_ = g.Wait() // the functions return no errors
+	return float64(opened.Load()) / time.Since(began).Seconds(), failures.Load()
 }
 
 func (r *Report) fit() {
@@ -222,7 +221,7 @@
 		agent = append(agent, float64(p.Agent))
 		entry = append(entry, float64(p.Entry))
 	}
-	r.Base, r.PerAgentFlow = stat.LinearRegression(flows, agent, nil, false)
-	r.Fit = stat.RSquared(flows, agent, nil, r.Base, r.PerAgentFlow)
+	r.BaseMemory, r.PerAgentFlow = stat.LinearRegression(flows, agent, nil, false)
+	r.RSquared = stat.RSquared(flows, agent, nil, r.BaseMemory, r.PerAgentFlow)
 	_, r.PerEntryFlow = stat.LinearRegression(all, entry, nil, false)
 }
--- a/internal/bench/load/load.go
+++ b/internal/bench/load/load.go
@@ -1,9 +1,9 @@
-// Package load puts a deployment of real processes under lookups at a multiple of its
-// capacity, to be held against what package exper's runs in virtual time show.
+// Package load sends lookups to a deployment of real processes at multiples of its capacity. Its results validate those
+// of the experiments in virtual time (cmd/exper); it does not compare policies.
 //
-// Requests start at random times whatever the answers are (open loop), spread over
-// connections that stay open; each connection counts as its caller's network says. A refused
-// request is not sent again: what is measured is one try.
+// Requests start at random times that do not depend on the responses (open loop), on connections that stay open. A
+// connection belongs to the caller whose network its address is in. Refused requests are not retried: the figures are
+// for single attempts.
 //
 // # Usage
 //
@@ -30,36 +30,36 @@
 )
 
 const (
-	warmup    = 3 * time.Second // servers are cold for two
-	longest   = 10 * time.Second
-	precision = 3 // significant digits of histograms
+	warmup     = 3 * time.Second // servers are slow for 2 s after their start
+	maxLatency = 10 * time.Second
+	precision  = 3 // significant digits of histograms
 )
 
-// Plan says what to measure.
+// Plan configures a measurement.
 type Plan struct {
 	Deployment string
 	Binaries   string
 	Service    string
-	Work       time.Duration // of each lookup at its server
-	Deadline   time.Duration // told with each lookup
+	Work       time.Duration // service time of a lookup
+	Deadline   time.Duration // sent with each lookup
 	Flows      int           // connections
 	Times      []float64     // multiples of the service's capacity
 	Length     time.Duration // of each load
 }
 
-// Row is one load.
+// Row is the result for one load.
 type Row struct {
-	Times     float64
-	Sent      int
-	InTime    int           // whole answers within the deadline
-	Refused   int           // not run
-	Rest      int           // late, unknown, or without an answer
-	Goodput   float64       // InTime as a share of what the slots can do in the time
-	P50, P99  time.Duration // of whole answers
-	Refusal99 time.Duration // p99 until a refusal was answered
+	Times      float64
+	Sent       int
+	InTime     int           // complete answers within the deadline
+	Refused    int           // refused without being run
+	Other      int           // late, of unknown outcome, or unanswered
+	Goodput    float64       // InTime as a share of the lookups that the slots can process in the time
+	P50, P99   time.Duration // time until a complete answer within the deadline
+	RefusalP99 time.Duration // time until a refusal
 }
 
-// Measure starts the deployment and puts the loads on it, one after the other.
+// Measure starts the deployment and applies the loads one after the other.
 func Measure(ctx context.Context, p Plan) (rows []Row, err error) {
 	defer func() { err = errors.Wrap(err, "measure load") }()
 	f, err := fleet.Start(ctx, fleet.Settings{Deployment: p.Deployment, Binaries: p.Binaries})
@@ -68,7 +68,7 @@
 	}
 	defer f.Close()
 	s := f.Service(p.Service)
-	flows, err := open(ctx, f, s, p.Flows)
+	flows, err := dialAll(ctx, f, s, p.Flows)
 	if err != nil {
 		return nil, err
 	}
@@ -78,15 +78,15 @@
 		}
 	}()
 	time.Sleep(warmup)
-	p.play(ctx, s, flows, p.Times[0]) // estimates begin with it; not in the table
+	p.run(ctx, s, flows, p.Times[0]) // trains the estimators; not reported
 	for _, t := range p.Times {
-		rows = append(rows, p.play(ctx, s, flows, t))
-		time.Sleep(warmup) // what waits has ended
+		rows = append(rows, p.run(ctx, s, flows, t))
+		time.Sleep(warmup) // queued work ends
 	}
 	return rows, nil
 }
 
-func open(ctx context.Context, f *fleet.Fleet, s *docs.Service, n int) (flows []*client.Caller, err error) {
+func dialAll(ctx context.Context, f *fleet.Fleet, s *docs.Service, n int) (flows []*client.Caller, err error) {
 	flows = make([]*client.Caller, n)
 	var g errgroup.Group
 	g.SetLimit(16)
@@ -102,7 +102,7 @@
 	return flows, g.Wait()
 }
 
-// capacity is how many lookups a second the service's slots can do.
+// capacity returns the number of lookups per second that the service's slots can process.
 func (p Plan) capacity(s *docs.Service) float64 {
 	slots := 0
 	for i := range s.Servers {
@@ -111,19 +111,19 @@
 	return float64(slots) / p.Work.Seconds()
 }
 
-// tally counts what became of lookups.
+// tally counts lookups by outcome.
 type tally struct {
-	mu            sync.Mutex // guards row and histograms
-	row           Row
-	whole, refuse *hdrhistogram.Histogram // microseconds
+	mu                sync.Mutex // guards row and histograms
+	row               Row
+	answered, refused *hdrhistogram.Histogram // microseconds
 }
 
-// play sends lookups at random times for the plan's length and waits for their ends.
-func (p Plan) play(ctx context.Context, s *docs.Service, flows []*client.Caller, times float64) Row {
+// run sends lookups at random times for the plan's length and waits until all have ended.
+func (p Plan) run(ctx context.Context, s *docs.Service, flows []*client.Caller, times float64) Row {
 	t := &tally{
-		row:    Row{Times: times},
-		whole:  hdrhistogram.New(1, longest.Microseconds(), precision),
-		refuse: hdrhistogram.New(1, longest.Microseconds(), precision),
+		row:      Row{Times: times},
+		answered: hdrhistogram.New(1, maxLatency.Microseconds(), precision),
+		refused:  hdrhistogram.New(1, maxLatency.Microseconds(), precision),
 	}
 	rate := times * p.capacity(s)
 	random := rand.New(rand.NewPCG(1, uint64(times*1000)))
@@ -138,19 +138,19 @@
 	}
 	all.Wait()
 	t.row.Goodput = float64(t.row.InTime) / (p.capacity(s) * p.Length.Seconds())
-	t.row.P50 = time.Duration(t.whole.ValueAtQuantile(50)) * time.Microsecond
-	t.row.P99 = time.Duration(t.whole.ValueAtQuantile(99)) * time.Microsecond
-	t.row.Refusal99 = time.Duration(t.refuse.ValueAtQuantile(99)) * time.Microsecond
+	t.row.P50 = time.Duration(t.answered.ValueAtQuantile(50)) * time.Microsecond
+	t.row.P99 = time.Duration(t.answered.ValueAtQuantile(99)) * time.Microsecond
+	t.row.RefusalP99 = time.Duration(t.refused.ValueAtQuantile(99)) * time.Microsecond
 	return t.row
 }
 
-// ended is a lookup's end and the time until it.
-type ended struct {
+// outcome is the answer to a lookup and the time that it took.
+type outcome struct {
 	answer client.Answer
 	took   time.Duration
 }
 
-func (p Plan) lookup(ctx context.Context, c *client.Caller, n int) ended {
+func (p Plan) lookup(ctx context.Context, c *client.Caller, n int) outcome {
 	began := time.Now()
 	a := c.Do(ctx, client.Request{
 		Method:   "POST",
@@ -158,22 +158,22 @@
 		Body:     strings.NewReader("claim"),
 		Deadline: p.Deadline,
 	})
-	return ended{a, time.Since(began)}
+	return outcome{a, time.Since(began)}
 }
 
-func (t *tally) add(p Plan, e ended) {
+func (t *tally) add(p Plan, e outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.row.Sent++
-	took := min(e.took, longest).Microseconds()
+	took := min(e.took, maxLatency).Microseconds()
 	switch {
 	case e.answer.Outcome == result.Ran && e.answer.Err == nil && e.answer.Status < 300 && e.took <= p.Deadline:
 		t.row.InTime++
-		_ = t.whole.RecordValue(took) // in range by longest
+		_ = t.answered.RecordValue(took) // in range, since took is at most maxLatency
 	case e.answer.Outcome == result.NotRun:
 		t.row.Refused++
-		_ = t.refuse.RecordValue(took)
+		_ = t.refused.RecordValue(took)
 	default:
-		t.row.Rest++
+		t.row.Other++
 	}
 }
--- a/internal/bench/relay/relay.go
+++ b/internal/bench/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay is the bare UDP relay that an entry is compared with: it reads a
-// datagram, writes it to the one other side, and does nothing else.
+// Package relay implements a plain UDP relay as the baseline for an entry's cost per datagram. It forwards datagrams
+// between one caller and one target, without any routing, encapsulation or checks.
 //
 // # Usage
 //
@@ -17,8 +17,8 @@
 
 const readSize = 2048 // bytes
 
-// Run relays what arrives at front to target, and what arrives at back to whoever
-// wrote to front last. It ends with the first error.
+// Run forwards datagrams received at front to target, and datagrams received at back to the address that last sent to
+// front. It returns the first error.
 func Run(front, back, target netip.AddrPort) (err error) {
 	defer func() { err = errors.Wrap(err, "relay") }()
 	f, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(front))
@@ -32,7 +32,7 @@
 	var caller atomic.Pointer[netip.AddrPort]
 	var g errgroup.Group
 	g.Go(func() error {
-		return carry(f, b, func(from netip.AddrPort) netip.AddrPort {
+		return forward(f, b, func(from netip.AddrPort) netip.AddrPort {
 			if c := caller.Load(); c == nil || *c != from {
 				caller.Store(&from)
 			}
@@ -40,19 +40,19 @@
 		})
 	})
 	g.Go(func() error {
-		return carry(b, f, func(netip.AddrPort) netip.AddrPort { return *caller.Load() })
+		return forward(b, f, func(netip.AddrPort) netip.AddrPort { return *caller.Load() })
 	})
 	return g.Wait()
 }
 
-func carry(from, to *net.UDPConn, where func(netip.AddrPort) netip.AddrPort) error {
+func forward(from, to *net.UDPConn, destination func(netip.AddrPort) netip.AddrPort) error {
 	var buffer [readSize]byte
 	for {
 		n, a, err := from.ReadFromUDPAddrPort(buffer[:])
 		if err != nil {
 			return err
 		}
-		// A datagram that cannot be sent is lost, as at the entry.
-		_, _ = to.WriteToUDPAddrPort(buffer[:n], where(a))
+		// A datagram that cannot be sent is dropped, as by an entry.
+		_, _ = to.WriteToUDPAddrPort(buffer[:n], destination(a))
 	}
 }
