--- a/internal/bench/flows/flows.go
+++ b/internal/bench/flows/flows.go
@@ -102,12 +102,12 @@
 	base := s.Callers[0].Networks[0].Addr().As4()
 	base[3] = byte(1 + i%250)
 	return client.Dial(ctx, client.Settings{
-		Local:   netip.AddrFrom4(base),
-		Service: s.Address,
-		Name:    s.Name,
-		Roots:   f.Roots,
-		Idle:    idleLimit,
-		Alive:   keepAlive,
+		Local:       netip.AddrFrom4(base),
+		Service:     s.Address,
+		Name:        s.Name,
+		Roots:       f.Roots,
+		IdleTimeout: idleLimit,
+		KeepAlive:   keepAlive,
 	})
 }
 
--- a/internal/bench/load/load.go
+++ b/internal/bench/load/load.go
@@ -95,7 +95,7 @@
 		base := caller.Networks[0].Addr().As4()
 		base[3] = byte(1 + i%250)
 		g.Go(func() (err error) {
-			flows[i], err = client.Dial(ctx, client.Settings{Local: netip.AddrFrom4(base), Service: s.Address, Name: s.Name, Roots: f.Roots, Alive: time.Second})
+			flows[i], err = client.Dial(ctx, client.Settings{Local: netip.AddrFrom4(base), Service: s.Address, Name: s.Name, Roots: f.Roots, KeepAlive: time.Second})
 			return err
 		})
 	}
--- a/internal/conf/docs/parse.go
+++ b/internal/conf/docs/parse.go
@@ -120,7 +120,7 @@
 			Name:       from.Name,
 			Kind:       Kind(from.Choice("kind", string(Lookup), string(Feed), string(Upload))),
 			Path:       readPath(from),
-			Idempotent: from.Yes("idempotent"),
+			Idempotent: from.Bool("idempotent"),
 			Deadline:   from.Duration("deadline"),
 			Queue:      int(from.Integer("queue", 0, maxQueue)),
 		}
--- a/internal/conf/store/store.go
+++ b/internal/conf/store/store.go
@@ -41,9 +41,9 @@
 
 // Errors of an offer that was turned away unread.
 var (
-	ErrTooLarge = errors.New("document is over a megabyte")
-	ErrTooMany  = errors.New("too many documents")
-	ErrName     = errors.New("document has no name, or revision 0")
+	ErrTooLarge    = errors.New("document is over a megabyte")
+	ErrTooMany     = errors.New("too many documents")
+	ErrInvalidName = errors.New("document has no name, or revision 0")
 )
 
 var (
@@ -55,8 +55,8 @@
 	differentTotal = metrics.GetOrCreateCounter(`mangowinch_documents_refused_total{reason="different"}`)
 )
 
-// Entry is one document in force. It is never changed after it was published in a View.
-type Entry struct {
+// Document is one document in force. It is never changed after it was published in a View.
+type Document struct {
 	Name     string
 	Revision order.Revision
 	Text     []byte
@@ -77,15 +77,15 @@
 
 // View is an immutable snapshot of what is in force.
 type View struct {
-	Entries map[string]*Entry
-	Faults  map[string]*Fault
+	Documents map[string]*Document
+	Faults    map[string]*Fault
 }
 
 // Revision returns the newest revision that is known of a document, in force
 // or faulty, and 0 when none is.
 func (v *View) Revision(name string) order.Revision {
 	var n order.Revision
-	if e := v.Entries[name]; e != nil {
+	if e := v.Documents[name]; e != nil {
 		n = e.Revision
 	}
 	if f := v.Faults[name]; f != nil {
@@ -107,7 +107,7 @@
 func New(parse func(file string, text []byte) (*docs.Service, error)) *Store {
 	return &Store{
 		parse:   parse,
-		view:    &View{Entries: map[string]*Entry{}, Faults: map[string]*Fault{}},
+		view:    &View{Documents: map[string]*Document{}, Faults: map[string]*Fault{}},
 		changed: make(chan struct{}),
 	}
 }
@@ -135,7 +135,7 @@
 	defer func() { err = errors.Wrapf(err, "document %q revision %s from %s", name, revision, source) }()
 	if name == "" || revision == 0 {
 		limitTotal.Inc()
-		return false, ErrName
+		return false, ErrInvalidName
 	}
 	if len(text) > MaxText {
 		limitTotal.Inc()
@@ -158,7 +158,7 @@
 func (s *Store) wanted(name string, revision order.Revision, text []byte) bool {
 	v := s.View()
 	var same []byte
-	if e := v.Entries[name]; e != nil {
+	if e := v.Documents[name]; e != nil {
 		if revision < e.Revision {
 			staleTotal.Inc()
 			return false
@@ -187,7 +187,7 @@
 func (s *Store) publish(name string, revision order.Revision, text []byte, source string, service *docs.Service, fault error) (bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if e := s.view.Entries[name]; e != nil && revision <= e.Revision {
+	if e := s.view.Documents[name]; e != nil && revision <= e.Revision {
 		staleTotal.Inc()
 		return false, nil
 	}
@@ -195,17 +195,17 @@
 		invalidTotal.Inc()
 		return false, fault
 	}
-	if s.view.Revision(name) == 0 && len(s.view.Entries)+len(s.view.Faults) >= MaxNames {
+	if s.view.Revision(name) == 0 && len(s.view.Documents)+len(s.view.Faults) >= MaxNames {
 		limitTotal.Inc()
 		return false, ErrTooMany
 	}
-	next := &View{Entries: maps.Clone(s.view.Entries), Faults: maps.Clone(s.view.Faults)}
+	next := &View{Documents: maps.Clone(s.view.Documents), Faults: maps.Clone(s.view.Faults)}
 	if fault != nil {
 		invalidTotal.Inc()
 		next.Faults[name] = &Fault{Name: name, Revision: revision, Source: source, Reason: fault.Error(), At: time.Now(), Text: text}
 	} else {
 		acceptedTotal.Inc()
-		next.Entries[name] = &Entry{Name: name, Revision: revision, Text: text, Service: service, Source: source, At: time.Now()}
+		next.Documents[name] = &Document{Name: name, Revision: revision, Text: text, Service: service, Source: source, At: time.Now()}
 		if f := next.Faults[name]; f != nil && f.Revision < revision {
 			delete(next.Faults, name)
 		}
--- a/internal/conf/store/store_test.go
+++ b/internal/conf/store/store_test.go
@@ -36,7 +36,7 @@
 	assert.ErrorContains(t, err, "tracing-core.ini: faulty")
 	assert.Assert(t, !accepted)
 	<-changed
-	assert.Equal(t, s.View().Entries["tracing-core"].Revision, order.Revision(3))
+	assert.Equal(t, s.View().Documents["tracing-core"].Revision, order.Revision(3))
 	assert.Equal(t, s.View().Faults["tracing-core"].Revision, order.Revision(4))
 	assert.Equal(t, s.View().Revision("tracing-core"), order.Revision(4))
 	accepted, err = s.Offer("tracing-core", 5, []byte("tracing-core five"), "e2")
@@ -52,7 +52,7 @@
 	s := store.New(parse)
 	_, err := s.Offer("doc-intake", 1, []byte("tracing-core one"), "platform")
 	assert.ErrorContains(t, err, `"tracing-core" inside`)
-	assert.Equal(t, len(s.View().Entries), 0)
+	assert.Equal(t, len(s.View().Documents), 0)
 }
 
 func TestLimits(t *testing.T) {
@@ -60,7 +60,7 @@
 	_, err := s.Offer("a", 1, make([]byte, store.MaxText+1), "p")
 	assert.ErrorIs(t, err, store.ErrTooLarge)
 	_, err = s.Offer("", 1, nil, "p")
-	assert.ErrorIs(t, err, store.ErrName)
+	assert.ErrorIs(t, err, store.ErrInvalidName)
 	for n := range store.MaxNames {
 		name := fmt.Sprint("s", n)
 		_, err := s.Offer(name, 1, []byte(name), "p")
@@ -93,7 +93,7 @@
 				assert.Assert(t, faulty[number-1])
 			}
 			var now order.Revision
-			if e := s.View().Entries["svc"]; e != nil {
+			if e := s.View().Documents["svc"]; e != nil {
 				now = e.Revision
 			}
 			assert.Assert(t, now >= last, "went back from %d to %d", last, now)
--- a/internal/conf/strict/value.go
+++ b/internal/conf/strict/value.go
@@ -141,8 +141,8 @@
 	return ""
 }
 
-// Yes returns whether the value is yes rather than no.
-func (s *Section) Yes(key string) bool {
+// Bool returns whether the value is yes rather than no.
+func (s *Section) Bool(key string) bool {
 	return s.Choice(key, "yes", "no") == "yes"
 }
 
--- a/internal/ctrl/digest/digest.go
+++ b/internal/ctrl/digest/digest.go
@@ -52,7 +52,7 @@
 func Of(v *store.View) *Digest {
 	d := &Digest{}
 	names := map[string]bool{}
-	for name := range v.Entries {
+	for name := range v.Documents {
 		names[name] = true
 	}
 	for name := range v.Faults {
@@ -74,7 +74,7 @@
 // ItemOf returns the item of one document in a snapshot.
 func ItemOf(v *store.View, name string) Item {
 	i := Item{Name: name, Newest: v.Revision(name)}
-	if e := v.Entries[name]; e != nil {
+	if e := v.Documents[name]; e != nil {
 		i.Revision = e.Revision
 	}
 	return i
--- a/internal/ctrl/digest/digest_test.go
+++ b/internal/ctrl/digest/digest_test.go
@@ -13,14 +13,14 @@
 )
 
 func view(revisions map[string]uint64) *store.View {
-	v := &store.View{Entries: map[string]*store.Entry{}, Faults: map[string]*store.Fault{}}
+	v := &store.View{Documents: map[string]*store.Document{}, Faults: map[string]*store.Fault{}}
 	for name, number := range revisions {
 		revision := order.Revision(number)
 		if revision%5 == 0 {
 			v.Faults[name] = &store.Fault{Name: name, Revision: revision}
 			revision -= 2
 		}
-		v.Entries[name] = &store.Entry{Name: name, Revision: revision}
+		v.Documents[name] = &store.Document{Name: name, Revision: revision}
 	}
 	return v
 }
@@ -38,7 +38,7 @@
 		}
 		same := true
 		for _, v := range []*store.View{a, b} {
-			for name := range v.Entries {
+			for name := range v.Documents {
 				if digest.ItemOf(a, name) != digest.ItemOf(b, name) {
 					same = false
 					assert.Assert(t, found[digest.BucketOf(name)], "%s is not found", name)
--- a/internal/ctrl/relay/beat.go
+++ b/internal/ctrl/relay/beat.go
@@ -68,7 +68,7 @@
 // heartbeatsDue updates the list of peer agents from the service document and returns those to which a
 // heartbeat is due.
 func (n *Node) heartbeatsDue() []PeerAgent {
-	e := n.Store.View().Entries[n.Service]
+	e := n.Store.View().Documents[n.Service]
 	if e == nil {
 		return nil
 	}
@@ -159,7 +159,7 @@
 	view := n.Store.View()
 	own := digest.ItemOf(view, n.Service)
 	p := &wire.Pulse{Service: n.Service, Revision: uint64(own.Revision), Newest: uint64(own.Newest)}
-	if e := view.Entries[n.Service]; e != nil {
+	if e := view.Documents[n.Service]; e != nil {
 		for _, s := range e.Service.Servers {
 			if s.Name == n.Server {
 				p.Server = s.ID
--- a/internal/ctrl/relay/copy_test.go
+++ b/internal/ctrl/relay/copy_test.go
@@ -16,7 +16,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, p := range f.processes {
-		if e := p.store.View().Entries[name]; e != nil && string(e.Text) == text {
+		if e := p.store.View().Documents[name]; e != nil && string(e.Text) == text {
 			have++
 		}
 	}
--- a/internal/ctrl/relay/fault_test.go
+++ b/internal/ctrl/relay/fault_test.go
@@ -101,7 +101,7 @@
 			f.kill(f.processes[entryLink(n)])
 			p := f.entry(n)
 			<-p.store.Changed()
-			assert.Equal(t, p.store.View().Entries["tracing-core"].Revision, order.Revision(5), "e%d", n)
+			assert.Equal(t, p.store.View().Documents["tracing-core"].Revision, order.Revision(5), "e%d", n)
 			time.Sleep(5 * time.Second)
 		}
 	})
@@ -121,7 +121,7 @@
 		f.awaitAll(20*time.Second, "tracing-core", 1)
 		time.Sleep(5 * time.Second)
 		for _, q := range f.processes {
-			assert.Equal(t, q.store.View().Entries["tracing-core"].Revision, order.Revision(1))
+			assert.Equal(t, q.store.View().Documents["tracing-core"].Revision, order.Revision(1))
 			assert.Equal(t, q.store.View().Faults["tracing-core"].Revision, order.Revision(2))
 		}
 		assert.Equal(t, p.Status().Faulty[0].InForce, order.Revision(1))
--- a/internal/ctrl/relay/fleet_test.go
+++ b/internal/ctrl/relay/fleet_test.go
@@ -191,7 +191,7 @@
 		if address == entryLink(n) {
 			continue
 		}
-		if e := p.store.View().Entries["svc"]; e != nil {
+		if e := p.store.View().Documents["svc"]; e != nil {
 			least = min(least, e.Revision)
 		} else {
 			least = 0
@@ -206,7 +206,7 @@
 	defer f.mu.Unlock()
 	var best order.Revision
 	for _, p := range f.processes {
-		if e := p.store.View().Entries["svc"]; e != nil {
+		if e := p.store.View().Documents["svc"]; e != nil {
 			best = max(best, e.Revision)
 		}
 	}
@@ -230,7 +230,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, p := range f.processes {
-		if e := p.store.View().Entries[name]; e != nil && e.Revision >= revision {
+		if e := p.store.View().Documents[name]; e != nil && e.Revision >= revision {
 			have++
 		}
 	}
--- a/internal/ctrl/relay/give.go
+++ b/internal/ctrl/relay/give.go
@@ -72,7 +72,7 @@
 // parse that one, the one in force.
 func missingText(view *store.View, w *wire.Want) (revision order.Revision, text []byte) {
 	inForce, newest := order.Revision(w.GetRevision()), order.Revision(w.GetNewest())
-	f, e := view.Faults[w.GetName()], view.Entries[w.GetName()]
+	f, e := view.Faults[w.GetName()], view.Documents[w.GetName()]
 	if f != nil && f.Revision > newest {
 		return f.Revision, f.Text
 	}
--- a/internal/ctrl/relay/poll.go
+++ b/internal/ctrl/relay/poll.go
@@ -81,7 +81,7 @@
 		n.mu.Lock()
 		noEntry := time.Since(n.lastPolled) > platformFallback && n.Rand.IntN(platformPollOdds) == 0
 		n.mu.Unlock()
-		if n.Store.View().Entries[n.Service] != nil && !noEntry {
+		if n.Store.View().Documents[n.Service] != nil && !noEntry {
 			continue
 		}
 		document, err := n.Platform.Document(ctx, n.Service)
--- a/internal/ctrl/relay/real_test.go
+++ b/internal/ctrl/relay/real_test.go
@@ -55,7 +55,7 @@
 	t.Helper()
 	for {
 		changed := s.Changed()
-		e := s.View().Entries[name]
+		e := s.View().Documents[name]
 		if e != nil && e.Revision >= revision {
 			assert.Equal(t, e.Revision, revision)
 			return
@@ -93,8 +93,8 @@
 	write("tracing-core", "4", "tracing-core four")
 	write("doc-intake", "1", "doc-intake one")
 	awaitRevision(ctx, t, two, "doc-intake", 1)
-	assert.Equal(t, one.View().Entries["tracing-core"].Revision, order.Revision(7))
-	assert.Equal(t, two.View().Entries["tracing-core"].Revision, order.Revision(7))
+	assert.Equal(t, one.View().Documents["tracing-core"].Revision, order.Revision(7))
+	assert.Equal(t, two.View().Documents["tracing-core"].Revision, order.Revision(7))
 	cancel()
 	running.Wait()
 }
--- a/internal/ctrl/relay/revert_test.go
+++ b/internal/ctrl/relay/revert_test.go
@@ -27,7 +27,7 @@
 	go func() {
 		for {
 			changed := p.store.Changed()
-			if e := p.store.View().Entries["svc"]; e != nil && (len(h.revisions) == 0 || h.revisions[len(h.revisions)-1] != e.Revision) {
+			if e := p.store.View().Documents["svc"]; e != nil && (len(h.revisions) == 0 || h.revisions[len(h.revisions)-1] != e.Revision) {
 				h.revisions = append(h.revisions, e.Revision)
 			}
 			select {
--- a/internal/ctrl/relay/status.go
+++ b/internal/ctrl/relay/status.go
@@ -36,14 +36,14 @@
 // Status returns the current status.
 func (n *Node) Status() Status {
 	view := n.Store.View()
-	s := Status{Documents: len(view.Entries), Usage: n.Meter.Usage(time.Now()), Contact: -1, Fresh: n.Fresh()}
-	for _, e := range view.Entries {
+	s := Status{Documents: len(view.Documents), Usage: n.Meter.Usage(time.Now()), Contact: -1, Fresh: n.Fresh()}
+	for _, e := range view.Documents {
 		s.Bytes += len(e.Text)
 	}
 	for name, f := range view.Faults {
 		s.Bytes += len(f.Text)
 		q := Faulty{Name: name, Revision: f.Revision, Source: f.Source, Reason: f.Reason}
-		if e := view.Entries[name]; e != nil {
+		if e := view.Documents[name]; e != nil {
 			q.InForce = e.Revision
 		}
 		s.Faulty = append(s.Faulty, q)
--- a/internal/ctrl/relay/tell.go
+++ b/internal/ctrl/relay/tell.go
@@ -116,13 +116,13 @@
 	if before == after {
 		return nil
 	}
-	for name, e := range after.Entries {
-		if before.Entries[name] != e {
+	for name, e := range after.Documents {
+		if before.Documents[name] != e {
 			items = append(items, digest.ItemOf(after, name))
 		}
 	}
 	for name, f := range after.Faults {
-		if before.Faults[name] != f && before.Entries[name] == after.Entries[name] {
+		if before.Faults[name] != f && before.Documents[name] == after.Documents[name] {
 			items = append(items, digest.ItemOf(after, name))
 		}
 	}
@@ -160,7 +160,7 @@
 	}
 	var links []netip.AddrPort
 	for _, v := range []*store.View{before, after} {
-		if e := v.Entries[i.Name]; e != nil {
+		if e := v.Documents[i.Name]; e != nil {
 			for _, s := range e.Service.Servers {
 				links = append(links, s.Agent)
 			}
--- a/internal/ctrl/scale/fleet.go
+++ b/internal/ctrl/scale/fleet.go
@@ -230,7 +230,7 @@
 
 // HasAll reports whether a process has all the documents that it should have.
 func (f *Fleet) HasAll(p *Process) bool {
-	have := len(p.Store.View().Entries)
+	have := len(p.Store.View().Documents)
 	if p.Service != "" {
 		return have == 1
 	}
@@ -243,7 +243,7 @@
 	for _, p := range processes {
 		for !f.HasAll(p) {
 			if time.Since(start) > limit {
-				return limit, errors.Newf("%s has %d documents after %v", p.Member.Name, len(p.Store.View().Entries), limit)
+				return limit, errors.Newf("%s has %d documents after %v", p.Member.Name, len(p.Store.View().Documents), limit)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
--- a/internal/ctrl/scale/measure.go
+++ b/internal/ctrl/scale/measure.go
@@ -120,7 +120,7 @@
 func (f *Fleet) awaitRevision(p *Process, document int, revision order.Revision, start time.Time) bool {
 	for time.Since(start) < spreadTimeout {
 		changed := p.Store.Changed()
-		if e := p.Store.View().Entries[documentName(document)]; e != nil && e.Revision >= revision {
+		if e := p.Store.View().Documents[documentName(document)]; e != nil && e.Revision >= revision {
 			return true
 		}
 		timer := time.NewTimer(spreadTimeout - time.Since(start))
--- a/internal/exper/policy/agents.go
+++ b/internal/exper/policy/agents.go
@@ -141,7 +141,7 @@
 	a := s.list[j.Home]
 	j.NoDeadline = s.unlimited
 	a.budget.Fresh()
-	a.place(j, nil, result.LeavingServer, answer)
+	a.place(j, nil, result.ServerLeaving, answer)
 }
 
 // place sends a request to a server, and tries again or answers when it comes back.
@@ -207,9 +207,9 @@
 // enter asks this agent's gate.
 func (a *agent) enter(j *fakes.Job, reply func(outcome)) {
 	if a.leaving || a.server.Down {
-		reason, end := result.LeavingServer, fakes.Shed
+		reason, end := result.ServerLeaving, fakes.Shed
 		if a.server.Down {
-			reason, end = result.ServerDown, fakes.Unreached
+			reason, end = result.ServerUnreachable, fakes.Unreached
 		}
 		reply(outcome{end: end, reason: reason, after: a.gate.RetryAfter(a.now())})
 		return
@@ -241,7 +241,7 @@
 		a.apply(c)
 		o := outcome{end: end}
 		if end == fakes.Shed || end == fakes.Unreached {
-			o.reason, o.after = result.ServerDown, a.gate.RetryAfter(a.now())
+			o.reason, o.after = result.ServerUnreachable, a.gate.RetryAfter(a.now())
 		}
 		v.reply(o)
 	})
@@ -288,7 +288,7 @@
 	for _, id := range a.gate.Drain() {
 		v := a.waiting[id]
 		delete(a.waiting, id)
-		v.reply(outcome{end: fakes.Shed, reason: result.LeavingServer, after: a.gate.RetryAfter(a.now())})
+		v.reply(outcome{end: fakes.Shed, reason: result.ServerLeaving, after: a.gate.RetryAfter(a.now())})
 	}
 }
 
--- a/internal/exper/policy/direct.go
+++ b/internal/exper/policy/direct.go
@@ -85,7 +85,7 @@
 func (d *direct) try(e *entry, j *fakes.Job, tried []int, answer func(Answer)) {
 	i := d.choose(e, tried)
 	if i < 0 {
-		answer(Answer{End: fakes.Shed, Reason: result.LeavingServer})
+		answer(Answer{End: fakes.Shed, Reason: result.ServerLeaving})
 		return
 	}
 	e.inflight[i]++
--- a/internal/load/admit/admit.go
+++ b/internal/load/admit/admit.go
@@ -158,10 +158,10 @@
 		return Decision{Verdict: Run}
 	}
 	if g.tooLate(now, l, r) {
-		return g.refuse(now, result.TooLate)
+		return g.refuse(now, result.DeadlineUnmeetable)
 	}
 	if !l.waiting.HasRoom(class.Name, r.Caller, class.Queue) {
-		reason := result.ShedCaller
+		reason := result.OverFairShare
 		if l.waiting.Waiting(class.Name) >= class.Queue {
 			reason = result.QueueFull
 		}
--- a/internal/load/admit/admit_test.go
+++ b/internal/load/admit/admit_test.go
@@ -66,7 +66,7 @@
 	assert.Equal(t, b.arrive("claim", fundA, 600*time.Millisecond).Verdict, Wait)
 	d := b.arrive("claim", fundA, 150*time.Millisecond)
 	assert.Equal(t, d.Verdict, Refuse)
-	assert.Equal(t, d.Reason, result.TooLate)
+	assert.Equal(t, d.Reason, result.DeadlineUnmeetable)
 	assert.Assert(t, d.RetryAfter >= minRetryAfter && d.RetryAfter <= 5*minRetryAfter, d.RetryAfter)
 }
 
@@ -128,7 +128,7 @@
 		if d := b.arrive("claim", fundA, time.Minute); d.Verdict == Wait {
 			waiting++
 		} else if d.Verdict == Refuse {
-			assert.Equal(t, d.Reason, result.ShedCaller)
+			assert.Equal(t, d.Reason, result.OverFairShare)
 		}
 	}
 	assert.Equal(t, waiting, 4) // of 8
--- a/internal/load/retry/retry.go
+++ b/internal/load/retry/retry.go
@@ -141,7 +141,7 @@
 // final reports whether the reason applies at every server of the service.
 func final(r result.Reason) bool {
 	switch r {
-	case result.NoClass, result.Expired, result.Gone, result.KeyBad, result.KeyReused, result.OwnerGone, result.Budget:
+	case result.NoClass, result.Expired, result.CallerGone, result.KeyInvalid, result.KeyReused, result.OwnerUnavailable, result.RetryBudget:
 		return true
 	}
 	return false
@@ -151,9 +151,9 @@
 	switch {
 	case r.Outcome == result.Unknown:
 		return Idempotent
-	case r.Reason == result.ServerDown:
+	case r.Reason == result.ServerUnreachable:
 		return Unsent
-	case r.Reason == result.LeavingServer:
+	case r.Reason == result.ServerLeaving:
 		return ServerLeaving
 	}
 	return Shed
--- a/internal/load/retry/retry_test.go
+++ b/internal/load/retry/retry_test.go
@@ -29,8 +29,8 @@
 		MaxTries:      func(a *Attempt) { a.Tries = 3 },
 		TooLate:       func(a *Attempt) { a.ServiceTime = 2 * time.Second },
 		Shed:          func(*Attempt) {},
-		Unsent:        func(a *Attempt) { a.Result.Reason = result.ServerDown },
-		ServerLeaving: func(a *Attempt) { a.Result.Reason = result.LeavingServer },
+		Unsent:        func(a *Attempt) { a.Result.Reason = result.ServerUnreachable },
+		ServerLeaving: func(a *Attempt) { a.Result.Reason = result.ServerLeaving },
 		Idempotent:    func(a *Attempt) { a.Result.Outcome, a.Idempotent = result.Unknown, true },
 	} {
 		a := shedAttempt
--- a/internal/node/agent/backend.go
+++ b/internal/node/agent/backend.go
@@ -72,7 +72,7 @@
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }}
 	r, err := b.request(httptrace.WithClientTrace(ctx, trace), x)
 	if err != nil {
-		return refuse(result.ServerDown, 0)
+		return refuse(result.ServerUnreachable, 0)
 	}
 	answer, err := b.client.RoundTrip(r)
 	if err != nil {
@@ -121,14 +121,14 @@
 // failureResult returns the result of a request without an answer. If sent is false, the
 // request never got a connection, so no byte of it has left.
 func failureResult(ctx context.Context, sent bool) result.Result {
-	reason := result.ServerLost
+	reason := result.ServerDisconnected
 	switch {
 	case errors.Is(context.Cause(ctx), errDeadline):
 		reason = result.Expired
 	case ctx.Err() != nil:
-		reason = result.Gone
+		reason = result.CallerGone
 	case !sent:
-		reason = result.ServerDown
+		reason = result.ServerUnreachable
 	}
 	if sent {
 		return result.Result{Outcome: result.Unknown, Reason: reason}
@@ -156,7 +156,7 @@
 		n, err := answer.Body.Read(buffer)
 		if n > 0 {
 			if _, err := x.Answer.Write(buffer[:n]); err != nil {
-				return result.Result{Outcome: result.Unknown, Reason: result.Gone}
+				return result.Result{Outcome: result.Unknown, Reason: result.CallerGone}
 			}
 			x.Answer.Flush()
 		}
--- a/internal/node/agent/chain.go
+++ b/internal/node/agent/chain.go
@@ -48,5 +48,5 @@
 
 // refuse returns the result of a request that did not run.
 func refuse(r result.Reason, after time.Duration) result.Result {
-	return result.Result{Outcome: result.NotRun, Reason: r, After: after}
+	return result.Result{Outcome: result.NotRun, Reason: r, RetryAfter: after}
 }
--- a/internal/node/agent/inforce.go
+++ b/internal/node/agent/inforce.go
@@ -54,7 +54,7 @@
 }
 
 func (a *Agent) apply(v *store.View) {
-	d := v.Entries[a.settings.Agent.Service]
+	d := v.Documents[a.settings.Agent.Service]
 	old := a.current.Load()
 	if d == nil || old != nil && old.revision == d.Revision {
 		return
@@ -82,7 +82,7 @@
 
 // snapshot derives the agent's state from a document. Its field own is nil if the
 // document does not have the server.
-func (a *Agent) snapshot(d *store.Entry) (s *snapshot, err error) {
+func (a *Agent) snapshot(d *store.Document) (s *snapshot, err error) {
 	ring, err := rings.New(a.settings.Keys, d.Service)
 	if err != nil {
 		return nil, err
--- a/internal/node/agent/leave.go
+++ b/internal/node/agent/leave.go
@@ -74,12 +74,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.causes) == 1 && s.causes[0] == byPause {
-		return result.StaleView
+		return result.StaleBelief
 	}
 	if slices.Contains(s.causes, byDown) {
-		return result.ServerDown
+		return result.ServerUnreachable
 	}
-	return result.LeavingServer
+	return result.ServerLeaving
 }
 
 // describe returns the causes for operators, or "" while the server takes new work.
--- a/internal/node/agent/place.go
+++ b/internal/node/agent/place.go
@@ -52,8 +52,8 @@
 		return end
 	}
 	switch end.Reason {
-	case result.ServerDown, result.ServerShed, result.LeavingServer, result.PeerLost:
-		end.After = max(end.After, a.gate.RetryAfter())
+	case result.ServerUnreachable, result.ServerShed, result.ServerLeaving, result.PeerUnreachable:
+		end.RetryAfter = max(end.RetryAfter, a.gate.RetryAfter())
 	}
 	return end
 }
@@ -61,9 +61,9 @@
 // workSharing is the state for handing requests over between the agents of the service.
 type workSharing struct {
 	client     *hand.Client
-	spreader   *spread.Spreader
+	spreader   *spread.Dispatcher
 	guard      *once.Guard
-	handedMemo *memo.Memo // outcomes of requests that other agents have handed over
+	handedMemo *memo.Store // outcomes of requests that other agents have handed over
 	mux        *drpcmux.Mux
 
 	usageMu sync.Mutex
@@ -80,10 +80,10 @@
 	})
 	s.spreader = spread.New(place.Self{ID: v.own.ID, Domain: v.own.Domain}, demandRecorder{a}, a.ownHint)
 	s.guard = &once.Guard{
-		View:   func() *once.View { return a.current.Load().keys },
-		Memory: memo.New(memo.DefaultLimits),
-		Client: s.client,
-		Beside: a.link.otherProcess,
+		View:         func() *once.View { return a.current.Load().keys },
+		Outcomes:     memo.New(memo.DefaultLimits),
+		Client:       s.client,
+		OtherProcess: a.link.otherProcess,
 	}
 }
 
@@ -99,7 +99,7 @@
 		agents = append(agents, v.Agent)
 	}
 	agents = append(agents, sides...)
-	s.client.Keep(agents)
+	s.client.Retain(agents)
 }
 
 // ownHint returns the load of this agent's server, for other agents and for its own
@@ -124,17 +124,17 @@
 // demand of this agent's flows.
 type demandRecorder struct{ agent *Agent }
 
-// Hand implements spread.Passer.
-func (d demandRecorder) Hand(ctx context.Context, to netip.AddrPort, r *hand.Request, a hand.Answer) result.Result {
+// HandOver implements spread.Client.
+func (d demandRecorder) HandOver(ctx context.Context, to netip.AddrPort, r *hand.Request, a hand.Answer) result.Result {
 	if r.Hops > 0 {
-		return d.agent.client.Hand(ctx, to, r, a)
+		return d.agent.client.HandOver(ctx, to, r, a)
 	}
 	began := time.Now()
 	note := sync.OnceFunc(func() { d.agent.demand.add(time.Since(began)) })
 	if r.Feed { // the slot is held until the first byte
 		a = &startNotifier{a, note}
 	}
-	end := d.agent.client.Hand(ctx, to, r, a)
+	end := d.agent.client.HandOver(ctx, to, r, a)
 	if end.Outcome != result.NotRun {
 		note()
 	}
@@ -183,7 +183,7 @@
 		Start:       a.started,
 		Ring:        a.currentRing,
 		Runner:      handedRunner{a},
-		Memory:      a.handedMemo,
+		Outcomes:    a.handedMemo,
 		Load:        a.ownHint,
 	})
 }
--- a/internal/node/agent/quic.go
+++ b/internal/node/agent/quic.go
@@ -88,7 +88,7 @@
 		}
 		if !a.connections.enter(a.current.Load().own.Connections) {
 			a.count.connections.Inc()
-			_ = c.CloseWithError(quic.ApplicationErrorCode(http3.ErrCodeExcessiveLoad), string(result.Overloaded))
+			_ = c.CloseWithError(quic.ApplicationErrorCode(http3.ErrCodeExcessiveLoad), string(result.ConnectionLimit))
 			continue
 		}
 		go func() {
--- a/internal/node/agent/serve.go
+++ b/internal/node/agent/serve.go
@@ -115,8 +115,8 @@
 	if res.Reason != result.NoReason {
 		w.Header().Set(headerReason, string(res.Reason))
 	}
-	if res.After > 0 {
-		w.Header().Set(headerAfter, strconv.Itoa(seconds(res.After)))
+	if res.RetryAfter > 0 {
+		w.Header().Set(headerAfter, strconv.Itoa(seconds(res.RetryAfter)))
 	}
 	w.WriteHeader(status(res))
 }
--- a/internal/node/agent/share_test.go
+++ b/internal/node/agent/share_test.go
@@ -99,7 +99,7 @@
 			name := fmt.Sprintf("burst%d", i)
 			a := z.sendClaim(c, name, "")
 			attempts[i] = check.Attempt{
-				Token: name, Service: service, Once: true, Steady: true, Outcome: a.Outcome, Reason: a.Reason,
+				Token: name, Service: service, AtMostOnce: true, MustComplete: true, Outcome: a.Outcome, Reason: a.Reason,
 				Want: answerTo(name), Got: a.Body,
 			}
 		})
@@ -202,12 +202,12 @@
 	<-owner.Ended()
 	a := z.sendClaim(elsewhere, "widow", key)
 	assert.Equal(t, a.Outcome, result.Unknown, "%+v", a)
-	assert.Equal(t, a.Reason, string(result.OwnerGone))
+	assert.Equal(t, a.Reason, string(result.OwnerUnavailable))
 	assert.NilError(t, owner.Start())
 	assert.NilError(t, z.AwaitReady(t.Context(), ranAt[0]))
 	a = z.sendClaim(elsewhere, "widow", key)
 	assert.Equal(t, a.Outcome, result.Unknown, "%+v", a)
-	assert.Equal(t, a.Reason, string(result.OwnerGone))
+	assert.Equal(t, a.Reason, string(result.OwnerUnavailable))
 	assert.Equal(t, len(z.agentsThatRan("widow")), 1)
 
 	// Keys issued by one agent and sent through another one, with the link between the
@@ -217,7 +217,7 @@
 	key = z.requestKey(other)
 	z.freeze(frozen)
 	a = z.sendClaim(elsewhere, "frozen", key)
-	z.Process(frozen).Wake()
+	z.Process(frozen).Resume()
 	assert.Equal(t, a.Outcome, result.Unknown, "%+v", a)
 	assert.Equal(t, z.sendClaim(other, "after", "").Outcome, result.Ran)
 	assert.Equal(t, len(z.agentsThatRan("frozen")), 0)
--- a/internal/node/agent/side.go
+++ b/internal/node/agent/side.go
@@ -117,11 +117,11 @@
 
 // otherProcess returns the other process, for the request keys that it owns, and reports
 // whether it is alive.
-func (l *link) otherProcess() (other once.Other, alive bool) {
+func (l *link) otherProcess() (other once.Process, alive bool) {
 	if !l.side.alive(time.Now()) {
-		return once.Other{}, false
+		return once.Process{}, false
 	}
-	return once.Other{Incarnation: l.side.incarnation.Load(), Address: l.side.other}, true
+	return once.Process{Incarnation: l.side.incarnation.Load(), Address: l.side.other}, true
 }
 
 // listenPeers opens the listeners for other processes: the agent's address, which a
--- a/internal/node/agent/status.go
+++ b/internal/node/agent/status.go
@@ -41,7 +41,7 @@
 	}
 	if v := a.current.Load(); v != nil {
 		s.Revision = v.revision
-		s.Keys, _ = a.guard.Memory.Size()
+		s.Keys, _ = a.guard.Outcomes.Size()
 		s.Handed, _ = a.handedMemo.Size()
 	}
 	s.Leaving = a.availability.describe()
--- a/internal/node/entry/services.go
+++ b/internal/node/entry/services.go
@@ -89,7 +89,7 @@
 func (e *Entry) apply(v *store.View) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, d := range v.Entries {
+	for _, d := range v.Documents {
 		s := e.services[d.Name]
 		if s == nil {
 			s = newService(d.Name)
@@ -122,7 +122,7 @@
 
 // setDocument puts a document of a service in force. If the document names an unknown key, the last valid
 // document stays in force.
-func (e *Entry) setDocument(s *service, d *store.Entry) {
+func (e *Entry) setDocument(s *service, d *store.Document) {
 	ring, err := rings.New(e.settings.Keys, d.Service)
 	if err != nil {
 		s.count.unusable.Inc()
--- a/internal/node/gate/gate.go
+++ b/internal/node/gate/gate.go
@@ -94,7 +94,7 @@
 			pass.Release()
 		}
 	}
-	return nil, result.Result{Outcome: result.NotRun, Reason: result.Gone}
+	return nil, result.Result{Outcome: result.NotRun, Reason: result.CallerGone}
 }
 
 func (g *Gate) pass(id uint64, res result.Result) (pass *Pass, refused result.Result) {
@@ -120,7 +120,7 @@
 		g.waiting[id] = turn
 	default:
 		turn = nil
-		refused = result.Result{Outcome: result.NotRun, Reason: d.Reason, After: d.RetryAfter}
+		refused = result.Result{Outcome: result.NotRun, Reason: d.Reason, RetryAfter: d.RetryAfter}
 	}
 	g.apply(admit.Change{}) // this request may be the next to expire
 	return id, turn, refused
@@ -147,7 +147,7 @@
 		g.deliver(id, result.Result{Outcome: result.Ran})
 	}
 	for _, r := range c.Refused {
-		g.deliver(r.ID, result.Result{Outcome: result.NotRun, Reason: r.Reason, After: r.RetryAfter})
+		g.deliver(r.ID, result.Result{Outcome: result.NotRun, Reason: r.Reason, RetryAfter: r.RetryAfter})
 	}
 	next := g.admit.NextExpiry()
 	if next.Equal(g.expiry) {
@@ -189,7 +189,7 @@
 	defer g.mu.Unlock()
 	var c admit.Change
 	for _, id := range g.admit.Drain() {
-		c.Refused = append(c.Refused, admit.Refusal{ID: id, Reason: result.LeavingServer})
+		c.Refused = append(c.Refused, admit.Refusal{ID: id, Reason: result.ServerLeaving})
 	}
 	g.apply(c)
 }
--- a/internal/node/start/ready.go
+++ b/internal/node/start/ready.go
@@ -36,7 +36,7 @@
 // is not ready either, because it has no sockets for the other services and their datagrams would be lost.
 func notReadyReason(v *store.View, inForce, missing int) string {
 	switch {
-	case inForce == 0 && len(v.Entries) > 0:
+	case inForce == 0 && len(v.Documents) > 0:
 		return "no document can be used here; the log says why"
 	case inForce == 0 && len(v.Faults) > 0:
 		return "no document is without fault; see section documents of /status"
--- a/internal/node/start/ready_test.go
+++ b/internal/node/start/ready_test.go
@@ -12,7 +12,7 @@
 // document has fetched a valid document but can't use it. An entry with only some of its documents drops
 // what callers of the other services send.
 func TestReadyNeedsAllDocumentsInForce(t *testing.T) {
-	fetched := &store.View{Entries: map[string]*store.Entry{"tracing-core": {}}}
+	fetched := &store.View{Documents: map[string]*store.Document{"tracing-core": {}}}
 	faulty := &store.View{Faults: map[string]*store.Fault{"tracing-core": {}}}
 	for _, c := range []struct {
 		view            *store.View
--- a/internal/node/start/status.go
+++ b/internal/node/start/status.go
@@ -29,7 +29,7 @@
 }
 
 func listDocuments(v *store.View) (list []Document) {
-	for _, e := range v.Entries {
+	for _, e := range v.Documents {
 		d := Document{Name: e.Name, Revision: e.Revision, Source: e.Source, Since: e.At}
 		if f := v.Faults[e.Name]; f != nil {
 			d.Fault, d.Refused = f.Reason, f.Revision
@@ -37,7 +37,7 @@
 		list = append(list, d)
 	}
 	for _, f := range v.Faults {
-		if v.Entries[f.Name] == nil {
+		if v.Documents[f.Name] == nil {
 			list = append(list, Document{Name: f.Name, Fault: f.Reason, Refused: f.Revision})
 		}
 	}
--- a/internal/oper/admin/names_test.go
+++ b/internal/oper/admin/names_test.go
@@ -9,5 +9,5 @@
 // Guards against names in /status that change: operators' tools read them, and the tools of one version ask processes of
 // another during an update.
 func TestNames(t *testing.T) {
-	filled.Names(t, "names.golden", map[string]any{"report": &Report{}, "reason": &Reason{}})
+	filled.AssertRoundTrip(t, "names.golden", map[string]any{"report": &Report{}, "reason": &Reason{}})
 }
--- a/internal/oper/known/known.go
+++ b/internal/oper/known/known.go
@@ -30,10 +30,10 @@
 
 // Verdict is what came out of a run.
 type Verdict struct {
-	Passed, Failed int      // tests, subtests not counted
-	Faults         []string // why the run does not pass
-	Red            []Red    // known, and failed
-	Healed         []Red    // known, and passed
+	Passed, Failed int       // tests, subtests not counted
+	Faults         []string  // why the run does not pass
+	Known          []Failure // known, and failed
+	Passing        []Failure // known, and passed
 }
 
 // Pass says whether nothing failed but what is known to.
@@ -41,10 +41,10 @@
 
 // Print writes the verdict; its last line counts the tests.
 func (v *Verdict) Print(w io.Writer) {
-	for _, r := range v.Red {
-		fmt.Fprintf(w, "known to fail: %s %s | %s | %s | %s\n", r.Test, r.Package, r.Command, r.Seen, r.Issue)
+	for _, r := range v.Known {
+		fmt.Fprintf(w, "known to fail: %s %s | %s | %s | %s\n", r.Test, r.Package, r.Command, r.Observed, r.Issue)
 	}
-	for _, r := range v.Healed {
+	for _, r := range v.Passing {
 		fmt.Fprintf(w, "passed though known to fail, so remove its line: %s %s\n", r.Test, r.Package)
 	}
 	for _, f := range v.Faults {
@@ -88,7 +88,7 @@
 
 // Judge reads the output of go test -json. Status is the exit code of go test. The
 // error is of the reading; faults of the run are in the verdict.
-func Judge(events io.Reader, status int, list []Red) (v *Verdict, err error) {
+func Judge(events io.Reader, status int, list []Failure) (v *Verdict, err error) {
 	defer func() { err = errors.Wrap(err, "read test events") }()
 
 	v = &Verdict{}
@@ -100,7 +100,7 @@
 		v.judge(name, units[name], list)
 	}
 	v.missing(units, list)
-	if status != 0 && len(v.Red) == 0 && v.Pass() {
+	if status != 0 && len(v.Known) == 0 && v.Pass() {
 		v.fault("go test ended with %d and no test says why", status)
 	}
 	if v.Passed == 0 {
@@ -136,7 +136,7 @@
 }
 
 // judge counts the tests of one package and finds its faults.
-func (v *Verdict) judge(name string, u *unit, list []Red) {
+func (v *Verdict) judge(name string, u *unit, list []Failure) {
 	explained := false // the package failed because of a known test
 	for _, test := range sorted(u.tests) {
 		action := u.tests[test]
@@ -173,8 +173,8 @@
 
 // isKnown says whether a failure is known: the test is listed, or is a subtest of a
 // listed one, or failed only because subtests did that are known.
-func (u *unit) isKnown(name, test string, list []Red) bool {
-	if slices.ContainsFunc(list, func(r Red) bool {
+func (u *unit) isKnown(name, test string, list []Failure) bool {
+	if slices.ContainsFunc(list, func(r Failure) bool {
 		return r.Package == name && (r.Test == test || strings.HasPrefix(test, r.Test+"/"))
 	}) {
 		return true
@@ -194,7 +194,7 @@
 
 // missing sorts the known tests into those that failed and those that passed, and
 // reports the rest, which a change of name would hide.
-func (v *Verdict) missing(units map[string]*unit, list []Red) {
+func (v *Verdict) missing(units map[string]*unit, list []Failure) {
 	for _, r := range list {
 		u := units[r.Package]
 		if u == nil {
@@ -203,9 +203,9 @@
 		action, ran := u.tests[r.Test]
 		switch {
 		case action == "fail":
-			v.Red = append(v.Red, r)
+			v.Known = append(v.Known, r)
 		case action == "pass":
-			v.Healed = append(v.Healed, r)
+			v.Passing = append(v.Passing, r)
 		case !ran:
 			v.fault("%s %s is known to fail and was not run", r.Package, r.Test)
 		}
--- a/internal/oper/known/list.go
+++ b/internal/oper/known/list.go
@@ -9,19 +9,19 @@
 // maxRed is how many tests may be known to fail at a time.
 const maxRed = 3
 
-// Red is one test that is known to fail.
-type Red struct {
-	Test    string // with its subtest, if only that one fails
-	Package string // import path
-	Command string // that shows the failure, with its seed
-	Seen    string
-	Issue   string
+// Failure is one test that is known to fail.
+type Failure struct {
+	Test     string // with its subtest, if only that one fails
+	Package  string // import path
+	Command  string // that shows the failure, with its seed
+	Observed string
+	Issue    string
 }
 
 // Parse reads KNOWN-RED.txt: a line for each test, as
 //
 //	TestName package | command and seed | what was seen | issue
-func Parse(text string) (list []Red, err error) {
+func Parse(text string) (list []Failure, err error) {
 	defer func() { err = errors.Wrap(err, "KNOWN-RED.txt") }()
 
 	seen := map[string]bool{}
@@ -46,20 +46,20 @@
 	return list, nil
 }
 
-func parseLine(line string) (r Red, err error) {
+func parseLine(line string) (r Failure, err error) {
 	parts := strings.Split(line, "|")
 	if len(parts) != 4 {
-		return Red{}, errors.New("not four parts with | between them")
+		return Failure{}, errors.New("not four parts with | between them")
 	}
 	for i := range parts {
 		parts[i] = strings.TrimSpace(parts[i])
 		if parts[i] == "" {
-			return Red{}, errors.Newf("part %d is empty", i+1)
+			return Failure{}, errors.Newf("part %d is empty", i+1)
 		}
 	}
 	name := strings.Fields(parts[0])
 	if len(name) != 2 || !strings.HasPrefix(name[0], "Test") {
-		return Red{}, errors.New("the first part is not a test and its package")
+		return Failure{}, errors.New("the first part is not a test and its package")
 	}
-	return Red{Test: name[0], Package: name[1], Command: parts[1], Seen: parts[2], Issue: parts[3]}, nil
+	return Failure{Test: name[0], Package: name[1], Command: parts[1], Observed: parts[2], Issue: parts[3]}, nil
 }
--- a/internal/oper/story/story.go
+++ b/internal/oper/story/story.go
@@ -41,20 +41,20 @@
 	Fields  map[string]any // all others
 }
 
-// Story is what was read of one flow.
-type Story struct {
+// Timeline is what was read of one flow.
+type Timeline struct {
 	Flow    segs.Flow
 	Events  []Event          // of the flow, in order of time
 	Beliefs map[string]Event // by process, the last change of belief before its last event of the flow
-	Lost    map[string]int   // by process, lines left out
+	Dropped map[string]int   // by process, lines left out
 	Lines   int              // events read, of any flow
 	beliefs map[string][]Event
 }
 
 // Read collects the events of a flow from logs.
-func Read(f segs.Flow, logs ...io.Reader) (s *Story, err error) {
+func Read(f segs.Flow, logs ...io.Reader) (s *Timeline, err error) {
 	defer func() { err = errors.Wrap(err, "read log lines") }()
-	s = &Story{Flow: f, Beliefs: map[string]Event{}, Lost: map[string]int{}, beliefs: map[string][]Event{}}
+	s = &Timeline{Flow: f, Beliefs: map[string]Event{}, Dropped: map[string]int{}, beliefs: map[string][]Event{}}
 	for _, r := range logs {
 		lines := bufio.NewScanner(r)
 		lines.Buffer(nil, maxLine)
@@ -76,7 +76,7 @@
 	return s, nil
 }
 
-func (s *Story) take(line []byte) {
+func (s *Timeline) take(line []byte) {
 	at := bytes.IndexByte(line, '{')
 	if at < 0 {
 		return
@@ -94,7 +94,7 @@
 		s.beliefs[e.Process] = append(s.beliefs[e.Process], e)
 	case e.Name == "log-dropped":
 		count, _ := e.Fields["lines"].(float64)
-		s.Lost[e.Process] += int(count)
+		s.Dropped[e.Process] += int(count)
 	}
 }
 
@@ -113,7 +113,7 @@
 }
 
 // Print tells the story.
-func (s *Story) Print(w io.Writer) {
+func (s *Timeline) Print(w io.Writer) {
 	fmt.Fprintf(w, "flow %s: %d events in %d lines\n", s.Flow, len(s.Events), s.Lines)
 	for _, e := range s.Events {
 		fmt.Fprintf(w, "%s  %-20s %-12s %s\n", e.Time, e.Process, e.Name, details(e.Fields))
@@ -158,7 +158,7 @@
 	"circled":     "passed on too often and dropped: lists of agents differ between processes",
 }
 
-func (s *Story) end() string {
+func (s *Timeline) end() string {
 	if len(s.Events) == 0 {
 		return "unknown"
 	}
@@ -170,7 +170,7 @@
 }
 
 // missing says what these lines can't tell.
-func (s *Story) missing() (list []string) {
+func (s *Timeline) missing() (list []string) {
 	if len(s.Events) == 0 {
 		list = append(list, "any event of this flow: it is none of those whose ordinary events are written (one in sixteen), and nothing failed; "+
 			"or the lines of the process that took it aren't here")
@@ -181,8 +181,8 @@
 	if has("opened") && !has("placed") {
 		list = append(list, "placed: the entry's lines aren't here, or it was killed before they were written")
 	}
-	for _, p := range slices.Sorted(maps.Keys(s.Lost)) {
-		list = append(list, fmt.Sprintf("%d lines of %s, left out for its budget", s.Lost[p], p))
+	for _, p := range slices.Sorted(maps.Keys(s.Dropped)) {
+		list = append(list, fmt.Sprintf("%d lines of %s, left out for its budget", s.Dropped[p], p))
 	}
 	return list
 }
--- a/internal/work/hand/answer.go
+++ b/internal/work/hand/answer.go
@@ -12,8 +12,8 @@
 	"mangowinch/internal/work/wire"
 )
 
-// ErrGone is what a runner gets for the answer to a request that nobody waits for.
-var ErrGone = errors.New("the answer is not wanted any more")
+// ErrAbandoned is what a runner gets for the answer to a request that nobody waits for.
+var ErrAbandoned = errors.New("the answer is not wanted any more")
 
 // downAnswer sends an answer to the sender of a request. Once the request is cancelled
 // or past its deadline nothing more is sent: the stream may already serve another.
@@ -22,7 +22,7 @@
 	//nolint:containedctx // it belongs to one request, like the stream
 	ctx    context.Context
 	server *Server
-	keeper *memo.Keeper // nil if the answer is not kept
+	keeper *memo.Recorder // nil if the answer is not kept
 
 	mu   sync.Mutex // the upload sends credits on the same stream
 	lost bool       // the link broke; the answer is kept all the same
@@ -56,7 +56,7 @@
 func (a *downAnswer) send(d *wire.Down) error {
 	if a.ctx.Err() != nil {
 		event("late", a.server.Service)
-		return ErrGone
+		return ErrAbandoned
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -64,7 +64,7 @@
 		a.lost = a.stream.Send(d) != nil
 	}
 	if a.lost && a.keeper == nil {
-		return ErrGone
+		return ErrAbandoned
 	}
 	return nil
 }
--- a/internal/work/hand/ask.go
+++ b/internal/work/hand/ask.go
@@ -22,7 +22,7 @@
 func (x *exchange) lost(ctx context.Context) result.Result {
 	event("lost", x.client.service)
 	if x.request.Idempotent {
-		return unknown(result.PeerLost)
+		return unknown(result.PeerUnreachable)
 	}
 	ctx, cancel := context.WithDeadline(ctx, x.request.Deadline)
 	defer cancel()
@@ -30,7 +30,7 @@
 		if try > 0 {
 			select {
 			case <-ctx.Done():
-				return unknown(result.PeerLost)
+				return unknown(result.PeerUnreachable)
 			case <-time.After(askPause << (try - 1)):
 			}
 		}
@@ -38,7 +38,7 @@
 			return end
 		}
 	}
-	return unknown(result.PeerLost)
+	return unknown(result.PeerUnreachable)
 }
 
 // ask puts the question once. It reports false if no answer came.
@@ -46,7 +46,7 @@
 	l, err := x.link.peer.same(ctx, x.link.process)
 	if errors.Is(err, errOther) {
 		// Restarted: its memory went with the process that may have run the request.
-		return unknown(result.PeerLost), true
+		return unknown(result.PeerUnreachable), true
 	}
 	if err != nil {
 		return result.Result{}, false
@@ -78,7 +78,7 @@
 			return decodeEnd(e, x.request.Key != ""), true
 		}
 		if x.answer.take(d) != nil {
-			return unknown(result.Gone), true
+			return unknown(result.CallerGone), true
 		}
 	}
 }
@@ -128,7 +128,7 @@
 	defer s.mu.Unlock()
 	defer func() { s.closed = s.closed || err != nil }()
 	if s.closed {
-		return ErrGone
+		return ErrAbandoned
 	}
 	switch p := d.Part.(type) {
 	case *wire.Down_Start:
--- a/internal/work/hand/bench_test.go
+++ b/internal/work/hand/bench_test.go
@@ -20,7 +20,7 @@
 // and answer, both ends in this process.
 func BenchmarkHand(b *testing.B) {
 	f := newFar(b, "tracing-core", 1)
-	f.server.Memory = memo.New(memo.Limits{Records: 1 << 30, Bytes: 1 << 40, Answer: 1 << 10})
+	f.server.Outcomes = memo.New(memo.Limits{Records: 1 << 30, Bytes: 1 << 40, Answer: 1 << 10})
 	f.handle = func(_ context.Context, _ *Request, a Answer) result.Result {
 		_ = a.Start(http.StatusOK, nil)
 		_, _ = a.Write([]byte("case 12"))
@@ -36,7 +36,7 @@
 		r := claim("/claim/7")
 		r.Deadline = time.Now().Add(time.Minute)
 		r.Body, r.Length = strings.NewReader("form"), 4
-		if end := c.Hand(b.Context(), to, r, &taker{}); end.Outcome != result.Ran {
+		if end := c.HandOver(b.Context(), to, r, &taker{}); end.Outcome != result.Ran {
 			b.Fatal(end)
 		}
 	}
--- a/internal/work/hand/body.go
+++ b/internal/work/hand/body.go
@@ -7,9 +7,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// KeptBody is how much of a body a Body can give again: what may be under way when the
+// MaxReplay is how much of a body a Body can give again: what may be under way when the
 // receiver refuses, before it has read any of it.
-const KeptBody = (window + 1) * partSize
+const MaxReplay = (window + 1) * partSize
 
 // ErrConsumed is given by a reader of a body whose beginning is gone.
 var ErrConsumed = errors.New("body can't be read again")
@@ -28,8 +28,8 @@
 // NewBody wraps the body as it came from the caller.
 func NewBody(source io.Reader) *Body { return &Body{source: source} }
 
-// Again reports whether a new reader could start at the beginning.
-func (b *Body) Again() bool {
+// CanReplay reports whether a new reader could start at the beginning.
+func (b *Body) CanReplay() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.read == int64(len(b.kept))
@@ -75,7 +75,7 @@
 	n, err := b.source.Read(p)
 	b.err = err
 	// A reader that was closed while it waited leaves what it got to the next one.
-	if whole := b.read == int64(len(b.kept)); whole && (r.isClosed() || len(b.kept)+n <= KeptBody) {
+	if whole := b.read == int64(len(b.kept)); whole && (r.isClosed() || len(b.kept)+n <= MaxReplay) {
 		b.kept = append(b.kept, p[:n]...)
 	}
 	b.read += int64(n)
--- a/internal/work/hand/client.go
+++ b/internal/work/hand/client.go
@@ -32,9 +32,9 @@
 	return &Client{service: service, ring: ring, dial: dial, report: report, peers: map[netip.AddrPort]*peer{}}
 }
 
-// Keep closes the idle links to all agents but the given ones. It is called with each
+// Retain closes the idle links to all agents but the given ones. It is called with each
 // new document, so that what is held for addresses is bounded by the document.
-func (c *Client) Keep(agents []netip.AddrPort) {
+func (c *Client) Retain(agents []netip.AddrPort) {
 	known := make(map[netip.AddrPort]bool, len(agents))
 	for _, a := range agents {
 		known[a] = true
@@ -64,7 +64,7 @@
 	return p
 }
 
-// Hand gives a request to the agent at an address and its answer to a. It returns at
+// HandOver gives a request to the agent at an address and its answer to a. It returns at
 // the deadline or when ctx ends, whatever the other agent does.
 //
 // NotRun means that the request did not run at that agent and never will; it may be
@@ -72,13 +72,13 @@
 // under the key. After Unknown only an idempotent
 // request may. An answer may have been started whatever the outcome; it is whole only
 // after Ran without a reason. Writes of a must fail once ctx has ended.
-func (c *Client) Hand(ctx context.Context, to netip.AddrPort, r *Request, a Answer) (end result.Result) {
+func (c *Client) HandOver(ctx context.Context, to netip.AddrPort, r *Request, a Answer) (end result.Result) {
 	defer func() { count("ends", c.service, "near", end) }()
 	if r.Hops >= MaxHops {
-		return r.unsent(result.Hops)
+		return r.unsent(result.TooManyHops)
 	}
 	if ctx.Err() != nil {
-		return r.unsent(result.Gone)
+		return r.unsent(result.CallerGone)
 	}
 	p := c.peer(to)
 	dialing, cancel := context.WithDeadline(ctx, r.Deadline)
@@ -86,7 +86,7 @@
 	l, err := p.take(dialing)
 	if err != nil {
 		event("unreached", c.service)
-		return r.unsent(result.PeerLost)
+		return r.unsent(result.PeerUnreachable)
 	}
 	// The time is taken here once more: the process may have been paused since. Up to
 	// this point nothing of the request has left.
--- a/internal/work/hand/codec.go
+++ b/internal/work/hand/codec.go
@@ -25,7 +25,7 @@
 		Load:    load,
 		Outcome: outcomes[r.Outcome],
 		Reason:  string(r.Reason),
-		After:   uint64(max(r.After, 0).Milliseconds()),
+		After:   uint64(max(r.RetryAfter, 0).Milliseconds()),
 	}}}
 }
 
@@ -33,7 +33,7 @@
 // believed only on the runner's word: that this try of the request did not run says
 // nothing of an earlier one, which its caller is asking about.
 func decodeEnd(e *wire.End, keyed bool) result.Result {
-	r := result.Result{Reason: result.Reason(e.Reason), After: time.Duration(min(e.After, 1<<40)) * time.Millisecond}
+	r := result.Result{Reason: result.Reason(e.Reason), RetryAfter: time.Duration(min(e.After, 1<<40)) * time.Millisecond}
 	switch e.Outcome {
 	case wire.Outcome_RAN:
 		r.Outcome = result.Ran
--- a/internal/work/hand/exchange.go
+++ b/internal/work/hand/exchange.go
@@ -40,7 +40,7 @@
 		x.stop()
 		x.link.close()
 		event("unreached", x.client.service)
-		return x.request.unsent(result.PeerLost)
+		return x.request.unsent(result.PeerUnreachable)
 	}
 	x.stream = stream
 	head, err := seal(x.client.ring(), headSeal, encodeHead(x.request, x.link.process, x.link.deadline(now, left)))
@@ -48,7 +48,7 @@
 		x.stop()
 		x.link.close()
 		event("damaged", x.client.service)
-		return x.request.unsent(result.PeerLost)
+		return x.request.unsent(result.PeerUnreachable)
 	}
 	if err := stream.Send(&wire.Up{Part: &wire.Up_Head{Head: head}}); err != nil {
 		// Some of it may have arrived.
@@ -72,7 +72,7 @@
 			switch {
 			case got.gone:
 				go x.cancel(nil)
-				return unknown(result.Gone)
+				return unknown(result.CallerGone)
 			case got.err != nil:
 				x.stop()
 				x.link.close()
@@ -88,7 +88,7 @@
 		case <-ctx.Done():
 			x.answer.shut()
 			go x.cancel(down)
-			return unknown(result.Gone)
+			return unknown(result.CallerGone)
 		case <-due:
 			x.answer.shut()
 			go x.cancel(down)
--- a/internal/work/hand/fake_test.go
+++ b/internal/work/hand/fake_test.go
@@ -49,15 +49,15 @@
 // echo reads the whole body, runs, and answers with the path and the body.
 func (f *runner) echo(ctx context.Context, r *Request, a Answer) result.Result {
 	body, err := io.ReadAll(r.Body)
-	if err != nil || ctx.Err() != nil || r.Late(time.Now()) {
-		return notRun(result.Gone)
+	if err != nil || ctx.Err() != nil || r.Expired(time.Now()) {
+		return notRun(result.CallerGone)
 	}
 	f.log(r.Path)
 	if a.Start(http.StatusOK, http.Header{"From": {"far"}}) != nil {
-		return unknown(result.Gone)
+		return unknown(result.CallerGone)
 	}
 	if _, err := a.Write(append([]byte(r.Path+" "), body...)); err != nil {
-		return unknown(result.Gone)
+		return unknown(result.CallerGone)
 	}
 	return result.Result{Outcome: result.Ran}
 }
@@ -72,7 +72,7 @@
 func newFar(t assert.TestingT, service string, incarnation uint64) *far {
 	f := &far{runner: &runner{ran: map[string]int{}}, mux: drpcmux.New()}
 	f.handle = f.echo
-	f.server = &Server{Service: service, Incarnation: incarnation, Start: time.Now(), Ring: ringOf(t, "0123456789abcdef"), Runner: f, Memory: memo.New(memo.DefaultLimits)}
+	f.server = &Server{Service: service, Incarnation: incarnation, Start: time.Now(), Ring: ringOf(t, "0123456789abcdef"), Runner: f, Outcomes: memo.New(memo.DefaultLimits)}
 	assert.NilError(t, Register(f.mux, f.server))
 	return f
 }
--- a/internal/work/hand/fleet_test.go
+++ b/internal/work/hand/fleet_test.go
@@ -76,7 +76,7 @@
 	kill        context.CancelFunc
 	view        *once.View
 	guard       *once.Guard
-	spreader    *spread.Spreader
+	spreader    *spread.Dispatcher
 	mux         *drpcmux.Mux
 	nonce       uint64
 }
@@ -104,10 +104,10 @@
 	n.view = &once.View{Ring: ring, Owner: owner, Servers: f.document.Servers}
 	rings := func() *token.Ring { return ring }
 	client := hand.NewClient(f.document.Name, rings, n.dial, nil)
-	n.guard = &once.Guard{View: func() *once.View { return n.view }, Memory: memo.New(f.limits), Client: client}
+	n.guard = &once.Guard{View: func() *once.View { return n.view }, Outcomes: memo.New(f.limits), Client: client}
 	n.spreader = spread.New(place.Self{ID: id}, client, func() place.Hint { return place.Hint{} })
 	n.spreader.SetServers(f.document)
-	server := &hand.Server{Service: f.document.Name, Incarnation: incarnation, Start: time.Now(), Ring: rings, Runner: n, Memory: memo.New(f.limits)}
+	server := &hand.Server{Service: f.document.Name, Incarnation: incarnation, Start: time.Now(), Ring: rings, Runner: n, Outcomes: memo.New(f.limits)}
 	assert.NilError(t, hand.Register(n.mux, server))
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -194,25 +194,25 @@
 	}
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return result.Result{Outcome: result.NotRun, Reason: result.Gone}
+		return result.Result{Outcome: result.NotRun, Reason: result.CallerGone}
 	}
-	if !sleep(ctx, b.waits) || n.ctx.Err() != nil || r.Late(time.Now()) {
-		return result.Result{Outcome: result.NotRun, Reason: result.Gone}
+	if !sleep(ctx, b.waits) || n.ctx.Err() != nil || r.Expired(time.Now()) {
+		return result.Result{Outcome: result.NotRun, Reason: result.CallerGone}
 	}
 	n.fleet.mu.Lock()
 	n.fleet.log = append(n.fleet.log, execution{n.server.ID, r.Path})
 	n.fleet.mu.Unlock()
 	if !sleep(ctx, b.takes) || n.ctx.Err() != nil {
-		return result.Result{Outcome: result.Unknown, Reason: result.Gone}
+		return result.Result{Outcome: result.Unknown, Reason: result.CallerGone}
 	}
 	if b.dies {
-		return result.Result{Outcome: result.Unknown, Reason: result.ServerLost}
+		return result.Result{Outcome: result.Unknown, Reason: result.ServerDisconnected}
 	}
 	if a.Start(http.StatusOK, http.Header{}) != nil {
-		return result.Result{Outcome: result.Unknown, Reason: result.Gone}
+		return result.Result{Outcome: result.Unknown, Reason: result.CallerGone}
 	}
 	if _, err := a.Write(append([]byte("case for "), body...)); err != nil {
-		return result.Result{Outcome: result.Unknown, Reason: result.Gone}
+		return result.Result{Outcome: result.Unknown, Reason: result.CallerGone}
 	}
 	return result.Result{Outcome: result.Ran}
 }
@@ -250,7 +250,7 @@
 	defer cancel()
 	end = n.Run(ctx, r, a)
 	if n.ctx.Err() != nil {
-		return result.Result{Outcome: result.Unknown, Reason: result.Gone}, ""
+		return result.Result{Outcome: result.Unknown, Reason: result.CallerGone}, ""
 	}
 	return end, a.String()
 }
--- a/internal/work/hand/hand.go
+++ b/internal/work/hand/hand.go
@@ -48,9 +48,9 @@
 	// run, expired" is back before the near side has to give up with "unknown".
 	HopMargin = 10 * time.Millisecond
 
-	// FeedMemory is how long the outcome of a feed is remembered after its first byte
+	// FeedRetention is how long the outcome of a feed is remembered after its first byte
 	// was due, and the deadline of a request that has none.
-	FeedMemory = 30 * time.Second
+	FeedRetention = 30 * time.Second
 
 	partSize  = 16 << 10 // bytes of body in one message: one part keeps a 1 Gbit/s link busy for 0.13 ms
 	window    = 4        // parts under way before the receiver grants more: 64 KB a request
@@ -77,10 +77,10 @@
 	Placed     bool   // another agent chose this one for it; it is not placed again
 }
 
-// Late reports whether the deadline has passed. A runner asks it right before the
+// Expired reports whether the deadline has passed. A runner asks it right before the
 // first byte to a backend server leaves: after a pause of the whole process, timers
 // fire in no order, so a context may not be cancelled yet.
-func (r *Request) Late(now time.Time) bool { return !now.Before(r.Deadline) }
+func (r *Request) Expired(now time.Time) bool { return !now.Before(r.Deadline) }
 
 // Answer takes an answer as it comes. An error from it means that nobody wants the
 // rest.
--- a/internal/work/hand/hand_test.go
+++ b/internal/work/hand/hand_test.go
@@ -26,7 +26,7 @@
 			r, a := claim("/upload"), &taker{}
 			body := bytes.Repeat([]byte("x"), size)
 			r.Body = bytes.NewReader(body)
-			assert.Equal(t, c.Hand(t.Context(), address, r, a), ran)
+			assert.Equal(t, c.HandOver(t.Context(), address, r, a), ran)
 			assert.Equal(t, a.got(), "/upload "+string(body))
 			synctest.Wait()
 		}
@@ -53,7 +53,7 @@
 					}
 					r, a := claim("/claim/7"), &taker{}
 					r.Body = strings.NewReader(strings.Repeat("form", 20))
-					end := c.Hand(t.Context(), address, r, a)
+					end := c.HandOver(t.Context(), address, r, a)
 					time.Sleep(3 * time.Second)
 					synctest.Wait()
 
@@ -82,14 +82,14 @@
 func TestOldLinkIsReadAfterTheQuestion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, f, n := world(t)
-		assert.Equal(t, c.Hand(t.Context(), address, claim("/warm"), &taker{}), ran)
+		assert.Equal(t, c.HandOver(t.Context(), address, claim("/warm"), &taker{}), ran)
 		synctest.Wait()
 		release := n.hold()
 		go func() {
 			time.Sleep(100 * time.Millisecond)
 			n.links[0].Break()
 		}()
-		assert.Equal(t, c.Hand(t.Context(), address, claim("/claim/7"), &taker{}), notRun(result.PeerLost))
+		assert.Equal(t, c.HandOver(t.Context(), address, claim("/claim/7"), &taker{}), notRun(result.PeerUnreachable))
 		assert.Equal(t, len(n.links), 2)
 		release()
 		time.Sleep(time.Second)
@@ -107,9 +107,9 @@
 			n.replace(newFar(t, "tracing-core", 2))
 			n.cutAll()
 			time.Sleep(time.Minute) // the old process never gets to answer
-			return unknown(result.Gone)
+			return unknown(result.CallerGone)
 		}
-		assert.Equal(t, c.Hand(t.Context(), address, claim("/claim/7"), &taker{}), unknown(result.PeerLost))
+		assert.Equal(t, c.HandOver(t.Context(), address, claim("/claim/7"), &taker{}), unknown(result.PeerUnreachable))
 		assert.Equal(t, f.runs("/claim/7"), 1)
 		assert.Equal(t, n.far.runs("/claim/7"), 0)
 	})
@@ -128,7 +128,7 @@
 			return f.echo(ctx, r, a)
 		}
 		a := &taker{}
-		assert.Equal(t, c.Hand(t.Context(), address, claim("/claim/7"), a), ran)
+		assert.Equal(t, c.HandOver(t.Context(), address, claim("/claim/7"), a), ran)
 		assert.Equal(t, a.got(), "/claim/7 ")
 		assert.Equal(t, f.runs("/claim/7")+successor.runs("/claim/7"), 1)
 	})
@@ -143,7 +143,7 @@
 		f.handle = func(ctx context.Context, _ *Request, _ Answer) result.Result {
 			<-ctx.Done()
 			freed <- context.Cause(ctx)
-			return unknown(result.Gone)
+			return unknown(result.CallerGone)
 		}
 		ctx, hangUp := context.WithCancel(t.Context())
 		go func() {
@@ -152,7 +152,7 @@
 		}()
 		r := claim("/claim/7")
 		r.Body = strings.NewReader(strings.Repeat("x", 100*partSize)) // nobody reads it
-		assert.Equal(t, c.Hand(ctx, address, r, &taker{}), unknown(result.Gone))
+		assert.Equal(t, c.HandOver(ctx, address, r, &taker{}), unknown(result.CallerGone))
 		synctest.Wait()
 		assert.ErrorIs(t, <-freed, errCancelled)
 		assert.Assert(t, time.Now().Before(r.Deadline))
@@ -169,13 +169,13 @@
 			n.cutAll()
 			select {
 			case <-ctx.Done():
-				return unknown(result.Gone)
+				return unknown(result.CallerGone)
 			case <-time.After(time.Second):
 			}
 			return f.echo(ctx, r, a)
 		}
 		a := &taker{}
-		assert.Equal(t, c.Hand(t.Context(), address, claim("/claim/7"), a), ran)
+		assert.Equal(t, c.HandOver(t.Context(), address, claim("/claim/7"), a), ran)
 		assert.Equal(t, a.got(), "/claim/7 ")
 		assert.Equal(t, f.runs("/claim/7"), 1)
 	})
@@ -193,7 +193,7 @@
 			return f.echo(ctx, r, a)
 		}
 		r := claim("/claim/7")
-		assert.Equal(t, c.Hand(t.Context(), address, r, &taker{}), ran)
+		assert.Equal(t, c.HandOver(t.Context(), address, r, &taker{}), ran)
 		assert.Equal(t, far, r.Deadline.Add(-HopMargin))
 	})
 }
@@ -204,10 +204,10 @@
 func TestFrozenReceiverWakesAfterTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, f, n := world(t)
-		assert.Equal(t, c.Hand(t.Context(), address, claim("/warm"), &taker{}), ran)
+		assert.Equal(t, c.HandOver(t.Context(), address, claim("/warm"), &taker{}), ran)
 		synctest.Wait()
 		wake := n.hold()
-		assert.Equal(t, c.Hand(t.Context(), address, claim("/claim/7"), &taker{}), unknown(result.Expired))
+		assert.Equal(t, c.HandOver(t.Context(), address, claim("/claim/7"), &taker{}), unknown(result.Expired))
 		time.Sleep(time.Minute)
 		wake()
 		time.Sleep(time.Minute)
@@ -221,7 +221,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c, _, n := world(t)
 		n.far = newFar(t, "doc-intake", 7)
-		assert.Equal(t, c.Hand(t.Context(), address, claim("/claim/7"), &taker{}), notRun(result.PeerLost))
+		assert.Equal(t, c.HandOver(t.Context(), address, claim("/claim/7"), &taker{}), notRun(result.PeerUnreachable))
 		assert.Equal(t, n.far.runs("/claim/7"), 0)
 	})
 }
@@ -232,7 +232,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		_, f, n := world(t)
 		stranger := NewClient("tracing-core", ringOf(t, "fedcba9876543210"), n.dial, nil)
-		end := stranger.Hand(t.Context(), address, claim("/claim/7"), &taker{})
+		end := stranger.HandOver(t.Context(), address, claim("/claim/7"), &taker{})
 		assert.Equal(t, end, notRun(result.OtherService))
 		assert.Equal(t, f.runs("/claim/7"), 0)
 		ring := ringOf(t, "0123456789abcdef")()
@@ -262,7 +262,7 @@
 		r.Feed, r.Idempotent = true, true
 		start := time.Now()
 		done := make(chan result.Result, 1)
-		go func() { done <- c.Hand(t.Context(), address, r, a) }()
+		go func() { done <- c.HandOver(t.Context(), address, r, a) }()
 		<-a.wrote
 		assert.Equal(t, time.Since(start), time.Hour)
 		assert.Equal(t, <-done, ran)
@@ -276,7 +276,7 @@
 		c, f, _ := world(t)
 		r := claim("/claim/7")
 		r.Hops = MaxHops
-		assert.Equal(t, c.Hand(t.Context(), address, r, &taker{}), notRun(result.Hops))
+		assert.Equal(t, c.HandOver(t.Context(), address, r, &taker{}), notRun(result.TooManyHops))
 		assert.Equal(t, f.runs("/claim/7"), 0)
 	})
 }
@@ -291,30 +291,30 @@
 		b := NewBody(strings.NewReader(form))
 		r := claim("/upload")
 		r.Body = b.Reader()
-		assert.Equal(t, c.Hand(t.Context(), address, r, &taker{}), notRun(result.QueueFull))
-		assert.Assert(t, b.Again())
+		assert.Equal(t, c.HandOver(t.Context(), address, r, &taker{}), notRun(result.QueueFull))
+		assert.Assert(t, b.CanReplay())
 
 		synctest.Wait()
-		c.Keep(nil)
+		c.Retain(nil)
 		n.replace(nil)
 		r = claim("/upload")
 		r.Body = b.Reader()
-		assert.Equal(t, c.Hand(t.Context(), address, r, &taker{}), notRun(result.PeerLost))
-		assert.Assert(t, b.Again())
+		assert.Equal(t, c.HandOver(t.Context(), address, r, &taker{}), notRun(result.PeerUnreachable))
+		assert.Assert(t, b.CanReplay())
 
 		n.replace(newFar(t, "tracing-core", 3))
 		r, a := claim("/upload"), &taker{}
 		r.Body = b.Reader()
-		assert.Equal(t, c.Hand(t.Context(), address, r, a), ran)
+		assert.Equal(t, c.HandOver(t.Context(), address, r, a), ran)
 		assert.Equal(t, len(a.got()), len("/upload ")+len(form))
-		assert.Assert(t, !b.Again())
+		assert.Assert(t, !b.CanReplay())
 	})
 }
 
 // Story: a feed is handed to another agent, whose server answers at once. The feed was
 // cut at the deadline for its first byte, though it had come: the sender began to
 // listen for the start after it had been delivered, and never heard of it.
-func TestStartBeforeAnybodyListens(t *testing.T) {
+func TestAnswerStartsBeforeListener(t *testing.T) {
 	s := &resume{answer: &taker{}}
 	assert.NilError(t, s.take(&wire.Down{Part: &wire.Down_Start{Start: &wire.Start{Status: http.StatusOK}}}))
 	select {
--- a/internal/work/hand/server.go
+++ b/internal/work/hand/server.go
@@ -21,7 +21,7 @@
 	Start       time.Time          // of the process, with its monotonic reading
 	Ring        func() *token.Ring // of the document in force
 	Runner      Runner
-	Memory      *memo.Memo        // of IDs; another one than that of request keys
+	Outcomes    *memo.Store       // of IDs; another one than that of request keys
 	Load        func() place.Hint // of the own server, told with each end; nil: nothing is told
 }
 
@@ -89,7 +89,7 @@
 		return answer.end(s.run(stream, r, answer), true)
 	}
 
-	switch d := s.Memory.Begin(now, memo.Call{ID: r.ID, Head: r.digest(), Until: s.until(r)}); d.Verdict {
+	switch d := s.Outcomes.Begin(now, memo.Call{ID: r.ID, Head: r.digest(), Until: s.until(r)}); d.Verdict {
 	case memo.Run:
 		return answer.end(s.runOnce(stream, r, answer), true)
 	case memo.Refused:
@@ -114,7 +114,7 @@
 // its deadline, but nobody asks once its first byte is there.
 func (s *Server) until(r *Request) time.Time {
 	if r.Feed {
-		return r.Deadline.Add(FeedMemory)
+		return r.Deadline.Add(FeedRetention)
 	}
 	return r.Deadline
 }
@@ -129,10 +129,10 @@
 	case incarnation != s.Incarnation:
 		// Meant for the process before this one. Nothing was run here, and the sender
 		// has sent this head once only.
-		end = notRun(result.PeerLost)
+		end = notRun(result.PeerUnreachable)
 	case r.Hops > MaxHops:
-		end = notRun(result.Hops)
-	case r.Late(now):
+		end = notRun(result.TooManyHops)
+	case r.Expired(now):
 		end = notRun(result.Expired)
 	default:
 		return nil
@@ -145,8 +145,8 @@
 // runner panics the outcome is unknown.
 func (s *Server) runOnce(stream wire.DRPCHand_RunStream, r *Request, answer *downAnswer) (end result.Result) {
 	outcome := memo.Outcome{}
-	defer func() { s.Memory.Finish(time.Now(), r.ID, outcome) }()
-	answer.keeper = memo.NewKeeper(s.Memory.AnswerLimit())
+	defer func() { s.Outcomes.Finish(time.Now(), r.ID, outcome) }()
+	answer.keeper = memo.NewRecorder(s.Outcomes.AnswerLimit())
 	end = s.run(stream, r, answer)
 	outcome.Result = end
 	if end.Outcome == result.Ran {
@@ -193,13 +193,13 @@
 	}
 	event("asked", s.Service)
 	if q.Incarnation != s.Incarnation {
-		return answer.end(unknown(result.PeerLost), false)
+		return answer.end(unknown(result.PeerUnreachable), false)
 	}
 	if len(q.Id) != idSize || q.Time == nil {
 		return s.refuse(errors.New("question without ID or deadline"))
 	}
 	now := time.Now()
-	d := s.Memory.Ask(now, string(q.Id), s.deadline(now, q.Time))
+	d := s.Outcomes.Query(now, string(q.Id), s.deadline(now, q.Time))
 	if d.Verdict == memo.Refused {
 		return answer.end(d.Result, false)
 	}
--- a/internal/work/hand/story_test.go
+++ b/internal/work/hand/story_test.go
@@ -32,7 +32,7 @@
 		key := f.issue(1)
 		for _, agent := range []uint32{1, 1, 2, 3} {
 			end, _ := f.call(agent, widow, key)
-			assert.Equal(t, end, result.Result{Outcome: result.Unknown, Reason: result.ServerLost})
+			assert.Equal(t, end, result.Result{Outcome: result.Unknown, Reason: result.ServerDisconnected})
 		}
 		assert.Equal(t, f.runs(widow), 1)
 	})
@@ -49,7 +49,7 @@
 		time.Sleep(10 * time.Millisecond)
 		f.partition(1, true)
 		end, _ := f.call(2, widow, key)
-		assert.Equal(t, end, result.Result{Outcome: result.Unknown, Reason: result.OwnerGone, After: token.ComeBack})
+		assert.Equal(t, end, result.Result{Outcome: result.Unknown, Reason: result.OwnerUnavailable, RetryAfter: token.RetryAfter})
 		other, _ := f.call(2, "/claim/other", f.issue(2))
 		assert.Equal(t, other.Outcome, result.Ran)
 
@@ -73,7 +73,7 @@
 		f.start(t, 1, 2)
 		for agent := uint32(1); agent <= agents; agent++ {
 			end, _ = f.call(agent, widow, key)
-			assert.Equal(t, end, result.Result{Outcome: result.Unknown, Reason: result.OwnerGone})
+			assert.Equal(t, end, result.Result{Outcome: result.Unknown, Reason: result.OwnerUnavailable})
 		}
 		assert.Equal(t, f.runs(widow), 1)
 	})
@@ -160,7 +160,7 @@
 		end, body := f.call(1, widow, key)
 		same(t, end, body)
 		end, _ = f.call(1, "/claim/8", f.issue(1))
-		assert.Equal(t, end, result.Result{Outcome: result.NotRun, Reason: result.MemoryFull})
+		assert.Equal(t, end, result.Result{Outcome: result.NotRun, Reason: result.StoreFull})
 		assert.Equal(t, f.runs("/claim/8"), 0)
 		end, body = f.call(1, widow, key)
 		same(t, end, body)
@@ -178,7 +178,7 @@
 		end, _ = f.call(1, "/claim/8", key)
 		assert.Equal(t, end, result.Result{Outcome: result.NotRun, Reason: result.KeyReused})
 		end, _ = f.call(1, widow, key[:len(key)-4])
-		assert.Equal(t, end, result.Result{Outcome: result.Unknown, Reason: result.KeyBad})
+		assert.Equal(t, end, result.Result{Outcome: result.Unknown, Reason: result.KeyInvalid})
 		assert.Equal(t, f.runs("/claim/8"), 0)
 		assert.Equal(t, f.runs(widow), 1)
 	})
--- a/internal/work/hand/upload.go
+++ b/internal/work/hand/upload.go
@@ -12,7 +12,7 @@
 
 var (
 	errLinkLost  = errors.New("link to the sender lost")
-	errCancelled = errors.Newf("sender cancelled: %s", result.Gone)
+	errCancelled = errors.Newf("sender cancelled: %s", result.CallerGone)
 	errTooMuch   = errors.New("sender sent more than was granted")
 )
 
--- a/internal/work/memo/answer.go
+++ b/internal/work/memo/answer.go
@@ -33,25 +33,25 @@
 	return n
 }
 
-// Keeper collects an answer while it streams to the first caller, up to a limit.
+// Recorder collects an answer while it streams to the first caller, up to a limit.
 // Beyond it the Keeper holds nothing, so that a long answer costs no memory.
-type Keeper struct {
+type Recorder struct {
 	limit  int
 	answer Answer
 	over   bool
 }
 
-// NewKeeper gives a Keeper for answers of up to limit bytes.
-func NewKeeper(limit int) *Keeper { return &Keeper{limit: limit} }
+// NewRecorder gives a Keeper for answers of up to limit bytes.
+func NewRecorder(limit int) *Recorder { return &Recorder{limit: limit} }
 
 // Start notes status and headers.
-func (k *Keeper) Start(status int, header http.Header) {
+func (k *Recorder) Start(status int, header http.Header) {
 	k.answer = Answer{Status: status, Header: header.Clone()}
 	k.over = k.answer.size() > k.limit
 }
 
 // Write notes a part of the body. It never fails.
-func (k *Keeper) Write(p []byte) (int, error) {
+func (k *Recorder) Write(p []byte) (int, error) {
 	if k.over || len(k.answer.Body)+len(p) > k.limit {
 		k.over, k.answer.Body = true, nil
 		return len(p), nil
@@ -61,17 +61,17 @@
 }
 
 // Answer gives the whole answer, or nil if there was none or it went over the limit.
-func (k *Keeper) Answer() *Answer {
+func (k *Recorder) Answer() *Answer {
 	if k.over || k.answer.Status == 0 {
 		return nil
 	}
 	return &k.answer
 }
 
-// Repeated gives the outcome as a repeat with the given body is to get it. The body's
+// ForRepeat gives the outcome as a repeat with the given body is to get it. The body's
 // digest is known only once it has been read, so a key that comes with another body
 // is noticed here and not in Begin.
-func (o Outcome) Repeated(body Digest) (Outcome, bool) {
+func (o Outcome) ForRepeat(body Digest) (Outcome, bool) {
 	if o.Body != (Digest{}) && body != (Digest{}) && o.Body != body {
 		return Outcome{}, false
 	}
--- a/internal/work/memo/bench_test.go
+++ b/internal/work/memo/bench_test.go
@@ -22,7 +22,7 @@
 		binary.BigEndian.PutUint64(id, uint64(i))
 		c := Call{ID: string(id), Head: head, Until: start.Add(time.Hour)}
 		m.Begin(start, c)
-		k := NewKeeper(1 << 10)
+		k := NewRecorder(1 << 10)
 		k.Start(http.StatusOK, http.Header{"Content-Type": {"text/plain"}})
 		_, _ = k.Write(body)
 		m.Finish(start, c.ID, Outcome{Result: result.Result{Outcome: result.Ran}, Answer: k.Answer()})
@@ -39,9 +39,9 @@
 	return float64(s.HeapAlloc)
 }
 
-// BenchmarkBarred gives the cost of a refusal that is kept as an ID only.
-func BenchmarkBarred(b *testing.B) {
-	m := New(Limits{Barred: 1 << 20})
+// BenchmarkBlock gives the cost of a refusal that is kept as an ID only.
+func BenchmarkBlock(b *testing.B) {
+	m := New(Limits{Blocked: 1 << 20})
 	id := make([]byte, 42)
 	for i := 0; b.Loop(); i++ {
 		binary.BigEndian.PutUint64(id, uint64(i))
@@ -49,9 +49,9 @@
 	}
 }
 
-// BenchmarkMistakes gives how many of 1,000 fresh IDs are taken for barred after 800,000
+// BenchmarkFalsePositives gives how many of 1,000 fresh IDs are taken for barred after 800,000
 // refusals.
-func BenchmarkMistakes(b *testing.B) {
+func BenchmarkFalsePositives(b *testing.B) {
 	for b.Loop() {
 		f := newBarred(1 << 20)
 		for i := range 800_000 {
--- a/internal/work/memo/memo.go
+++ b/internal/work/memo/memo.go
@@ -38,14 +38,14 @@
 	Records int           // requests remembered at a time
 	Bytes   int           // bytes of all answers kept
 	Answer  int           // bytes of one answer kept
-	Barred  int           // bytes for each of two generations of IDs that may not run any more
+	Blocked int           // bytes for each of two generations of IDs that may not run any more
 	Margin  time.Duration // kept beyond the deadline, for repeats that were on their way
 }
 
 // DefaultLimits suit one agent: 5 slots that are held for 20 ms a request end 250 of
 // them a second, 31,250 in a key's lifetime of 2 minutes and the margin. With 1 MB, 6
 // of a thousand fresh IDs are refused by mistake after 800,000 refusals (BenchmarkMistakes).
-var DefaultLimits = Limits{Records: 32768, Bytes: 32 << 20, Answer: 64 << 10, Barred: 1 << 20, Margin: 5 * time.Second}
+var DefaultLimits = Limits{Records: 32768, Bytes: 32 << 20, Answer: 64 << 10, Blocked: 1 << 20, Margin: 5 * time.Second}
 
 // Call is one arrival of a request.
 type Call struct {
@@ -95,8 +95,8 @@
 // Outcome is valid once Done is closed. Whoever gets it must not change it.
 func (r *Record) Outcome() Outcome { return r.outcome }
 
-// Memo is a memory of outcomes. It may be used from several goroutines.
-type Memo struct {
+// Store is a memory of outcomes. It may be used from several goroutines.
+type Store struct {
 	limits Limits
 
 	mu      sync.Mutex
@@ -107,12 +107,12 @@
 }
 
 // New gives an empty memory.
-func New(l Limits) *Memo {
-	return &Memo{limits: l, records: map[string]*Record{}, barred: newBarred(l.Barred)}
+func New(l Limits) *Store {
+	return &Store{limits: l, records: map[string]*Record{}, barred: newBarred(l.Blocked)}
 }
 
 // Begin decides about an arrival: exactly one call of an ID is told to run.
-func (m *Memo) Begin(now time.Time, c Call) Decision {
+func (m *Store) Begin(now time.Time, c Call) Decision {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if r, ok := m.records[c.ID]; ok {
@@ -131,20 +131,20 @@
 		return refuse(result.NotRun, result.Expired)
 	}
 	if m.barred.has(c.ID) {
-		return refuse(result.NotRun, result.KeyOld)
+		return refuse(result.NotRun, result.KeyExpired)
 	}
 	if m.full() {
 		// A copy that was delayed on its way must not run after this was said.
 		m.bar(now, c.ID, c.Until)
-		return refuse(result.NotRun, result.MemoryFull)
+		return refuse(result.NotRun, result.StoreFull)
 	}
 	m.records[c.ID] = &Record{id: c.ID, head: c.Head, until: c.Until, done: make(chan struct{})}
 	return Decision{Verdict: Run}
 }
 
-// Ask tells what became of an ID. One that never arrived is barred: a copy that
+// Query tells what became of an ID. One that never arrived is barred: a copy that
 // still lies in a broken link's buffers must not run after "not run" was said here.
-func (m *Memo) Ask(now time.Time, id string, until time.Time) Decision {
+func (m *Store) Query(now time.Time, id string, until time.Time) Decision {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if r, ok := m.records[id]; ok {
@@ -155,15 +155,15 @@
 		return refuse(result.Unknown, result.Expired)
 	}
 	m.bar(now, id, until)
-	return refuse(result.NotRun, result.PeerLost)
+	return refuse(result.NotRun, result.PeerUnreachable)
 }
 
-func (m *Memo) bar(now time.Time, id string, until time.Time) {
+func (m *Store) bar(now time.Time, id string, until time.Time) {
 	m.barred.add(now, id, until.Add(m.limits.Margin))
 }
 
 // Finish records the end of a request that Begin let run. The first end counts.
-func (m *Memo) Finish(now time.Time, id string, o Outcome) {
+func (m *Store) Finish(now time.Time, id string, o Outcome) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if r, ok := m.records[id]; ok && !r.ended {
@@ -172,25 +172,25 @@
 }
 
 // AnswerLimit is the size in bytes beyond which an answer is not kept.
-func (m *Memo) AnswerLimit() int { return m.limits.Answer }
+func (m *Store) AnswerLimit() int { return m.limits.Answer }
 
 // Size gives how many records are held and the bytes of the answers kept.
-func (m *Memo) Size() (records, bytes int) {
+func (m *Store) Size() (records, bytes int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.records), m.bytes
 }
 
-func (m *Memo) full() bool {
+func (m *Store) full() bool {
 	return len(m.records) >= m.limits.Records || m.bytes >= m.limits.Bytes
 }
 
-func (m *Memo) end(now time.Time, r *Record, o Outcome) {
+func (m *Store) end(now time.Time, r *Record, o Outcome) {
 	if size := o.Answer.size(); size > m.limits.Answer || m.bytes+size > m.limits.Bytes {
 		o.Answer = nil
 	}
 	if o.Result.Outcome == result.Ran && o.Answer == nil {
-		o.Result.Reason = result.AnswerGone
+		o.Result.Reason = result.AnswerNotKept
 	}
 	r.outcome, r.ended = o, true
 	if r.until.Before(now) {
@@ -207,7 +207,7 @@
 }
 
 // forget drops records whose time and margin are over. A running one is never among them.
-func (m *Memo) forget(now time.Time) {
+func (m *Store) forget(now time.Time) {
 	for len(m.ended) > 0 && !now.Before(m.ended[0].until.Add(m.limits.Margin)) {
 		r := heap.Pop(&m.ended).(*Record)
 		m.bytes -= r.outcome.Answer.size()
--- a/internal/work/memo/memo_test.go
+++ b/internal/work/memo/memo_test.go
@@ -14,7 +14,7 @@
 
 var (
 	start  = time.Unix(1_000_000, 0)
-	limits = Limits{Records: 4, Bytes: 64, Answer: 32, Barred: 64, Margin: 5 * time.Second}
+	limits = Limits{Records: 4, Bytes: 64, Answer: 32, Blocked: 64, Margin: 5 * time.Second}
 	head   = HeadDigest("POST", "/claim/7")
 )
 
@@ -73,7 +73,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"issue":  issue,
 			"arrive": func(t *rapid.T) { h := pick(t); told(h, m.Begin(now, h.call)) },
-			"ask":    func(t *rapid.T) { h := pick(t); told(h, m.Ask(now, h.call.ID, h.call.Until)) },
+			"ask":    func(t *rapid.T) { h := pick(t); told(h, m.Query(now, h.call.ID, h.call.Until)) },
 			"end": func(t *rapid.T) {
 				if h := pick(t); h.running {
 					m.Finish(now, h.call.ID, ran(h.body))
@@ -121,9 +121,9 @@
 
 	first, second := Digest{1}, Digest{2}
 	o := Outcome{Body: first}
-	_, same := o.Repeated(second)
+	_, same := o.ForRepeat(second)
 	assert.Assert(t, !same)
-	_, same = o.Repeated(first)
+	_, same = o.ForRepeat(first)
 	assert.Assert(t, same)
 }
 
@@ -138,17 +138,17 @@
 	fresh := call("e")
 	fresh.Until = start.Add(time.Minute)
 	d := m.Begin(start, fresh)
-	assert.Equal(t, d.Result, result.Result{Outcome: result.NotRun, Reason: result.MemoryFull})
+	assert.Equal(t, d.Result, result.Result{Outcome: result.NotRun, Reason: result.StoreFull})
 	assert.Equal(t, m.Begin(start, call("a")).Verdict, Known)
 
 	// An ID that is asked about is barred although there is no room for a record.
 	asked := Call{ID: "h", Head: head, Until: start.Add(time.Minute)}
-	assert.Equal(t, m.Ask(start, asked.ID, asked.Until).Result.Outcome, result.NotRun)
+	assert.Equal(t, m.Query(start, asked.ID, asked.Until).Result.Outcome, result.NotRun)
 
 	// "e" was told "not run"; a copy of it that was under way must not run later.
 	later := start.Add(15 * time.Second)
 	d = m.Begin(later, fresh)
-	assert.Equal(t, d.Result, result.Result{Outcome: result.NotRun, Reason: result.KeyOld})
+	assert.Equal(t, d.Result, result.Result{Outcome: result.NotRun, Reason: result.KeyExpired})
 	assert.Equal(t, m.Begin(later, asked).Result.Outcome, result.NotRun)
 	fresh.ID = "f"
 	assert.Equal(t, m.Begin(later, fresh).Verdict, Run)
@@ -161,12 +161,12 @@
 // runs when a delayed copy arrives. What runs is still refused by mistake rarely.
 func TestRefusalsDoNotFillTheMemory(t *testing.T) {
 	l := limits
-	l.Records, l.Barred = 100, 16<<10
+	l.Records, l.Blocked = 100, 16<<10
 	m := New(l)
 	for i := range 10_000 {
 		id := strconv.Itoa(i)
 		if m.Begin(start, call(id)).Verdict == Run { // a few are taken for barred
-			m.Finish(start, id, Outcome{Result: result.Result{Outcome: result.NotRun, Reason: result.ShedCaller}})
+			m.Finish(start, id, Outcome{Result: result.Result{Outcome: result.NotRun, Reason: result.OverFairShare}})
 		}
 	}
 	records, _ := m.Size()
@@ -187,7 +187,7 @@
 func TestAnswerTooBigToKeep(t *testing.T) {
 	m := New(limits)
 	m.Begin(start, call("k"))
-	k := NewKeeper(limits.Answer)
+	k := NewRecorder(limits.Answer)
 	k.Start(http.StatusOK, http.Header{"A": {"b"}})
 	_, _ = k.Write(make([]byte, 20))
 	_, _ = k.Write(make([]byte, 20))
@@ -195,7 +195,7 @@
 	m.Finish(start, "k", Outcome{Result: result.Result{Outcome: result.Ran}, Answer: k.Answer()})
 	d := m.Begin(start, call("k"))
 	assert.Equal(t, d.Verdict, Known)
-	assert.Equal(t, d.Record.Outcome().Result, result.Result{Outcome: result.Ran, Reason: result.AnswerGone})
+	assert.Equal(t, d.Record.Outcome().Result, result.Result{Outcome: result.Ran, Reason: result.AnswerNotKept})
 }
 
 // Story: an agent is frozen for an hour with a request in its socket buffer. It wakes
@@ -213,7 +213,7 @@
 // link, is told "not run" and goes elsewhere; then the old link's bytes are read.
 func TestAskedBeforeItArrived(t *testing.T) {
 	m := New(limits)
-	d := m.Ask(start, "h", start.Add(10*time.Second))
+	d := m.Query(start, "h", start.Add(10*time.Second))
 	assert.Equal(t, d.Result.Outcome, result.NotRun)
 	d = m.Begin(start, Call{ID: "h", Head: head, Until: start.Add(10 * time.Second)})
 	assert.Equal(t, d.Verdict, Refused)
--- a/internal/work/once/beside_test.go
+++ b/internal/work/once/beside_test.go
@@ -47,13 +47,13 @@
 	alive bool
 }
 
-func (p *process) Hand(ctx context.Context, _ netip.AddrPort, r *hand.Request, a hand.Answer) result.Result {
+func (p *process) HandOver(ctx context.Context, _ netip.AddrPort, r *hand.Request, a hand.Answer) result.Result {
 	p.other.hands++
 	return p.other.guard.Run(ctx, r, a, &p.other.runs)
 }
 
-func (p *process) beside() (Other, bool) {
-	return Other{Incarnation: p.other.guard.View().Owner.Incarnation}, p.other.alive
+func (p *process) beside() (Process, bool) {
+	return Process{Incarnation: p.other.guard.View().Owner.Incarnation}, p.other.alive
 }
 
 func newProcess(t *testing.T, incarnation uint64) *process {
@@ -65,7 +65,7 @@
 		Start: time.Now().Add(-time.Minute), Lifetime: token.DefaultLifetime,
 	}}
 	p := &process{alive: true}
-	p.guard = &Guard{View: func() *View { return v }, Memory: memo.New(memo.DefaultLimits), Client: p, Beside: p.beside}
+	p.guard = &Guard{View: func() *View { return v }, Outcomes: memo.New(memo.DefaultLimits), Client: p, OtherProcess: p.beside}
 	return p
 }
 
@@ -92,7 +92,7 @@
 	assert.Equal(t, successor.runs, runs(0))
 	old.alive = false
 	end := successor.guard.Run(t.Context(), lookup(key), nowhere{}, &successor.runs)
-	assert.Equal(t, end, result.Result{Outcome: result.Unknown, Reason: result.OwnerGone})
+	assert.Equal(t, end, result.Result{Outcome: result.Unknown, Reason: result.OwnerUnavailable})
 }
 
 // A key of a third process, long gone, must not travel between the two.
--- a/internal/work/once/once.go
+++ b/internal/work/once/once.go
@@ -39,23 +39,23 @@
 	Servers []docs.Server // of the documents in force and just before
 }
 
-// Passer hands requests to other agents.
-type Passer interface {
-	Hand(ctx context.Context, to netip.AddrPort, r *hand.Request, a hand.Answer) result.Result
+// Client hands requests to other agents.
+type Client interface {
+	HandOver(ctx context.Context, to netip.AddrPort, r *hand.Request, a hand.Answer) result.Result
 }
 
 // Guard decides about requests with a key.
 type Guard struct {
-	View   func() *View
-	Memory *memo.Memo
-	Client Passer
-	// Beside names the other process at this agent's address, its predecessor or
+	View     func() *View
+	Outcomes *memo.Store
+	Client   Client
+	// OtherProcess names the other process at this agent's address, its predecessor or
 	// its successor, while it runs; nil if there can be none.
-	Beside func() (other Other, runs bool)
+	OtherProcess func() (other Process, runs bool)
 }
 
-// Other is a process that shares this agent's address.
-type Other struct {
+// Process is a process that shares this agent's address.
+type Process struct {
 	Incarnation uint64
 	Address     netip.AddrPort // its own
 }
@@ -73,18 +73,18 @@
 	if err != nil {
 		g.count(v, verdictOf(err))
 		// The key may have been good once: damaged since, or its secret rotated out.
-		return result.Result{Outcome: result.Unknown, Reason: result.KeyBad}
+		return result.Result{Outcome: result.Unknown, Reason: result.KeyInvalid}
 	}
 	now := time.Now()
 	ruling := g.rule(v, now, key)
-	switch ruling.Place {
-	case token.Here:
+	switch ruling.Action {
+	case token.Local:
 		return g.own(ctx, r, a, next, memo.Call{
 			ID:    key.ID(),
 			Head:  memo.HeadDigest(r.Method, r.Path),
 			Until: ruling.Until,
 		})
-	case token.Pass:
+	case token.HandOver:
 		return g.pass(ctx, v, ruling.Agent, r, a)
 	default:
 		g.count(v, string(ruling.Result.Reason))
@@ -95,32 +95,32 @@
 // rule decides who decides. An agent's process that is being replaced still owns the
 // keys it issued; the two know each other's incarnations, so that a key of a third
 // goes to neither.
-func (g *Guard) rule(v *View, now time.Time, key token.Key) token.Ruling {
-	ruling := v.Owner.Rule(now, key, v.Servers)
-	if ruling.Place != token.Refuse || key.Server != v.Owner.Server || g.Beside == nil {
+func (g *Guard) rule(v *View, now time.Time, key token.Key) token.Decision {
+	ruling := v.Owner.Decide(now, key, v.Servers)
+	if ruling.Action != token.Refuse || key.Server != v.Owner.Server || g.OtherProcess == nil {
 		return ruling
 	}
-	other, runs := g.Beside()
+	other, runs := g.OtherProcess()
 	if !runs || other.Incarnation != key.Incarnation {
 		return ruling
 	}
-	return token.Ruling{Place: token.Pass, Agent: other.Address}
+	return token.Decision{Action: token.HandOver, Agent: other.Address}
 }
 
 // pass gives a request to the owner of its key. The owner may be unreachable for a
 // while only, so the caller is told when to come back.
 func (g *Guard) pass(ctx context.Context, v *View, owner netip.AddrPort, r *hand.Request, a hand.Answer) result.Result {
 	g.count(v, "passed")
-	end := g.Client.Hand(ctx, owner, r, a)
-	if end.Outcome == result.Unknown && end.Reason == result.PeerLost {
-		end.Reason, end.After = result.OwnerGone, token.ComeBack
+	end := g.Client.HandOver(ctx, owner, r, a)
+	if end.Outcome == result.Unknown && end.Reason == result.PeerUnreachable {
+		end.Reason, end.RetryAfter = result.OwnerUnavailable, token.RetryAfter
 	}
 	return end
 }
 
 // own decides as the key's owner.
 func (g *Guard) own(ctx context.Context, r *hand.Request, a hand.Answer, next hand.Runner, call memo.Call) result.Result {
-	d := g.Memory.Begin(time.Now(), call)
+	d := g.Outcomes.Begin(time.Now(), call)
 	switch d.Verdict {
 	case memo.Run:
 		return g.first(ctx, r, a, next, call.ID)
@@ -136,12 +136,12 @@
 func (g *Guard) first(ctx context.Context, r *hand.Request, a hand.Answer, next hand.Runner, id string) result.Result {
 	g.count(g.View(), "first")
 	outcome := memo.Outcome{}
-	defer func() { g.Memory.Finish(time.Now(), id, outcome) }()
+	defer func() { g.Outcomes.Finish(time.Now(), id, outcome) }()
 	plain := *r
 	plain.Key = "" // whoever it is placed at decides nothing about the key
 	body := newHashed(r.Body)
 	plain.Body = body
-	kept := &keeping{Answer: a, keeper: memo.NewKeeper(g.Memory.AnswerLimit())}
+	kept := &keeping{Answer: a, keeper: memo.NewRecorder(g.Outcomes.AnswerLimit())}
 	outcome.Result = next.Run(ctx, &plain, kept)
 	outcome.Body = body.digest()
 	end := outcome.Result
@@ -149,7 +149,7 @@
 		outcome.Answer = kept.keeper.Answer()
 	}
 	// Whoever repeats the key is told the same, but not when to come back with it.
-	outcome.Result.After = 0
+	outcome.Result.RetryAfter = 0
 	return end
 }
 
@@ -163,13 +163,13 @@
 	case <-timer.C:
 		return result.Result{Outcome: result.Unknown, Reason: result.Expired}
 	case <-ctx.Done():
-		return result.Result{Outcome: result.Unknown, Reason: result.Gone}
+		return result.Result{Outcome: result.Unknown, Reason: result.CallerGone}
 	}
 	body := newHashed(r.Body)
 	if err := body.drain(); err != nil {
-		return result.Result{Outcome: result.Unknown, Reason: result.Gone}
+		return result.Result{Outcome: result.Unknown, Reason: result.CallerGone}
 	}
-	outcome, same := record.Outcome().Repeated(body.digest())
+	outcome, same := record.Outcome().ForRepeat(body.digest())
 	if !same {
 		g.count(g.View(), string(result.KeyReused))
 		return result.Result{Outcome: result.NotRun, Reason: result.KeyReused}
@@ -178,10 +178,10 @@
 		return outcome.Result
 	}
 	if a.Start(outcome.Answer.Status, outcome.Answer.Header.Clone()) != nil {
-		return result.Result{Outcome: result.Unknown, Reason: result.Gone}
+		return result.Result{Outcome: result.Unknown, Reason: result.CallerGone}
 	}
 	if _, err := a.Write(outcome.Answer.Body); err != nil {
-		return result.Result{Outcome: result.Unknown, Reason: result.Gone}
+		return result.Result{Outcome: result.Unknown, Reason: result.CallerGone}
 	}
 	return outcome.Result
 }
--- a/internal/work/once/stream.go
+++ b/internal/work/once/stream.go
@@ -58,7 +58,7 @@
 // keeping notes an answer for repeats while it goes to the first caller.
 type keeping struct {
 	hand.Answer
-	keeper *memo.Keeper
+	keeper *memo.Recorder
 }
 
 // Start implements hand.Answer.
--- a/internal/work/result/result.go
+++ b/internal/work/result/result.go
@@ -47,35 +47,35 @@
 
 // The reasons. An operator's page lists what to do about each.
 const (
-	NoReason      Reason = ""
-	QueueFull     Reason = "queue"     // the queue of its class is full
-	TooLate       Reason = "late"      // cannot make its deadline by the estimate
-	Expired       Reason = "expired"   // its deadline passed while it waited
-	ShedCaller    Reason = "share"     // its caller is over its fair share of the queue
-	ServerShed    Reason = "shed"      // the backend server refused it
-	ServerDown    Reason = "down"      // the backend server could not be reached
-	ServerLost    Reason = "lost"      // the backend server broke off after the request was sent
-	LeavingServer Reason = "leaving"   // the server takes no new work
-	NoClass       Reason = "class"     // the document has no class for the path
-	NotReady      Reason = "unready"   // no document is in force yet
-	Budget        Reason = "budget"    // the retry budget is spent
-	OwnerGone     Reason = "owner"     // the owner of the request key is gone
-	PeerLost      Reason = "peer"      // the link to the other agent broke and it does not answer
-	MemoryFull    Reason = "memory"    // outcomes may not be forgotten, so no new request is taken
-	KeyBad        Reason = "key"       // the request key is damaged, forged or of another service
-	KeyReused     Reason = "reused"    // the request key came with another request
-	KeyOld        Reason = "old"       // the request key's lifetime is over, or it was refused before
-	AnswerGone    Reason = "unkept"    // ran, but its answer was too big to keep for a repeat
-	Gone          Reason = "gone"      // the caller went away
-	Hops          Reason = "hops"      // handed on too often
-	OtherService  Reason = "service"   // arrived at an agent of another service, or of other keys
-	StaleView     Reason = "stale"     // woken late: beliefs are refreshed first
-	Overloaded    Reason = "connlimit" // the agent holds as many connections as it may
+	NoReason           Reason = ""
+	QueueFull          Reason = "queue"     // the queue of its class is full
+	DeadlineUnmeetable Reason = "late"      // cannot make its deadline by the estimate
+	Expired            Reason = "expired"   // its deadline passed while it waited
+	OverFairShare      Reason = "share"     // its caller is over its fair share of the queue
+	ServerShed         Reason = "shed"      // the backend server refused it
+	ServerUnreachable  Reason = "down"      // the backend server could not be reached
+	ServerDisconnected Reason = "lost"      // the backend server broke off after the request was sent
+	ServerLeaving      Reason = "leaving"   // the server takes no new work
+	NoClass            Reason = "class"     // the document has no class for the path
+	NoDocument         Reason = "unready"   // no document is in force yet
+	RetryBudget        Reason = "budget"    // the retry budget is spent
+	OwnerUnavailable   Reason = "owner"     // the owner of the request key is gone
+	PeerUnreachable    Reason = "peer"      // the link to the other agent broke and it does not answer
+	StoreFull          Reason = "memory"    // outcomes may not be forgotten, so no new request is taken
+	KeyInvalid         Reason = "key"       // the request key is damaged, forged or of another service
+	KeyReused          Reason = "reused"    // the request key came with another request
+	KeyExpired         Reason = "old"       // the request key's lifetime is over, or it was refused before
+	AnswerNotKept      Reason = "unkept"    // ran, but its answer was too big to keep for a repeat
+	CallerGone         Reason = "gone"      // the caller went away
+	TooManyHops        Reason = "hops"      // handed on too often
+	OtherService       Reason = "service"   // arrived at an agent of another service, or of other keys
+	StaleBelief        Reason = "stale"     // woken late: beliefs are refreshed first
+	ConnectionLimit    Reason = "connlimit" // the agent holds as many connections as it may
 )
 
 // Result is the end of one request.
 type Result struct {
-	Outcome Outcome
-	Reason  Reason
-	After   time.Duration // when to come back, 0 if there is no point in waiting
+	Outcome    Outcome
+	Reason     Reason
+	RetryAfter time.Duration // when to come back, 0 if there is no point in waiting
 }
--- a/internal/work/spread/spread.go
+++ b/internal/work/spread/spread.go
@@ -31,15 +31,15 @@
 	"mangowinch/internal/work/result"
 )
 
-// Passer hands requests to other agents.
-type Passer interface {
-	Hand(ctx context.Context, to netip.AddrPort, r *hand.Request, a hand.Answer) result.Result
+// Client hands requests to other agents.
+type Client interface {
+	HandOver(ctx context.Context, to netip.AddrPort, r *hand.Request, a hand.Answer) result.Result
 }
 
-// Spreader places the requests of one agent.
-type Spreader struct {
+// Dispatcher places the requests of one agent.
+type Dispatcher struct {
 	self   uint32
-	client Passer
+	client Client
 	own    func() place.Hint
 
 	mu       sync.Mutex // guards all below; place and retry are not safe for concurrent use
@@ -52,9 +52,9 @@
 }
 
 // New gives a spreader that knows of no server yet. Own tells the state of the own server.
-func New(self place.Self, client Passer, own func() place.Hint) *Spreader {
+func New(self place.Self, client Client, own func() place.Hint) *Dispatcher {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	return &Spreader{
+	return &Dispatcher{
 		self:   self.ID,
 		client: client,
 		own:    own,
@@ -64,7 +64,7 @@
 }
 
 // SetServers puts a new document in force.
-func (s *Spreader) SetServers(d *docs.Service) {
+func (s *Dispatcher) SetServers(d *docs.Service) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.service = d.Name
@@ -82,7 +82,7 @@
 }
 
 // Report takes what another agent says of its server.
-func (s *Spreader) Report(agent netip.AddrPort, h place.Hint) {
+func (s *Dispatcher) Report(agent netip.AddrPort, h place.Hint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if id, ok := s.agentIDs[agent]; ok {
@@ -101,7 +101,7 @@
 // Run gives a request's outcome. Own runs it on the own server. A request that
 // another agent has placed here runs here or not at all: two agents that each think
 // the other idle would pass it to and fro.
-func (s *Spreader) Run(ctx context.Context, r *hand.Request, a hand.Answer, own hand.Runner) result.Result {
+func (s *Dispatcher) Run(ctx context.Context, r *hand.Request, a hand.Answer, own hand.Runner) result.Result {
 	if r.Placed {
 		return own.Run(ctx, r, a)
 	}
@@ -110,7 +110,7 @@
 		t.body = hand.NewBody(r.Body)
 	}
 	s.fresh()
-	end := result.Result{Outcome: result.NotRun, Reason: result.LeavingServer, After: comeBack}
+	end := result.Result{Outcome: result.NotRun, Reason: result.ServerLeaving, RetryAfter: comeBack}
 	for {
 		server, address := s.choose(t.tried)
 		if server == 0 {
@@ -128,7 +128,7 @@
 // planned replacement of a server takes seconds.
 const comeBack = time.Second
 
-func (s *Spreader) try(ctx context.Context, t *attempt, server uint32, address netip.AddrPort, own hand.Runner) (end result.Result) {
+func (s *Dispatcher) try(ctx context.Context, t *attempt, server uint32, address netip.AddrPort, own hand.Runner) (end result.Result) {
 	r := t.request
 	if t.body != nil {
 		reader := t.body.Reader()
@@ -148,16 +148,16 @@
 		return own.Run(ctx, &r, t.answer)
 	}
 	r.Placed = true
-	return s.client.Hand(ctx, address, &r, t.answer)
+	return s.client.HandOver(ctx, address, &r, t.answer)
 }
 
-func (s *Spreader) fresh() {
+func (s *Dispatcher) fresh() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.budget.Fresh()
 }
 
-func (s *Spreader) choose(tried []uint32) (server uint32, address netip.AddrPort) {
+func (s *Dispatcher) choose(tried []uint32) (server uint32, address netip.AddrPort) {
 	hint := s.own()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,7 +169,7 @@
 	return c.Server, s.agents[c.Server]
 }
 
-func (s *Spreader) ended(server uint32, t *attempt, end result.Result, took time.Duration) {
+func (s *Dispatcher) ended(server uint32, t *attempt, end result.Result, took time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.kinds[t.request.Class] == docs.Upload {
@@ -182,9 +182,9 @@
 // millisecond gives whole answers and looks idle; its status says that they are failures.
 func howEnded(end result.Result, status int32) place.Outcome {
 	switch {
-	case end.Reason == result.Gone:
+	case end.Reason == result.CallerGone:
 		return place.Answered // the caller's doing; the time it took is a lower bound
-	case end.Outcome == result.NotRun && (end.Reason == result.PeerLost || end.Reason == result.ServerDown):
+	case end.Outcome == result.NotRun && (end.Reason == result.PeerUnreachable || end.Reason == result.ServerUnreachable):
 		return place.Unreachable
 	case end.Outcome == result.NotRun:
 		return place.Shed
@@ -195,11 +195,11 @@
 }
 
 // again decides whether one more try is made.
-func (s *Spreader) again(t *attempt, end result.Result) bool {
+func (s *Dispatcher) again(t *attempt, end result.Result) bool {
 	if end.Outcome == result.Ran {
 		return false
 	}
-	if t.answer.started.Load() || t.body != nil && !t.body.Again() {
+	if t.answer.started.Load() || t.body != nil && !t.body.CanReplay() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.count("retries", "consumed")
@@ -210,7 +210,7 @@
 	// A server that leaves gives back all that waits for it at once. It took no slot, so
 	// placing it is no repeated load and not what the budget is for. Each server gives
 	// it back once.
-	if end.Outcome == result.NotRun && end.Reason == result.LeavingServer {
+	if end.Outcome == result.NotRun && end.Reason == result.ServerLeaving {
 		s.count("retries", string(retry.ServerLeaving))
 		return true
 	}
@@ -226,7 +226,7 @@
 }
 
 // count needs mu.
-func (s *Spreader) count(what, why string) {
+func (s *Dispatcher) count(what, why string) {
 	metrics.GetOrCreateCounter(fmt.Sprintf(`mangowinch_%s_total{service=%q,reason=%q}`, what, s.service, why)).Inc()
 }
 
--- a/internal/work/spread/spread_test.go
+++ b/internal/work/spread/spread_test.go
@@ -21,8 +21,8 @@
 var (
 	ran     = result.Result{Outcome: result.Ran}
 	shed    = result.Result{Outcome: result.NotRun, Reason: result.ServerShed}
-	leaving = result.Result{Outcome: result.NotRun, Reason: result.LeavingServer}
-	lost    = result.Result{Outcome: result.Unknown, Reason: result.ServerLost}
+	leaving = result.Result{Outcome: result.NotRun, Reason: result.ServerLeaving}
+	lost    = result.Result{Outcome: result.Unknown, Reason: result.ServerDisconnected}
 )
 
 // servers answer as they are told, the own one by server 1. They note what they read.
@@ -40,7 +40,7 @@
 	return s.own
 }
 
-func (s *servers) Hand(_ context.Context, _ netip.AddrPort, r *hand.Request, _ hand.Answer) result.Result {
+func (s *servers) HandOver(_ context.Context, _ netip.AddrPort, r *hand.Request, _ hand.Answer) result.Result {
 	s.read("other", r)
 	return s.others
 }
@@ -56,7 +56,7 @@
 
 func (nowhere) Write(p []byte) (int, error) { return len(p), nil }
 
-func (s *servers) spreader() *Spreader {
+func (s *servers) spreader() *Dispatcher {
 	sp := New(place.Self{ID: 1}, s, func() place.Hint { return place.Hint{} })
 	d := &docs.Service{Name: "tracing-core"}
 	for id := uint32(1); id <= 3; id++ {
@@ -75,7 +75,7 @@
 }
 
 // The own server refuses an upload; another gets it with its whole body.
-func TestRefusedWorkGoesElsewhereWhole(t *testing.T) {
+func TestRefusedRequestIsRetriedWithWholeBody(t *testing.T) {
 	s := &servers{own: shed, others: ran}
 	assert.Equal(t, s.run(request(false)), ran)
 	assert.DeepEqual(t, s.log, []string{"own document <nil>", "other document <nil>"})
@@ -83,7 +83,7 @@
 
 // Story: a server breaks off after it was sent a claim. Nobody knows whether it ran, so no
 // other server gets it, unless the class may run twice.
-func TestUnknownWorkStays(t *testing.T) {
+func TestUnknownOutcomeIsNotRetried(t *testing.T) {
 	s := &servers{own: lost, others: ran}
 	assert.Equal(t, s.run(request(false)), lost)
 	assert.Equal(t, len(s.log), 1)
@@ -94,7 +94,7 @@
 
 // Story: a feed's server breaks off in the middle. Another server's lines behind those that
 // the caller has would be the answer of two.
-func TestBegunAnswerIsNotTriedAgain(t *testing.T) {
+func TestStartedAnswerIsNotRetried(t *testing.T) {
 	s := &servers{own: lost, others: ran, begin: true}
 	assert.Equal(t, s.run(request(true)), lost)
 	assert.Equal(t, len(s.log), 1)
@@ -102,7 +102,7 @@
 
 // Story: two agents each think the other idle. What one has placed at the other is not
 // passed on.
-func TestPlacedWorkIsNotPlacedAgain(t *testing.T) {
+func TestPlacedRequestIsNotPlacedAgain(t *testing.T) {
 	s := &servers{own: shed, others: ran}
 	r := request(false)
 	r.Placed = true
@@ -112,7 +112,7 @@
 
 // Story: a server drains and gives back 100 waiting claims at once, many more than the
 // budget for retries. All are placed elsewhere; none was a retry.
-func TestLeavingServersWorkIsAllPlaced(t *testing.T) {
+func TestAllRequestsOfLeavingServerArePlaced(t *testing.T) {
 	s := &servers{own: leaving, others: ran}
 	sp := s.spreader()
 	for range 100 {
@@ -121,7 +121,7 @@
 }
 
 // Story: all servers shed. The service must not get three times the load for it.
-func TestRetriesAreFew(t *testing.T) {
+func TestRetryBudgetBoundsLoad(t *testing.T) {
 	s := &servers{own: shed, others: shed}
 	sp := s.spreader()
 	for range 1000 {
@@ -139,7 +139,7 @@
 	return ran
 }
 
-func (f *failing) Hand(_ context.Context, _ netip.AddrPort, _ *hand.Request, a hand.Answer) result.Result {
+func (f *failing) HandOver(_ context.Context, _ netip.AddrPort, _ *hand.Request, a hand.Answer) result.Result {
 	f.other++
 	_ = a.Start(http.StatusOK, nil)
 	return ran
@@ -147,7 +147,7 @@
 
 // Story: a backend server answers 500 within a millisecond. It always has idle slots, so all its
 // agent's callers got 500 for as long as it lasted. After a few, others get the requests.
-func TestFailFastServerIsLeftAlone(t *testing.T) {
+func TestFailFastServerIsAvoided(t *testing.T) {
 	f := &failing{}
 	sp := New(place.Self{ID: 1}, f, func() place.Hint { return place.Hint{} })
 	sp.SetServers(&docs.Service{Servers: []docs.Server{{ID: 1, Slots: 4}, {ID: 2, Slots: 4}, {ID: 3, Slots: 4}}})
@@ -159,7 +159,7 @@
 
 // opening hands feeds over; each opens the next one while it is open itself.
 type opening struct {
-	sp    *Spreader
+	sp    *Dispatcher
 	depth int
 	log   []string
 }
@@ -169,7 +169,7 @@
 	return ran
 }
 
-func (o *opening) Hand(ctx context.Context, _ netip.AddrPort, r *hand.Request, a hand.Answer) result.Result {
+func (o *opening) HandOver(ctx context.Context, _ netip.AddrPort, r *hand.Request, a hand.Answer) result.Result {
 	o.log = append(o.log, "other")
 	_ = a.Start(http.StatusOK, nil)
 	if o.depth--; o.depth > 0 {
--- a/internal/work/token/token_test.go
+++ b/internal/work/token/token_test.go
@@ -82,7 +82,7 @@
 	})
 }
 
-func TestOpenTellsWhatIsWrong(t *testing.T) {
+func TestOpenErrors(t *testing.T) {
 	r := ring(t, "tracing-core", secretA)
 	k := Key{Service: "tracing-core", Server: 3}
 	other := Key{Service: "doc-intake", Server: 3}
@@ -128,16 +128,16 @@
 				known = known || id == issuer.Server
 			}
 		}
-		got := mine.Rule(start.Add(age), issuer.Issue(start, 1), servers)
+		got := mine.Decide(start.Add(age), issuer.Issue(start, 1), servers)
 		switch {
 		case mine.Server == issuer.Server && mine.Incarnation == issuer.Incarnation && age < time.Minute:
-			assert.Equal(t, got.Place, Here)
+			assert.Equal(t, got.Action, Local)
 			assert.Equal(t, got.Until, start.Add(time.Minute))
 		case mine.Server != issuer.Server && known:
-			assert.Equal(t, got.Place, Pass)
+			assert.Equal(t, got.Action, HandOver)
 			assert.Equal(t, got.Agent.Addr().As4()[3], byte(issuer.Server))
 		default:
-			assert.Equal(t, got.Place, Refuse)
+			assert.Equal(t, got.Action, Refuse)
 			assert.Equal(t, got.Result.Outcome, result.Unknown)
 		}
 	})
@@ -148,7 +148,7 @@
 // caller repeats the key. The new process knows nothing of the run: unknown.
 func TestRestartedOwnerWithClockSetBack(t *testing.T) {
 	then, now := uint64(start.UnixNano()), uint64(start.Add(-time.Hour).UnixNano())
-	got := owner(3, now).Rule(start, owner(3, then).Issue(start, 1), nil)
-	assert.Equal(t, got.Place, Refuse)
-	assert.Equal(t, got.Result, result.Result{Outcome: result.Unknown, Reason: result.OwnerGone})
+	got := owner(3, now).Decide(start, owner(3, then).Issue(start, 1), nil)
+	assert.Equal(t, got.Action, Refuse)
+	assert.Equal(t, got.Result, result.Result{Outcome: result.Unknown, Reason: result.OwnerUnavailable})
 }
