--- a/internal/stand/demo/demo.go
+++ b/internal/stand/demo/demo.go
@@ -28,28 +28,28 @@
 )
 
 const (
-	feedLines  = 150
-	feedEvery  = 20 * time.Millisecond
-	killAfter  = time.Second
-	uploadSize = 4 << 20
-	limit      = time.Minute
+	feedLines    = 150
+	feedInterval = 20 * time.Millisecond
+	killDelay    = time.Second
+	uploadSize   = 4 << 20
+	timeout      = time.Minute
 )
 
 // step is one line of the table.
 type step struct {
-	what   string
-	answer client.Answer
-	want   string
-	took   time.Duration
+	description string
+	answer      client.Answer
+	want        string
+	took        time.Duration
 }
 
-func (s step) whole() bool { return s.answer.Outcome == result.Ran && s.answer.Body == s.want }
+func (s step) complete() bool { return s.answer.Outcome == result.Ran && s.answer.Body == s.want }
 
 // Run starts the deployment, shows it and stops it. It reports whether every
 // answer came whole.
-func Run(ctx context.Context, out io.Writer, settings fleet.Settings) (whole bool, err error) {
+func Run(ctx context.Context, out io.Writer, settings fleet.Settings) (complete bool, err error) {
 	defer func() { err = errors.Wrap(err, "demo") }()
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	begun := time.Now()
 	f, err := fleet.Start(ctx, settings)
@@ -68,7 +68,7 @@
 	steps := []step{
 		lookup(ctx, caller, "before"),
 		upload(ctx, caller, "scan", body),
-		feedUnderKill(ctx, f, caller),
+		feedWithKill(ctx, f, caller),
 		lookup(ctx, caller, "after"),
 	}
 	return report(out, steps), nil
@@ -93,38 +93,38 @@
 		client.Request{Method: "POST", Path: path, Body: bytes.NewReader(body)})
 }
 
-// feedUnderKill kills an entry while a feed is open.
-func feedUnderKill(ctx context.Context, f *fleet.Fleet, c *client.Caller) step {
-	path := fmt.Sprintf("/feed/trace?n=%d&every=%s", feedLines, feedEvery)
+// feedWithKill kills an entry while a feed is open.
+func feedWithKill(ctx context.Context, f *fleet.Fleet, c *client.Caller) step {
+	path := fmt.Sprintf("/feed/trace?n=%d&every=%s", feedLines, feedInterval)
 	var want strings.Builder
 	for i := 1; i <= feedLines; i++ {
 		fmt.Fprintf(&want, "%d %s\n", i, path)
 	}
 	victim := f.Entries()[0].Process.Name
-	timer := time.AfterFunc(killAfter, func() { f.Process(victim).Kill() })
+	timer := time.AfterFunc(killDelay, func() { f.Process(victim).Kill() })
 	defer timer.Stop()
-	what := fmt.Sprintf("feed of %s, entry %s killed after %s", feedLines*feedEvery, victim, killAfter)
-	return run(ctx, c, what, want.String(), client.Request{Method: "GET", Path: path})
+	description := fmt.Sprintf("feed of %s, entry %s killed after %s", feedLines*feedInterval, victim, killDelay)
+	return run(ctx, c, description, want.String(), client.Request{Method: "GET", Path: path})
 }
 
-func run(ctx context.Context, c *client.Caller, what, want string, r client.Request) step {
+func run(ctx context.Context, c *client.Caller, description, want string, r client.Request) step {
 	begun := time.Now()
 	answer := c.Do(ctx, r)
-	return step{what: what, answer: answer, want: want, took: time.Since(begun)}
+	return step{description: description, answer: answer, want: want, took: time.Since(begun)}
 }
 
-func report(out io.Writer, steps []step) (whole bool) {
-	whole = true
+func report(out io.Writer, steps []step) (complete bool) {
+	complete = true
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "request\toutcome\tanswer\ttook")
 	for _, s := range steps {
 		answer := "whole"
-		if !s.whole() {
-			whole = false
+		if !s.complete() {
+			complete = false
 			answer = fmt.Sprintf("%d of %d bytes: %v %s", len(s.answer.Body), len(s.want), s.answer.Err, s.answer.Reason)
 		}
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", s.what, s.answer.Outcome, answer, s.took.Round(time.Millisecond))
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", s.description, s.answer.Outcome, answer, s.took.Round(time.Millisecond))
 	}
 	_ = table.Flush() // the writer is a terminal or a test's buffer
-	return whole
+	return complete
 }
--- a/internal/stand/fabric/fabric.go
+++ b/internal/stand/fabric/fabric.go
@@ -33,19 +33,19 @@
 )
 
 const (
-	largestDatagram = 65535
-	socketBuffer    = 4 << 20 // asked for; the system may give less
-	defaultIdle     = 5 * time.Minute
-	defaultCallers  = 20000
+	maxDatagram        = 65535
+	socketBufferSize   = 4 << 20 // asked for; the system may give less
+	defaultIdleTimeout = 5 * time.Minute
+	defaultMaxCallers  = 20000
 )
 
 // Settings are the fabric's own.
 type Settings struct {
-	Services []netip.AddrPort // where callers reach the services
-	Entries  []netip.Addr     // the bind addresses of the entries
-	Idle     time.Duration    // a caller silent in both directions this long is forgotten
-	Callers  int              // callers known at a time
-	Log      zerolog.Logger
+	Services    []netip.AddrPort // where callers reach the services
+	Entries     []netip.Addr     // the bind addresses of the entries
+	IdleTimeout time.Duration    // a caller silent in both directions this long is forgotten
+	MaxCallers  int              // callers known at a time
+	Log         zerolog.Logger
 }
 
 // Fabric carries datagrams between callers and entries.
@@ -56,7 +56,7 @@
 	mutex   sync.Mutex
 	callers map[callerKey]*caller
 	closed  bool
-	plan    plan
+	routing routing
 	stats   Stats
 }
 
@@ -66,29 +66,29 @@
 }
 
 type caller struct {
-	key    callerKey
-	socket *net.UDPConn
-	used   time.Time // guarded by the fabric's mutex
+	key      callerKey
+	socket   *net.UDPConn
+	lastUsed time.Time // guarded by the fabric's mutex
 }
 
 // Listen opens the service addresses.
 func Listen(s Settings) (f *Fabric, err error) {
 	defer func() { err = errors.Wrap(err, "open fabric") }()
-	if s.Idle == 0 {
-		s.Idle = defaultIdle
+	if s.IdleTimeout == 0 {
+		s.IdleTimeout = defaultIdleTimeout
 	}
-	if s.Callers == 0 {
-		s.Callers = defaultCallers
+	if s.MaxCallers == 0 {
+		s.MaxCallers = defaultMaxCallers
 	}
-	f = &Fabric{settings: s, callers: map[callerKey]*caller{}, plan: newPlan(s.Entries)}
-	f.stats.Entries = map[netip.Addr]*Carried{}
+	f = &Fabric{settings: s, callers: map[callerKey]*caller{}, routing: newRouting(s.Entries)}
+	f.stats.Entries = map[netip.Addr]*EntryStats{}
 	for _, address := range s.Services {
 		conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 		if err != nil {
 			f.close()
 			return nil, err
 		}
-		widen(conn)
+		enlargeBuffers(conn)
 		f.services = append(f.services, conn)
 	}
 	return f, nil
@@ -103,7 +103,7 @@
 		group.Go(func() error { return f.readCallers(service, conn) })
 	}
 	group.Go(func() error {
-		ticker := time.NewTicker(f.settings.Idle / 4)
+		ticker := time.NewTicker(f.settings.IdleTimeout / 4)
 		defer ticker.Stop()
 		for {
 			select {
@@ -111,7 +111,7 @@
 				f.close()
 				return nil
 			case now := <-ticker.C:
-				f.forgetIdle(now)
+				f.closeIdle(now)
 			}
 		}
 	})
@@ -120,7 +120,7 @@
 
 // readCallers carries what callers send to one service address towards entries.
 func (f *Fabric) readCallers(service netip.AddrPort, conn *net.UDPConn) error {
-	buffer := make([]byte, largestDatagram)
+	buffer := make([]byte, maxDatagram)
 	for {
 		n, from, err := conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -130,18 +130,18 @@
 			return err
 		}
 		key := callerKey{address: from, service: service}
-		if c := f.callerOf(key, conn); c != nil {
-			f.toEntry(c, buffer[:n])
+		if c := f.callerFor(key, conn); c != nil {
+			f.sendToEntry(c, buffer[:n])
 		}
 	}
 }
 
-func (f *Fabric) toEntry(c *caller, datagram []byte) {
+func (f *Fabric) sendToEntry(c *caller, datagram []byte) {
 	f.mutex.Lock()
-	c.used = time.Now()
-	entry, ok := f.plan.choose(c.key.address.Addr())
+	c.lastUsed = time.Now()
+	entry, ok := f.routing.pickEntry(c.key.address.Addr())
 	if ok {
-		f.stats.of(entry).Toward++
+		f.stats.forEntry(entry).Toward++
 	} else {
 		f.stats.DroppedToward++
 	}
@@ -153,26 +153,26 @@
 	_, _ = c.socket.WriteToUDPAddrPort(datagram, netip.AddrPortFrom(entry, c.key.service.Port()))
 }
 
-// callerOf returns the socket of a caller, opened if need be, or nil if there are too many.
-func (f *Fabric) callerOf(key callerKey, conn *net.UDPConn) *caller {
+// callerFor returns the socket of a caller, opened if need be, or nil if there are too many.
+func (f *Fabric) callerFor(key callerKey, conn *net.UDPConn) *caller {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if c := f.callers[key]; c != nil {
 		return c
 	}
-	if f.closed || len(f.callers) >= f.settings.Callers {
+	if f.closed || len(f.callers) >= f.settings.MaxCallers {
 		f.stats.Refused++
 		return nil
 	}
-	own := netip.AddrPortFrom(key.address.Addr(), 0)
-	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(own))
+	local := netip.AddrPortFrom(key.address.Addr(), 0)
+	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(local))
 	if err != nil {
 		f.stats.Refused++
 		f.settings.Log.Error().Err(err).Msg("caller's address not bound")
 		return nil
 	}
-	widen(socket)
-	c := &caller{key: key, socket: socket, used: time.Now()}
+	enlargeBuffers(socket)
+	c := &caller{key: key, socket: socket, lastUsed: time.Now()}
 	f.callers[key] = c
 	go f.readEntries(c, conn)
 	return c
@@ -180,7 +180,7 @@
 
 // readEntries carries what entries answer to one caller, until the caller is forgotten.
 func (f *Fabric) readEntries(c *caller, conn *net.UDPConn) {
-	buffer := make([]byte, largestDatagram)
+	buffer := make([]byte, maxDatagram)
 	for {
 		n, from, err := c.socket.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -189,31 +189,31 @@
 		if err != nil {
 			continue
 		}
-		if f.mayReturn(c, from) {
+		if f.admitReturn(c, from) {
 			// A write fails when the caller's socket is gone; the datagram is lost, as on a wire.
 			_, _ = conn.WriteToUDPAddrPort(buffer[:n], c.key.address)
 		}
 	}
 }
 
-func (f *Fabric) mayReturn(c *caller, from netip.AddrPort) bool {
+func (f *Fabric) admitReturn(c *caller, from netip.AddrPort) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	entry := from.Addr().Unmap()
-	if from.Port() != c.key.service.Port() || !f.plan.returns(entry, c.key.address.Addr()) {
+	if from.Port() != c.key.service.Port() || !f.routing.reachesCaller(entry, c.key.address.Addr()) {
 		f.stats.DroppedBack++
 		return false
 	}
-	c.used = time.Now()
-	f.stats.of(entry).Back++
+	c.lastUsed = time.Now()
+	f.stats.forEntry(entry).Back++
 	return true
 }
 
-func (f *Fabric) forgetIdle(now time.Time) {
+func (f *Fabric) closeIdle(now time.Time) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for key, c := range f.callers {
-		if now.Sub(c.used) > f.settings.Idle {
+		if now.Sub(c.lastUsed) > f.settings.IdleTimeout {
 			c.socket.Close()
 			delete(f.callers, key)
 		}
@@ -233,8 +233,8 @@
 	}
 }
 
-func widen(conn *net.UDPConn) {
+func enlargeBuffers(conn *net.UDPConn) {
 	// Smaller buffers only mean more loss under load, so a refusal is no error.
-	_ = conn.SetReadBuffer(socketBuffer)
-	_ = conn.SetWriteBuffer(socketBuffer)
+	_ = conn.SetReadBuffer(socketBufferSize)
+	_ = conn.SetWriteBuffer(socketBufferSize)
 }
--- a/internal/stand/fabric/fabric_test.go
+++ b/internal/stand/fabric/fabric_test.go
@@ -10,29 +10,29 @@
 	"gotest.tools/v3/assert"
 )
 
-// bench is a fabric with one service, echoing entries and one caller.
-type bench struct {
-	fabric *Fabric
-	caller *net.UDPConn
-	seen   chan netip.AddrPort // sources that entries saw
+// testNetwork is a fabric with one service, echoing entries and one caller.
+type testNetwork struct {
+	fabric  *Fabric
+	caller  *net.UDPConn
+	sources chan netip.AddrPort // sources that entries saw
 }
 
-func start(t *testing.T, entries ...string) *bench {
+func start(t *testing.T, entries ...string) *testNetwork {
 	t.Helper()
-	return startBounded(t, 0, entries...)
+	return startWithLimit(t, 0, entries...)
 }
 
-func startBounded(t *testing.T, callers int, entries ...string) *bench {
+func startWithLimit(t *testing.T, maxCallers int, entries ...string) *testNetwork {
 	t.Helper()
 	service := freePort(t, "127.0.10.1")
-	b := &bench{seen: make(chan netip.AddrPort, 1024)}
+	b := &testNetwork{sources: make(chan netip.AddrPort, 1024)}
 	var addresses []netip.Addr
 	for _, text := range entries {
 		address := netip.MustParseAddr(text)
 		addresses = append(addresses, address)
 		b.echo(t, netip.AddrPortFrom(address, service.Port()))
 	}
-	f, err := Listen(Settings{Services: []netip.AddrPort{service}, Entries: addresses, Callers: callers})
+	f, err := Listen(Settings{Services: []netip.AddrPort{service}, Entries: addresses, MaxCallers: maxCallers})
 	assert.NilError(t, err)
 	b.fabric = f
 	ctx, cancel := context.WithCancel(context.Background())
@@ -42,8 +42,8 @@
 		cancel()
 		assert.NilError(t, <-done)
 	})
-	own := &net.UDPAddr{IP: net.IPv4(127, 0, 50, 1)}
-	b.caller, err = net.DialUDP("udp", own, net.UDPAddrFromAddrPort(service))
+	local := &net.UDPAddr{IP: net.IPv4(127, 0, 50, 1)}
+	b.caller, err = net.DialUDP("udp", local, net.UDPAddrFromAddrPort(service))
 	assert.NilError(t, err)
 	t.Cleanup(func() { b.caller.Close() })
 	return b
@@ -58,19 +58,19 @@
 }
 
 // echo is an entry that answers each datagram with its own address.
-func (b *bench) echo(t *testing.T, address netip.AddrPort) {
+func (b *testNetwork) echo(t *testing.T, address netip.AddrPort) {
 	t.Helper()
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 	assert.NilError(t, err)
 	t.Cleanup(func() { conn.Close() })
 	go func() {
-		buffer := make([]byte, largestDatagram)
+		buffer := make([]byte, maxDatagram)
 		for {
 			_, from, err := conn.ReadFromUDPAddrPort(buffer)
 			if err != nil {
 				return
 			}
-			b.seen <- from
+			b.sources <- from
 			if _, err := conn.WriteToUDPAddrPort([]byte(address.Addr().String()), from); err != nil {
 				return
 			}
@@ -78,8 +78,8 @@
 	}()
 }
 
-// ask sends a datagram and returns the entry that answered.
-func (b *bench) ask(t *testing.T) string {
+// roundTrip sends a datagram and returns the entry that answered.
+func (b *testNetwork) roundTrip(t *testing.T) string {
 	t.Helper()
 	_, err := b.caller.Write([]byte("hello"))
 	assert.NilError(t, err)
@@ -94,12 +94,12 @@
 	answered := map[string]int{}
 	var source netip.AddrPort
 	for range 100 {
-		answered[b.ask(t)]++
-		seen := <-b.seen
+		answered[b.roundTrip(t)]++
+		from := <-b.sources
 		if !source.IsValid() {
-			source = seen
+			source = from
 		}
-		assert.Equal(t, seen, source) // the same towards every entry
+		assert.Equal(t, from, source) // the same towards every entry
 	}
 	assert.Equal(t, source.Addr().String(), "127.0.50.1")
 	// One entry of two getting all of 100 has a chance of 2^-99.
@@ -109,31 +109,31 @@
 func TestCutsByDirection(t *testing.T) {
 	b := start(t, "127.0.1.1")
 	entry := netip.MustParseAddr("127.0.1.1")
-	b.ask(t)
-	<-b.seen
+	b.roundTrip(t)
+	<-b.sources
 
-	b.fabric.SetCut(Cut{Entry: entry, Back: 1})
+	b.fabric.SetLoss(Loss{Entry: entry, Back: 1})
 	_, err := b.caller.Write([]byte("hello"))
 	assert.NilError(t, err)
-	<-b.seen // the entry still hears the caller
-	b.await(func(s Stats) bool { return s.DroppedBack == 1 })
+	<-b.sources // the entry still hears the caller
+	b.awaitStats(func(s Stats) bool { return s.DroppedBack == 1 })
 
-	b.fabric.SetCut(Cut{Entry: entry, Toward: 1})
+	b.fabric.SetLoss(Loss{Entry: entry, Toward: 1})
 	_, err = b.caller.Write([]byte("hello"))
 	assert.NilError(t, err)
-	b.await(func(s Stats) bool { return s.DroppedToward == 1 })
+	b.awaitStats(func(s Stats) bool { return s.DroppedToward == 1 })
 
-	b.fabric.SetCut(Cut{Entry: entry})
-	assert.Equal(t, b.ask(t), "127.0.1.1")
-	<-b.seen
-	assert.Equal(t, len(b.seen), 0) // the datagram cut towards the entry never came
+	b.fabric.SetLoss(Loss{Entry: entry})
+	assert.Equal(t, b.roundTrip(t), "127.0.1.1")
+	<-b.sources
+	assert.Equal(t, len(b.sources), 0) // the datagram cut towards the entry never came
 }
 
-// await returns once the fabric's counts are as wanted.
-func (b *bench) await(wanted func(Stats) bool) {
+// awaitStats returns once the fabric's counts are as wanted.
+func (b *testNetwork) awaitStats(condition func(Stats) bool) {
 	for {
 		b.fabric.mutex.Lock()
-		ok := wanted(b.fabric.stats)
+		ok := condition(b.fabric.stats)
 		b.fabric.mutex.Unlock()
 		if ok {
 			return
@@ -144,19 +144,19 @@
 
 func TestPartitionHidesEntries(t *testing.T) {
 	b := start(t, "127.0.1.1", "127.0.1.2")
-	b.fabric.SetSides([]Side{{
+	b.fabric.SetPartition([]Side{{
 		Networks: []netip.Prefix{netip.MustParsePrefix("127.0.50.0/24")},
 		Entries:  []netip.Addr{netip.MustParseAddr("127.0.1.2")},
 	}})
 	for range 20 {
-		assert.Equal(t, b.ask(t), "127.0.1.2")
+		assert.Equal(t, b.roundTrip(t), "127.0.1.2")
 	}
 }
 
 func TestCallersAreBounded(t *testing.T) {
-	b := startBounded(t, 1, "127.0.1.1")
-	b.ask(t)
+	b := startWithLimit(t, 1, "127.0.1.1")
+	b.roundTrip(t)
 	other := callerKey{address: netip.MustParseAddrPort("127.0.50.2:9")}
-	assert.Assert(t, b.fabric.callerOf(other, nil) == nil)
-	b.await(func(s Stats) bool { return s.Refused == 1 })
+	assert.Assert(t, b.fabric.callerFor(other, nil) == nil)
+	b.awaitStats(func(s Stats) bool { return s.Refused == 1 })
 }
--- a/internal/stand/fabric/plan.go
+++ b/internal/stand/fabric/plan.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// Cut is the share of datagrams lost at one entry, by direction, from 0 to 1.
-type Cut struct {
+// Loss is the share of datagrams lost at one entry, by direction, from 0 to 1.
+type Loss struct {
 	Entry  netip.Addr `json:"entry"`
 	Toward float64    `json:"toward"` // from callers to the entry
 	Back   float64    `json:"back"`   // from the entry to callers
@@ -19,33 +19,33 @@
 	Entries  []netip.Addr   `json:"entries"`
 }
 
-// plan says where datagrams may go. It is guarded by the fabric's mutex.
-type plan struct {
+// routing says where datagrams may go. It is guarded by the fabric's mutex.
+type routing struct {
 	entries []netip.Addr
-	cuts    map[netip.Addr]Cut
+	loss    map[netip.Addr]Loss
 	sides   []Side
 }
 
-func newPlan(entries []netip.Addr) plan {
-	return plan{entries: entries, cuts: map[netip.Addr]Cut{}}
+func newRouting(entries []netip.Addr) routing {
+	return routing{entries: entries, loss: map[netip.Addr]Loss{}}
 }
 
-// choose returns the entry for one datagram of a caller, and false if it is lost.
-func (p plan) choose(caller netip.Addr) (entry netip.Addr, ok bool) {
-	visible := p.visible(caller)
-	if len(visible) == 0 {
+// pickEntry returns the entry for one datagram of a caller, and false if it is lost.
+func (p routing) pickEntry(caller netip.Addr) (entry netip.Addr, ok bool) {
+	entries := p.entriesFor(caller)
+	if len(entries) == 0 {
 		return netip.Addr{}, false
 	}
-	entry = visible[rand.IntN(len(visible))]
-	return entry, rand.Float64() >= p.cuts[entry].Toward
+	entry = entries[rand.IntN(len(entries))]
+	return entry, rand.Float64() >= p.loss[entry].Toward
 }
 
-// returns tells whether a datagram of an entry reaches a caller.
-func (p plan) returns(entry, caller netip.Addr) bool {
-	return slices.Contains(p.visible(caller), entry) && rand.Float64() >= p.cuts[entry].Back
+// reachesCaller tells whether a datagram of an entry reaches a caller.
+func (p routing) reachesCaller(entry, caller netip.Addr) bool {
+	return slices.Contains(p.entriesFor(caller), entry) && rand.Float64() >= p.loss[entry].Back
 }
 
-func (p plan) visible(caller netip.Addr) []netip.Addr {
+func (p routing) entriesFor(caller netip.Addr) []netip.Addr {
 	for _, s := range p.sides {
 		for _, network := range s.Networks {
 			if network.Contains(caller.Unmap()) {
--- a/internal/stand/matrix/cells.go
+++ b/internal/stand/matrix/cells.go
@@ -2,126 +2,126 @@
 
 // Names of promises.
 const (
-	established = "established"
-	isolated    = "isolated"
-	whole       = "whole"
-	notRun      = "not-run"
-	once        = "once"
-	leaving     = "leaving"
-	planned     = "planned"
-	inForce     = "in-force"
+	establishedFlow  = "established"
+	serviceIsolation = "isolated"
+	wholeAnswer      = "whole"
+	refusedNotRun    = "not-run"
+	atMostOnce       = "once"
+	leavingServer    = "leaving"
+	plannedStop      = "planned"
+	documentInForce  = "in-force"
 )
 
 // Names of faults.
 const (
-	entryKilled = "entry-killed"
-	entryJoins  = "entry-joins"
-	serverDies  = "server-dies"
-	drains      = "drains"
-	uneven      = "uneven"
-	down        = "down"
-	stale       = "stale"
-	copied      = "copied"
-	frozen      = "frozen"
-	partition   = "partition"
-	oneWay      = "one-way"
-	racing      = "racing"
+	entryKilled       = "entry-killed"
+	entryJoins        = "entry-joins"
+	serverDies        = "server-dies"
+	serverDrains      = "drains"
+	unevenUpdates     = "uneven"
+	platformDown      = "down"
+	platformStale     = "stale"
+	platformRestored  = "copied"
+	processFrozen     = "frozen"
+	partition         = "partition"
+	oneWayLoss        = "one-way"
+	concurrentChanges = "racing"
 )
 
 var promises = []Promise{
-	{established, "An established feed or upload survives any planned change to balancers or servers", true},
-	{isolated, "No packet or request of one service reaches another", true},
-	{whole, "Each caller gets the whole answer to its own request", true},
-	{notRun, "What is refused as \"not run\" did not run", true},
-	{once, "A request that is not idempotent runs at most once", true},
-	{leaving, "A server that is leaving gets no new work after 3 s", false},
-	{planned, "A planned stop cuts nothing in progress", false},
-	{inForce, "An accepted document is in force everywhere within 7 s and never reverts", false},
+	{establishedFlow, "An established feed or upload survives any planned change to balancers or servers", true},
+	{serviceIsolation, "No packet or request of one service reaches another", true},
+	{wholeAnswer, "Each caller gets the whole answer to its own request", true},
+	{refusedNotRun, "What is refused as \"not run\" did not run", true},
+	{atMostOnce, "A request that is not idempotent runs at most once", true},
+	{leavingServer, "A server that is leaving gets no new work after 3 s", false},
+	{plannedStop, "A planned stop cuts nothing in progress", false},
+	{documentInForce, "An accepted document is in force everywhere within 7 s and never reverts", false},
 }
 
-var kinds = []Fault{
+var faultKinds = []Fault{
 	{entryKilled, "a balancer is killed", []string{"entry-killed", "entries-killed-in-turn", "entry-killed-twice"}},
 	{entryJoins, "a balancer joins", []string{"entry-joins"}},
 	{serverDies, "an agent or a server is killed", []string{"agent-killed", "server-killed", "server-dies-after-running", "agent-killed-twice"}},
-	{drains, "a server drains", []string{"drain-by-document", "drain-by-server", "drain-by-list", "drain-by-signal"}},
-	{uneven, "updates reach processes unevenly", []string{"entry-frozen+document"}},
-	{down, "the platform is down", []string{"platform-down", "platform-down-entry-restarted"}},
-	{stale, "the platform serves an old revision", []string{"platform-stale-entry-restarted"}},
-	{copied, "the platform comes back from a copy", []string{"platform-copy"}},
-	{frozen, "a process is frozen and woken late", []string{"entry-frozen", "entries-all-frozen", "agent-frozen", "agent-frozen-past-deadline", "server-frozen"}},
+	{serverDrains, "a server drains", []string{"drain-by-document", "drain-by-server", "drain-by-list", "drain-by-signal"}},
+	{unevenUpdates, "updates reach processes unevenly", []string{"entry-frozen+document"}},
+	{platformDown, "the platform is down", []string{"platform-down", "platform-down-entry-restarted"}},
+	{platformStale, "the platform serves an old revision", []string{"platform-stale-entry-restarted"}},
+	{platformRestored, "the platform comes back from a copy", []string{"platform-copy"}},
+	{processFrozen, "a process is frozen and woken late", []string{"entry-frozen", "entries-all-frozen", "agent-frozen", "agent-frozen-past-deadline", "server-frozen"}},
 	{partition, "callers and entries are parted", []string{"partition"}},
-	{oneWay, "loss in one direction", []string{"cut-toward-entry", "cut-back-from-entry", "loss-both-ways"}},
-	{racing, "two documents, or a document and a drain, at once", []string{"two-documents-at-once", "document-and-drain-at-once"}},
+	{oneWayLoss, "loss in one direction", []string{"cut-toward-entry", "cut-back-from-entry", "loss-both-ways"}},
+	{concurrentChanges, "two documents, or a document and a drain, at once", []string{"two-documents-at-once", "document-and-drain-at-once"}},
 }
 
-// cells are the promises under single faults. Scenarios that check a promise anyway
+// promiseCells are the promises under single faults. Scenarios that check a promise anyway
 // are those of the fault and are not repeated here.
-var cells = []Cell{
-	{Row: established, Fault: entryKilled, Tests: []string{"flow/paths.TestOneWayFeedLeavesDeadEntry", "stand/demo.TestWholePathAsSeparateProcesses"}},
-	{Row: established, Fault: entryJoins, Tests: []string{"flow/ident.TestOpenGivesTheSealedServer"}},
-	{Row: established, Fault: drains, Scenarios: []string{"agent-replaced", "agent-succeeded"}},
-	{Row: established, Fault: uneven, Tests: []string{"flow/ident.TestRotatedKeyStillRoutes", "flow/route.TestFormerChoiceIsNamed", "flow/table.TestSecondHalfOfFirstFlightFindsItsServer"}},
-	{Row: established, Fault: frozen, Tests: []string{"flow/paths.TestPauseLosesNobody"}},
-	{Row: established, Fault: partition, Tests: []string{"flow/paths.TestPartedCallerIsAnsweredByEntriesThatHearIt"}},
-	{Row: established, Fault: oneWay, Tests: []string{"flow/paths.TestHalfDeadEntryIsLeftByAlternating", "flow/paths.TestUploadLeavesEntryThatNoLongerAnswers", "flow/paths.TestUploadDoesNotTryTheSameEntryTwice"}},
+var promiseCells = []Cell{
+	{Row: establishedFlow, Fault: entryKilled, Tests: []string{"flow/paths.TestOneWayFeedLeavesDeadEntry", "stand/demo.TestWholePathAsSeparateProcesses"}},
+	{Row: establishedFlow, Fault: entryJoins, Tests: []string{"flow/ident.TestOpenGivesTheSealedServer"}},
+	{Row: establishedFlow, Fault: serverDrains, Scenarios: []string{"agent-replaced", "agent-succeeded"}},
+	{Row: establishedFlow, Fault: unevenUpdates, Tests: []string{"flow/ident.TestRotatedKeyStillRoutes", "flow/route.TestFormerChoiceIsNamed", "flow/table.TestSecondHalfOfFirstFlightFindsItsServer"}},
+	{Row: establishedFlow, Fault: processFrozen, Tests: []string{"flow/paths.TestPauseLosesNobody"}},
+	{Row: establishedFlow, Fault: partition, Tests: []string{"flow/paths.TestPartedCallerIsAnsweredByEntriesThatHearIt"}},
+	{Row: establishedFlow, Fault: oneWayLoss, Tests: []string{"flow/paths.TestHalfDeadEntryIsLeftByAlternating", "flow/paths.TestUploadLeavesEntryThatNoLongerAnswers", "flow/paths.TestUploadDoesNotTryTheSameEntryTwice"}},
 
-	{Row: isolated, Fault: uneven, Tests: []string{"flow/ident.TestIDOfAnotherServiceDoesNotOpen", "flow/frame.TestFrameOfAnotherServiceIsRefused", "work/hand.TestOtherServiceIsRefused"}, Scenarios: []string{"address-moves+entry-frozen"}},
-	{Row: isolated, Fault: racing, Tests: []string{"conf/store.TestDocumentOfAnotherServiceIsRefused"}},
+	{Row: serviceIsolation, Fault: unevenUpdates, Tests: []string{"flow/ident.TestIDOfAnotherServiceDoesNotOpen", "flow/frame.TestFrameOfAnotherServiceIsRefused", "work/hand.TestOtherServiceIsRefused"}, Scenarios: []string{"address-moves+entry-frozen"}},
+	{Row: serviceIsolation, Fault: concurrentChanges, Tests: []string{"conf/store.TestDocumentOfAnotherServiceIsRefused"}},
 
-	{Row: whole, Fault: serverDies, Tests: []string{"work/hand.TestLinkLostAtEachStep"}},
-	{Row: whole, Fault: partition, Tests: []string{"work/hand.TestHistories"}},
+	{Row: wholeAnswer, Fault: serverDies, Tests: []string{"work/hand.TestLinkLostAtEachStep"}},
+	{Row: wholeAnswer, Fault: partition, Tests: []string{"work/hand.TestHistories"}},
 
-	{Row: notRun, Fault: serverDies, Tests: []string{"work/hand.TestReceiverRestarted", "work/hand.TestLinkLostAtEachStep"}},
-	{Row: notRun, Fault: drains, Tests: []string{"work/hand.TestNotRunIsFinal"}},
-	{Row: notRun, Fault: frozen, Tests: []string{"work/hand.TestOldLinkIsReadAfterTheQuestion", "work/memo.TestAskedBeforeItArrived"}},
-	{Row: notRun, Fault: partition, Tests: []string{"work/hand.TestHistories"}},
+	{Row: refusedNotRun, Fault: serverDies, Tests: []string{"work/hand.TestReceiverRestarted", "work/hand.TestLinkLostAtEachStep"}},
+	{Row: refusedNotRun, Fault: serverDrains, Tests: []string{"work/hand.TestNotRunIsFinal"}},
+	{Row: refusedNotRun, Fault: processFrozen, Tests: []string{"work/hand.TestOldLinkIsReadAfterTheQuestion", "work/memo.TestAskedBeforeItArrived"}},
+	{Row: refusedNotRun, Fault: partition, Tests: []string{"work/hand.TestHistories"}},
 
-	{Row: once, Fault: serverDies, Tests: []string{"work/hand.TestServerDiesAfterRunning", "work/hand.TestOwnerRestarted", "work/token.TestRestartedOwnerWithClockSetBack"}},
-	{Row: once, Fault: frozen, Tests: []string{"work/hand.TestFrozenReceiverWakesAfterTheDeadline", "work/memo.TestWokenAfterTheDeadline", "node/agent.TestClaimIsNotSentAfterItsDeadline"}},
-	{Row: once, Fault: partition, Tests: []string{"work/hand.TestPartitionAndCallerChangesSides", "work/hand.TestHistories"}},
+	{Row: atMostOnce, Fault: serverDies, Tests: []string{"work/hand.TestServerDiesAfterRunning", "work/hand.TestOwnerRestarted", "work/token.TestRestartedOwnerWithClockSetBack"}},
+	{Row: atMostOnce, Fault: processFrozen, Tests: []string{"work/hand.TestFrozenReceiverWakesAfterTheDeadline", "work/memo.TestWokenAfterTheDeadline", "node/agent.TestClaimIsNotSentAfterItsDeadline"}},
+	{Row: atMostOnce, Fault: partition, Tests: []string{"work/hand.TestPartitionAndCallerChangesSides", "work/hand.TestHistories"}},
 
-	{Row: leaving, Fault: entryKilled, Scenarios: []string{"entry-killed+server-drains"}},
-	{Row: leaving, Fault: entryJoins, Scenarios: []string{"entry-joins+drain"}},
-	{Row: leaving, Fault: serverDies, Scenarios: []string{"agent-killed+drain"}},
-	{Row: leaving, Fault: drains, Tests: []string{"flow/table.TestLeavingServerPassesNewFlowsOn", "flow/route.TestLeavingServerIsLastChoice", "load/place.TestLeavingAndTriedServersGetNothing", "load/shift.TestLeavingCountsAtOnce", "ctrl/relay.TestListSaysLeave"}, Scenarios: []string{"drain-by-document", "drain-by-server", "drain-by-list", "drain-by-signal"}},
-	{Row: leaving, Fault: uneven, Scenarios: []string{"entry-frozen+document"}},
-	{Row: leaving, Fault: down, Scenarios: []string{"platform-down+drain"}},
-	{Row: leaving, Fault: stale, Scenarios: []string{"platform-stale+drain"}},
-	{Row: leaving, Fault: copied, Scenarios: []string{"platform-copy+drain"}},
-	{Row: leaving, Fault: frozen, Scenarios: []string{"entry-frozen+document"}},
-	{Row: leaving, Fault: partition, Scenarios: []string{"partition+drain"}},
-	{Row: leaving, Fault: oneWay, Scenarios: []string{"cut-back+drain"}},
-	{Row: leaving, Fault: racing, Scenarios: []string{"document-and-drain-at-once"}},
+	{Row: leavingServer, Fault: entryKilled, Scenarios: []string{"entry-killed+server-drains"}},
+	{Row: leavingServer, Fault: entryJoins, Scenarios: []string{"entry-joins+drain"}},
+	{Row: leavingServer, Fault: serverDies, Scenarios: []string{"agent-killed+drain"}},
+	{Row: leavingServer, Fault: serverDrains, Tests: []string{"flow/table.TestLeavingServerPassesNewFlowsOn", "flow/route.TestLeavingServerIsLastChoice", "load/place.TestLeavingAndTriedServersGetNothing", "load/shift.TestLeavingCountsAtOnce", "ctrl/relay.TestListSaysLeave"}, Scenarios: []string{"drain-by-document", "drain-by-server", "drain-by-list", "drain-by-signal"}},
+	{Row: leavingServer, Fault: unevenUpdates, Scenarios: []string{"entry-frozen+document"}},
+	{Row: leavingServer, Fault: platformDown, Scenarios: []string{"platform-down+drain"}},
+	{Row: leavingServer, Fault: platformStale, Scenarios: []string{"platform-stale+drain"}},
+	{Row: leavingServer, Fault: platformRestored, Scenarios: []string{"platform-copy+drain"}},
+	{Row: leavingServer, Fault: processFrozen, Scenarios: []string{"entry-frozen+document"}},
+	{Row: leavingServer, Fault: partition, Scenarios: []string{"partition+drain"}},
+	{Row: leavingServer, Fault: oneWayLoss, Scenarios: []string{"cut-back+drain"}},
+	{Row: leavingServer, Fault: concurrentChanges, Scenarios: []string{"document-and-drain-at-once"}},
 
-	{Row: planned, Fault: entryKilled, Scenarios: []string{"entry-stopped+entry-killed"}},
-	{Row: planned, Fault: drains, Tests: []string{"flow/paths.TestLeavingEntryIsNotUsed", "node/agent.TestSuccessorBelievesInOldProcessAtFirst"}, Scenarios: []string{"entry-stopped", "agent-replaced", "drain-by-signal", "all-replaced"}},
+	{Row: plannedStop, Fault: entryKilled, Scenarios: []string{"entry-stopped+entry-killed"}},
+	{Row: plannedStop, Fault: serverDrains, Tests: []string{"flow/paths.TestLeavingEntryIsNotUsed", "node/agent.TestSuccessorBelievesInOldProcessAtFirst"}, Scenarios: []string{"entry-stopped", "agent-replaced", "drain-by-signal", "all-replaced"}},
 
-	{Row: planned, Fault: entryJoins, Scenarios: []string{"entry-stopped+entry-joins"}},
-	{Row: planned, Fault: serverDies, Scenarios: []string{"entry-stopped+agent-killed"}},
-	{Row: planned, Fault: uneven, Scenarios: []string{"agent-replaced+documents"}},
-	{Row: planned, Fault: down, Scenarios: []string{"agent-replaced+platform-down"}},
-	{Row: planned, Fault: stale, Scenarios: []string{"agent-replaced+platform-stale"}},
-	{Row: planned, Fault: copied, Scenarios: []string{"agent-replaced+platform-copy"}},
-	{Row: planned, Fault: frozen, Scenarios: []string{"entry-stopped+agent-frozen"}},
-	{Row: planned, Fault: partition, Scenarios: []string{"entry-stopped+partition"}},
-	{Row: planned, Fault: oneWay, Scenarios: []string{"entry-stopped+cut-back"}},
-	{Row: planned, Fault: racing, Scenarios: []string{"agent-replaced+documents"}},
+	{Row: plannedStop, Fault: entryJoins, Scenarios: []string{"entry-stopped+entry-joins"}},
+	{Row: plannedStop, Fault: serverDies, Scenarios: []string{"entry-stopped+agent-killed"}},
+	{Row: plannedStop, Fault: unevenUpdates, Scenarios: []string{"agent-replaced+documents"}},
+	{Row: plannedStop, Fault: platformDown, Scenarios: []string{"agent-replaced+platform-down"}},
+	{Row: plannedStop, Fault: platformStale, Scenarios: []string{"agent-replaced+platform-stale"}},
+	{Row: plannedStop, Fault: platformRestored, Scenarios: []string{"agent-replaced+platform-copy"}},
+	{Row: plannedStop, Fault: processFrozen, Scenarios: []string{"entry-stopped+agent-frozen"}},
+	{Row: plannedStop, Fault: partition, Scenarios: []string{"entry-stopped+partition"}},
+	{Row: plannedStop, Fault: oneWayLoss, Scenarios: []string{"entry-stopped+cut-back"}},
+	{Row: plannedStop, Fault: concurrentChanges, Scenarios: []string{"agent-replaced+documents"}},
 
-	{Row: inForce, Fault: entryKilled, Never: "what a balancer had in force dies with it; its successor is a balancer that joins"},
-	{Row: inForce, Fault: entryJoins, Scenarios: []string{"entry-joins"}},
-	{Row: inForce, Fault: serverDies, Tests: []string{"ctrl/relay.TestManyFailures"}, Scenarios: []string{"agent-killed+drain", "agent-killed+platform-down"}},
-	{Row: inForce, Fault: drains, Never: "a drain changes no document; a drain by document is an update like any other"},
-	{Row: inForce, Fault: uneven, Tests: []string{"conf/store.TestNeverReverts", "ctrl/relay.TestNeverRevertsInFleet", "ctrl/relay.TestChangeReachesAll"}},
-	{Row: inForce, Fault: down, Tests: []string{"ctrl/relay.TestPlatformDownAfterOneSawTheChange", "ctrl/relay.TestLongOutage"}, Scenarios: []string{"platform-down-entry-restarted"}},
-	{Row: inForce, Fault: stale, Tests: []string{"conf/store.TestNeverReverts", "ctrl/relay.TestRestartWithStalePlatform"}, Scenarios: []string{"platform-stale-entry-restarted", "platform-stale+drain"}},
-	{Row: inForce, Fault: copied, Tests: []string{"ctrl/relay.TestDocumentAfterThePlatformCameBackFromACopy", "ctrl/follow.TestChangesAfterThePlatformCameBackFromACopyAreKnown", "ctrl/belief.TestBeliefsOutliveCopies"}, Scenarios: []string{"platform-copy"}},
-	{Row: inForce, Fault: frozen, Scenarios: []string{"entry-frozen+document"}},
-	{Row: inForce, Fault: partition, Tests: []string{"ctrl/relay.TestPartitionHeals"}, Scenarios: []string{"partition+document"}},
-	{Row: inForce, Fault: oneWay, Tests: []string{"ctrl/relay.TestLoss"}, Scenarios: []string{"cut-back+document"}},
-	{Row: inForce, Fault: racing, Tests: []string{"conf/store.TestNeverReverts", "conf/store.TestFaultyDocumentLeavesTheLastGoodOne", "ctrl/relay.TestFaultyDocument"}, Scenarios: []string{"two-documents-at-once"}},
+	{Row: documentInForce, Fault: entryKilled, Impossible: "what a balancer had in force dies with it; its successor is a balancer that joins"},
+	{Row: documentInForce, Fault: entryJoins, Scenarios: []string{"entry-joins"}},
+	{Row: documentInForce, Fault: serverDies, Tests: []string{"ctrl/relay.TestManyFailures"}, Scenarios: []string{"agent-killed+drain", "agent-killed+platform-down"}},
+	{Row: documentInForce, Fault: serverDrains, Impossible: "a drain changes no document; a drain by document is an update like any other"},
+	{Row: documentInForce, Fault: unevenUpdates, Tests: []string{"conf/store.TestNeverReverts", "ctrl/relay.TestNeverRevertsInFleet", "ctrl/relay.TestChangeReachesAll"}},
+	{Row: documentInForce, Fault: platformDown, Tests: []string{"ctrl/relay.TestPlatformDownAfterOneSawTheChange", "ctrl/relay.TestLongOutage"}, Scenarios: []string{"platform-down-entry-restarted"}},
+	{Row: documentInForce, Fault: platformStale, Tests: []string{"conf/store.TestNeverReverts", "ctrl/relay.TestRestartWithStalePlatform"}, Scenarios: []string{"platform-stale-entry-restarted", "platform-stale+drain"}},
+	{Row: documentInForce, Fault: platformRestored, Tests: []string{"ctrl/relay.TestDocumentAfterThePlatformCameBackFromACopy", "ctrl/follow.TestChangesAfterThePlatformCameBackFromACopyAreKnown", "ctrl/belief.TestBeliefsOutliveCopies"}, Scenarios: []string{"platform-copy"}},
+	{Row: documentInForce, Fault: processFrozen, Scenarios: []string{"entry-frozen+document"}},
+	{Row: documentInForce, Fault: partition, Tests: []string{"ctrl/relay.TestPartitionHeals"}, Scenarios: []string{"partition+document"}},
+	{Row: documentInForce, Fault: oneWayLoss, Tests: []string{"ctrl/relay.TestLoss"}, Scenarios: []string{"cut-back+document"}},
+	{Row: documentInForce, Fault: concurrentChanges, Tests: []string{"conf/store.TestNeverReverts", "conf/store.TestFaultyDocumentLeavesTheLastGoodOne", "ctrl/relay.TestFaultyDocument"}, Scenarios: []string{"two-documents-at-once"}},
 }
 
-var pairs = []Cell{
+var faultPairs = []Cell{
 	{Row: "a server's address is given to another service while a balancer is frozen and wakes with the old document", Scenarios: []string{"address-moves+entry-frozen"}},
 	{Row: "a balancer is killed while a server drains", Scenarios: []string{"entry-killed+server-drains"}},
 	{Row: "a balancer is frozen while a document changes", Scenarios: []string{"entry-frozen+document"}},
--- a/internal/stand/matrix/matrix.go
+++ b/internal/stand/matrix/matrix.go
@@ -37,22 +37,22 @@
 
 // Cell is a promise under a fault, or a step of a request under a fault.
 type Cell struct {
-	Row       string
-	Fault     string
-	Tests     []string // area/package.TestName
-	Scenarios []string
-	Never     string // why it cannot happen
+	Row        string
+	Fault      string
+	Tests      []string // area/package.TestName
+	Scenarios  []string
+	Impossible string // why it cannot happen
 }
 
 // Scenarios returns the names of all scenarios that a cell or a fault names.
 func Scenarios() (names []string) {
-	for _, f := range kinds {
+	for _, f := range faultKinds {
 		names = append(names, f.Scenarios...)
 	}
-	for _, c := range slices.Concat(cells, steps) {
+	for _, c := range slices.Concat(promiseCells, stepCells) {
 		names = append(names, c.Scenarios...)
 	}
-	for _, p := range pairs {
+	for _, p := range faultPairs {
 		names = append(names, p.Scenarios...)
 	}
 	slices.Sort(names)
@@ -61,16 +61,16 @@
 
 // Tests returns the names of all tests that a cell names.
 func Tests() (names []string) {
-	for _, c := range slices.Concat(cells, steps) {
+	for _, c := range slices.Concat(promiseCells, stepCells) {
 		names = append(names, c.Tests...)
 	}
 	slices.Sort(names)
 	return slices.Compact(names)
 }
 
-// find returns the cell of a row under a fault, with the scenarios of the fault if
+// findCell returns the cell of a row under a fault, with the scenarios of the fault if
 // they check the row.
-func find(list []Cell, row string, f Fault, checked bool) Cell {
+func findCell(list []Cell, row string, f Fault, checked bool) Cell {
 	found := Cell{Row: row, Fault: f.Name}
 	if checked {
 		found.Scenarios = slices.Clone(f.Scenarios)
@@ -80,7 +80,7 @@
 			continue
 		}
 		found.Tests = append(found.Tests, c.Tests...)
-		found.Never = c.Never
+		found.Impossible = c.Impossible
 		for _, s := range c.Scenarios {
 			if !slices.Contains(found.Scenarios, s) {
 				found.Scenarios = append(found.Scenarios, s)
@@ -92,13 +92,13 @@
 
 // Decided says whether the cell is shown or cannot happen.
 func (c Cell) Decided() bool {
-	return c.Never != "" || len(c.Tests) > 0 || len(c.Scenarios) > 0
+	return c.Impossible != "" || len(c.Tests) > 0 || len(c.Scenarios) > 0
 }
 
 // String returns the cell as the page has it.
 func (c Cell) String() string {
-	if c.Never != "" {
-		return "cannot happen: " + c.Never
+	if c.Impossible != "" {
+		return "cannot happen: " + c.Impossible
 	}
 	var parts []string
 	for _, t := range c.Tests {
@@ -116,13 +116,13 @@
 // Page returns docs/FAULTS.md.
 func Page() string {
 	var b strings.Builder
-	b.WriteString(opening)
-	decided, all := 0, 0
+	b.WriteString(pageHeader)
+	decided, total := 0, 0
 	table := func(list []Cell, row string, checked bool) {
 		b.WriteString("\n| fault | shown by |\n|---|---|\n")
-		for _, f := range kinds {
-			c := find(list, row, f, checked)
-			all++
+		for _, f := range faultKinds {
+			c := findCell(list, row, f, checked)
+			total++
 			if c.Decided() {
 				decided++
 			}
@@ -132,21 +132,21 @@
 	b.WriteString("\n## Promises under single faults\n")
 	for _, p := range promises {
 		fmt.Fprintf(&b, "\n### %s\n", p.Text)
-		table(cells, p.Name, p.Checked)
+		table(promiseCells, p.Name, p.Checked)
 	}
-	fmt.Fprintf(&b, "\n%d of %d cells decided.\n", decided, all)
-	decided, all = 0, 0
+	fmt.Fprintf(&b, "\n%d of %d cells decided.\n", decided, total)
+	decided, total = 0, 0
 	b.WriteString("\n## Steps of a request under single faults\n")
 	b.WriteString("\nThe cells say that no request is run twice, lost without a word, or given another's answer when the fault comes at this step.\n")
-	for _, s := range stepNames {
+	for _, s := range requestSteps {
 		fmt.Fprintf(&b, "\n### %s\n", s.Text)
-		table(steps, s.Name, false)
+		table(stepCells, s.Name, false)
 	}
-	fmt.Fprintf(&b, "\n%d of %d cells decided.\n", decided, all)
+	fmt.Fprintf(&b, "\n%d of %d cells decided.\n", decided, total)
 	b.WriteString("\n## Pairs of faults\n\nAll promises that a scenario checks. Pairs that are not listed are not proved.\n\n| pair | shown by |\n|---|---|\n")
-	for _, p := range pairs {
+	for _, p := range faultPairs {
 		fmt.Fprintf(&b, "| %s | %s |\n", p.Row, p)
 	}
-	b.WriteString(closing)
+	b.WriteString(pageFooter)
 	return b.String()
 }
--- a/internal/stand/matrix/matrix_test.go
+++ b/internal/stand/matrix/matrix_test.go
@@ -55,12 +55,12 @@
 		return slices.ContainsFunc(rows, func(p Promise) bool { return p.Name == name })
 	}
 	inFaults := func(name string) bool {
-		return slices.ContainsFunc(kinds, func(f Fault) bool { return f.Name == name })
+		return slices.ContainsFunc(faultKinds, func(f Fault) bool { return f.Name == name })
 	}
-	for _, c := range cells {
+	for _, c := range promiseCells {
 		assert.Assert(t, inRows(promises, c.Row) && inFaults(c.Fault), "%s %s", c.Row, c.Fault)
 	}
-	for _, c := range steps {
-		assert.Assert(t, inRows(stepNames, c.Row) && inFaults(c.Fault), "%s %s", c.Row, c.Fault)
+	for _, c := range stepCells {
+		assert.Assert(t, inRows(requestSteps, c.Row) && inFaults(c.Fault), "%s %s", c.Row, c.Fault)
 	}
 }
--- a/internal/stand/matrix/steps.go
+++ b/internal/stand/matrix/steps.go
@@ -2,23 +2,23 @@
 
 // Names of steps.
 const (
-	halfOpen = "opening"
-	arrived  = "arrived"
-	queued   = "queued"
-	handed   = "handed"
-	sent     = "sent"
-	halfBack = "half-back"
-	answered = "answered"
+	duringHandshake = "opening"
+	beforeFirstByte = "arrived"
+	queuedAtAgent   = "queued"
+	handedOver      = "handed"
+	sentToServer    = "sent"
+	halfTransferred = "half-back"
+	unacknowledged  = "answered"
 )
 
-var stepNames = []Promise{
-	{Name: halfOpen, Text: "Handshake half done: the first flight in two datagrams at two balancers"},
-	{Name: arrived, Text: "Before the first byte: the request has not come to an agent whole"},
-	{Name: queued, Text: "Queued at an agent"},
-	{Name: handed, Text: "Handed to another agent"},
-	{Name: sent, Text: "Sent to the server"},
-	{Name: halfBack, Text: "Answer half back, or upload half sent"},
-	{Name: answered, Text: "Answered and not acknowledged"},
+var requestSteps = []Promise{
+	{Name: duringHandshake, Text: "Handshake half done: the first flight in two datagrams at two balancers"},
+	{Name: beforeFirstByte, Text: "Before the first byte: the request has not come to an agent whole"},
+	{Name: queuedAtAgent, Text: "Queued at an agent"},
+	{Name: handedOver, Text: "Handed to another agent"},
+	{Name: sentToServer, Text: "Sent to the server"},
+	{Name: halfTransferred, Text: "Answer half back, or upload half sent"},
+	{Name: unacknowledged, Text: "Answered and not acknowledged"},
 }
 
 // Reasons why a fault cannot come at a step.
@@ -27,82 +27,82 @@
 	noEntry    = "the request is whole at an agent; no balancer takes part until it is answered"
 )
 
-// steps are the steps of a request under single faults. A run is named for a step
+// stepCells are the steps of a request under single faults. A run is named for a step
 // only if requests at that step were caught in it; the runs print how many.
-var steps = []Cell{
-	{Row: halfOpen, Fault: uneven, Tests: []string{"flow/table.TestSecondHalfOfFirstFlightFindsItsServer", "flow/table.TestNewFlowIsHandedBack"}},
-	{Row: halfOpen, Fault: drains, Tests: []string{"flow/table.TestLeavingServerPassesNewFlowsOn", "flow/table.TestAllLeavingStillAnswers"}},
-	{Row: halfOpen, Fault: serverDies, Tests: []string{"flow/table.TestDeadFormerChoiceIsAskedOnce", "flow/route.TestSilentServerIsPassedOver"}},
-	{Row: halfOpen, Fault: entryJoins, Tests: []string{"flow/table.TestSecondHalfOfFirstFlightFindsItsServer"}},
+var stepCells = []Cell{
+	{Row: duringHandshake, Fault: unevenUpdates, Tests: []string{"flow/table.TestSecondHalfOfFirstFlightFindsItsServer", "flow/table.TestNewFlowIsHandedBack"}},
+	{Row: duringHandshake, Fault: serverDrains, Tests: []string{"flow/table.TestLeavingServerPassesNewFlowsOn", "flow/table.TestAllLeavingStillAnswers"}},
+	{Row: duringHandshake, Fault: serverDies, Tests: []string{"flow/table.TestDeadFormerChoiceIsAskedOnce", "flow/route.TestSilentServerIsPassedOver"}},
+	{Row: duringHandshake, Fault: entryJoins, Tests: []string{"flow/table.TestSecondHalfOfFirstFlightFindsItsServer"}},
 
-	{Row: arrived, Fault: entryKilled, Scenarios: []string{"entry-killed"}},
-	{Row: arrived, Fault: oneWay, Tests: []string{"flow/paths.TestUploadLeavesEntryThatNoLongerAnswers"}},
-	{Row: arrived, Fault: partition, Tests: []string{"flow/paths.TestPartedCallerIsAnsweredByEntriesThatHearIt"}},
+	{Row: beforeFirstByte, Fault: entryKilled, Scenarios: []string{"entry-killed"}},
+	{Row: beforeFirstByte, Fault: oneWayLoss, Tests: []string{"flow/paths.TestUploadLeavesEntryThatNoLongerAnswers"}},
+	{Row: beforeFirstByte, Fault: partition, Tests: []string{"flow/paths.TestPartedCallerIsAnsweredByEntriesThatHearIt"}},
 
-	{Row: queued, Fault: drains, Tests: []string{"load/admit.TestDrainHandsOutWhatWaits", "node/gate.TestDrainGivesWaitingBack"}, Scenarios: []string{"drain-by-document", "drain-by-server", "drain-by-signal"}},
-	{Row: queued, Fault: serverDies, Scenarios: []string{"agent-killed", "server-killed"}},
-	{Row: queued, Fault: uneven, Scenarios: []string{"entry-frozen+document"}},
-	{Row: queued, Fault: partition, Scenarios: []string{"partition"}},
-	{Row: queued, Fault: oneWay, Scenarios: []string{"cut-back-from-entry"}},
-	{Row: queued, Fault: racing, Scenarios: []string{"document-and-drain-at-once"}},
-	{Row: queued, Fault: frozen, Tests: []string{"load/admit.TestExpireAnswersAtTheLatestStart"}, Scenarios: []string{"agent-frozen", "server-frozen"}},
+	{Row: queuedAtAgent, Fault: serverDrains, Tests: []string{"load/admit.TestDrainHandsOutWhatWaits", "node/gate.TestDrainGivesWaitingBack"}, Scenarios: []string{"drain-by-document", "drain-by-server", "drain-by-signal"}},
+	{Row: queuedAtAgent, Fault: serverDies, Scenarios: []string{"agent-killed", "server-killed"}},
+	{Row: queuedAtAgent, Fault: unevenUpdates, Scenarios: []string{"entry-frozen+document"}},
+	{Row: queuedAtAgent, Fault: partition, Scenarios: []string{"partition"}},
+	{Row: queuedAtAgent, Fault: oneWayLoss, Scenarios: []string{"cut-back-from-entry"}},
+	{Row: queuedAtAgent, Fault: concurrentChanges, Scenarios: []string{"document-and-drain-at-once"}},
+	{Row: queuedAtAgent, Fault: processFrozen, Tests: []string{"load/admit.TestExpireAnswersAtTheLatestStart"}, Scenarios: []string{"agent-frozen", "server-frozen"}},
 
-	{Row: handed, Fault: serverDies, Tests: []string{"work/hand.TestReceiverRestarted", "work/hand.TestUnreachedPeerLeavesTheBody"}, Scenarios: []string{"agent-killed", "server-killed"}},
-	{Row: handed, Fault: drains, Scenarios: []string{"drain-by-document", "drain-by-server", "drain-by-signal"}},
-	{Row: handed, Fault: racing, Scenarios: []string{"document-and-drain-at-once"}},
-	{Row: handed, Fault: frozen, Tests: []string{"work/hand.TestFrozenReceiverWakesAfterTheDeadline"}, Scenarios: []string{"agent-frozen"}},
-	{Row: handed, Fault: oneWay, Tests: []string{"work/hand.TestLinkLostAtEachStep", "work/hand.TestOldLinkIsReadAfterTheQuestion"}},
-	{Row: handed, Fault: partition, Tests: []string{"work/hand.TestPartitionAndCallerChangesSides", "work/hand.TestHistories"}},
-	{Row: handed, Fault: uneven, Tests: []string{"work/hand.TestHopsAreBounded", "work/hand.TestOtherServiceIsRefused"}},
+	{Row: handedOver, Fault: serverDies, Tests: []string{"work/hand.TestReceiverRestarted", "work/hand.TestUnreachedPeerLeavesTheBody"}, Scenarios: []string{"agent-killed", "server-killed"}},
+	{Row: handedOver, Fault: serverDrains, Scenarios: []string{"drain-by-document", "drain-by-server", "drain-by-signal"}},
+	{Row: handedOver, Fault: concurrentChanges, Scenarios: []string{"document-and-drain-at-once"}},
+	{Row: handedOver, Fault: processFrozen, Tests: []string{"work/hand.TestFrozenReceiverWakesAfterTheDeadline"}, Scenarios: []string{"agent-frozen"}},
+	{Row: handedOver, Fault: oneWayLoss, Tests: []string{"work/hand.TestLinkLostAtEachStep", "work/hand.TestOldLinkIsReadAfterTheQuestion"}},
+	{Row: handedOver, Fault: partition, Tests: []string{"work/hand.TestPartitionAndCallerChangesSides", "work/hand.TestHistories"}},
+	{Row: handedOver, Fault: unevenUpdates, Tests: []string{"work/hand.TestHopsAreBounded", "work/hand.TestOtherServiceIsRefused"}},
 
-	{Row: sent, Fault: entryKilled, Scenarios: []string{"entry-killed"}},
-	{Row: sent, Fault: serverDies, Tests: []string{"work/hand.TestServerDiesAfterRunning"}, Scenarios: []string{"server-killed", "server-dies-after-running", "agent-killed"}},
-	{Row: sent, Fault: frozen, Tests: []string{"node/agent.TestClaimIsNotSentAfterItsDeadline"}, Scenarios: []string{"agent-frozen", "server-frozen", "entry-frozen"}},
-	{Row: sent, Fault: uneven, Scenarios: []string{"entry-frozen+document"}},
-	{Row: sent, Fault: drains, Scenarios: []string{"drain-by-server", "drain-by-signal"}},
-	{Row: sent, Fault: partition, Scenarios: []string{"partition"}},
-	{Row: sent, Fault: oneWay, Scenarios: []string{"cut-back-from-entry"}},
-	{Row: sent, Fault: down, Scenarios: []string{"platform-down"}},
-	{Row: sent, Fault: racing, Scenarios: []string{"document-and-drain-at-once"}},
+	{Row: sentToServer, Fault: entryKilled, Scenarios: []string{"entry-killed"}},
+	{Row: sentToServer, Fault: serverDies, Tests: []string{"work/hand.TestServerDiesAfterRunning"}, Scenarios: []string{"server-killed", "server-dies-after-running", "agent-killed"}},
+	{Row: sentToServer, Fault: processFrozen, Tests: []string{"node/agent.TestClaimIsNotSentAfterItsDeadline"}, Scenarios: []string{"agent-frozen", "server-frozen", "entry-frozen"}},
+	{Row: sentToServer, Fault: unevenUpdates, Scenarios: []string{"entry-frozen+document"}},
+	{Row: sentToServer, Fault: serverDrains, Scenarios: []string{"drain-by-server", "drain-by-signal"}},
+	{Row: sentToServer, Fault: partition, Scenarios: []string{"partition"}},
+	{Row: sentToServer, Fault: oneWayLoss, Scenarios: []string{"cut-back-from-entry"}},
+	{Row: sentToServer, Fault: platformDown, Scenarios: []string{"platform-down"}},
+	{Row: sentToServer, Fault: concurrentChanges, Scenarios: []string{"document-and-drain-at-once"}},
 
-	{Row: halfBack, Fault: entryKilled, Tests: []string{"stand/demo.TestWholePathAsSeparateProcesses"}, Scenarios: []string{"entry-killed", "entries-killed-in-turn"}},
-	{Row: halfBack, Fault: entryJoins, Scenarios: []string{"entry-joins"}},
-	{Row: halfBack, Fault: serverDies, Scenarios: []string{"agent-killed", "server-killed"}},
-	{Row: halfBack, Fault: drains, Scenarios: []string{"drain-by-document", "drain-by-server", "drain-by-signal"}},
-	{Row: halfBack, Fault: uneven, Scenarios: []string{"entry-frozen+document"}},
-	{Row: halfBack, Fault: down, Scenarios: []string{"platform-down"}},
-	{Row: halfBack, Fault: stale, Scenarios: []string{"platform-stale-entry-restarted"}},
-	{Row: halfBack, Fault: copied, Scenarios: []string{"platform-copy"}},
-	{Row: halfBack, Fault: frozen, Scenarios: []string{"entry-frozen", "agent-frozen", "server-frozen"}},
-	{Row: halfBack, Fault: partition, Scenarios: []string{"partition"}},
-	{Row: halfBack, Fault: oneWay, Scenarios: []string{"cut-toward-entry", "cut-back-from-entry"}},
-	{Row: halfBack, Fault: racing, Scenarios: []string{"two-documents-at-once", "document-and-drain-at-once"}},
+	{Row: halfTransferred, Fault: entryKilled, Tests: []string{"stand/demo.TestWholePathAsSeparateProcesses"}, Scenarios: []string{"entry-killed", "entries-killed-in-turn"}},
+	{Row: halfTransferred, Fault: entryJoins, Scenarios: []string{"entry-joins"}},
+	{Row: halfTransferred, Fault: serverDies, Scenarios: []string{"agent-killed", "server-killed"}},
+	{Row: halfTransferred, Fault: serverDrains, Scenarios: []string{"drain-by-document", "drain-by-server", "drain-by-signal"}},
+	{Row: halfTransferred, Fault: unevenUpdates, Scenarios: []string{"entry-frozen+document"}},
+	{Row: halfTransferred, Fault: platformDown, Scenarios: []string{"platform-down"}},
+	{Row: halfTransferred, Fault: platformStale, Scenarios: []string{"platform-stale-entry-restarted"}},
+	{Row: halfTransferred, Fault: platformRestored, Scenarios: []string{"platform-copy"}},
+	{Row: halfTransferred, Fault: processFrozen, Scenarios: []string{"entry-frozen", "agent-frozen", "server-frozen"}},
+	{Row: halfTransferred, Fault: partition, Scenarios: []string{"partition"}},
+	{Row: halfTransferred, Fault: oneWayLoss, Scenarios: []string{"cut-toward-entry", "cut-back-from-entry"}},
+	{Row: halfTransferred, Fault: concurrentChanges, Scenarios: []string{"two-documents-at-once", "document-and-drain-at-once"}},
 
-	{Row: answered, Fault: entryKilled, Tests: []string{"flow/paths.TestOneWayFeedLeavesDeadEntry"}},
-	{Row: answered, Fault: serverDies, Tests: []string{"work/hand.TestOwnerRestarted"}},
-	{Row: answered, Fault: partition, Tests: []string{"work/hand.TestPartitionAndCallerChangesSides"}},
-	{Row: answered, Fault: oneWay, Tests: []string{"flow/paths.TestHalfDeadEntryIsLeftByAlternating", "work/hand.TestAgentsRaceForAKey"}},
+	{Row: unacknowledged, Fault: entryKilled, Tests: []string{"flow/paths.TestOneWayFeedLeavesDeadEntry"}},
+	{Row: unacknowledged, Fault: serverDies, Tests: []string{"work/hand.TestOwnerRestarted"}},
+	{Row: unacknowledged, Fault: partition, Tests: []string{"work/hand.TestPartitionAndCallerChangesSides"}},
+	{Row: unacknowledged, Fault: oneWayLoss, Tests: []string{"flow/paths.TestHalfDeadEntryIsLeftByAlternating", "work/hand.TestAgentsRaceForAKey"}},
 
-	{Row: halfOpen, Fault: down, Never: noPlatform},
-	{Row: halfOpen, Fault: stale, Never: noPlatform},
-	{Row: arrived, Fault: down, Never: noPlatform},
-	{Row: arrived, Fault: stale, Never: noPlatform},
-	{Row: queued, Fault: down, Never: noPlatform},
-	{Row: queued, Fault: stale, Never: noPlatform},
-	{Row: handed, Fault: down, Never: noPlatform},
-	{Row: handed, Fault: stale, Never: noPlatform},
-	{Row: answered, Fault: down, Never: noPlatform},
-	{Row: answered, Fault: stale, Never: noPlatform},
-	{Row: sent, Fault: stale, Never: noPlatform},
-	{Row: halfOpen, Fault: copied, Never: noPlatform},
-	{Row: arrived, Fault: copied, Never: noPlatform},
-	{Row: queued, Fault: copied, Never: noPlatform},
-	{Row: handed, Fault: copied, Never: noPlatform},
-	{Row: answered, Fault: copied, Never: noPlatform},
-	{Row: sent, Fault: copied, Never: noPlatform},
-	{Row: queued, Fault: entryKilled, Never: noEntry},
-	{Row: queued, Fault: entryJoins, Never: noEntry},
-	{Row: handed, Fault: entryKilled, Never: noEntry},
-	{Row: handed, Fault: entryJoins, Never: noEntry},
-	{Row: sent, Fault: entryJoins, Never: noEntry},
+	{Row: duringHandshake, Fault: platformDown, Impossible: noPlatform},
+	{Row: duringHandshake, Fault: platformStale, Impossible: noPlatform},
+	{Row: beforeFirstByte, Fault: platformDown, Impossible: noPlatform},
+	{Row: beforeFirstByte, Fault: platformStale, Impossible: noPlatform},
+	{Row: queuedAtAgent, Fault: platformDown, Impossible: noPlatform},
+	{Row: queuedAtAgent, Fault: platformStale, Impossible: noPlatform},
+	{Row: handedOver, Fault: platformDown, Impossible: noPlatform},
+	{Row: handedOver, Fault: platformStale, Impossible: noPlatform},
+	{Row: unacknowledged, Fault: platformDown, Impossible: noPlatform},
+	{Row: unacknowledged, Fault: platformStale, Impossible: noPlatform},
+	{Row: sentToServer, Fault: platformStale, Impossible: noPlatform},
+	{Row: duringHandshake, Fault: platformRestored, Impossible: noPlatform},
+	{Row: beforeFirstByte, Fault: platformRestored, Impossible: noPlatform},
+	{Row: queuedAtAgent, Fault: platformRestored, Impossible: noPlatform},
+	{Row: handedOver, Fault: platformRestored, Impossible: noPlatform},
+	{Row: unacknowledged, Fault: platformRestored, Impossible: noPlatform},
+	{Row: sentToServer, Fault: platformRestored, Impossible: noPlatform},
+	{Row: queuedAtAgent, Fault: entryKilled, Impossible: noEntry},
+	{Row: queuedAtAgent, Fault: entryJoins, Impossible: noEntry},
+	{Row: handedOver, Fault: entryKilled, Impossible: noEntry},
+	{Row: handedOver, Fault: entryJoins, Impossible: noEntry},
+	{Row: sentToServer, Fault: entryJoins, Impossible: noEntry},
 }
--- a/internal/stand/matrix/text.go
+++ b/internal/stand/matrix/text.go
@@ -1,6 +1,6 @@
 package matrix
 
-const opening = `# Faults
+const pageHeader = `# Faults
 
 What must always hold, under what fails: which test shows it, or that nothing does. Written from the registry in
 ` + "`internal/stand/matrix`" + ` by ` + "`standin matrix > docs/FAULTS.md`" + `; a test holds the page against the registry, and the registry
@@ -12,7 +12,7 @@
   callers; even ones have 120, so that requests wait and are handed over. What the last whole run gave is in [MEASURED](MEASURED.md).
 `
 
-const closing = `
+const pageFooter = `
 ## What the runs cannot show
 
 - A partition between entries and agents, or between agents: the stand-in for the fabric parts callers from entries only. With agents
--- a/internal/stand/plat/fault.go
+++ b/internal/stand/plat/fault.go
@@ -41,12 +41,12 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.fault = f
-	p.frozen = nil
+	p.staleView = nil
 	if f.Mode == Stale {
-		v := p.viewBack(f.Back)
-		p.frozen = &v
+		v := p.viewAt(f.Back)
+		p.staleView = &v
 	}
-	p.wake()
+	p.notifyWatches()
 	p.settings.Log.Info().Str("mode", string(f.Mode)).Msg("fault set")
 }
 
--- a/internal/stand/plat/plat.go
+++ b/internal/stand/plat/plat.go
@@ -33,12 +33,12 @@
 )
 
 const (
-	scanEvery     = 50 * time.Millisecond // how soon a changed file is seen
-	watchFor      = 25 * time.Second      // a watch answers after this with the index unchanged
-	versionsKept  = 64                    // earlier versions of a document that a stale platform may serve
-	listsKept     = 256                   // earlier instance lists, which bounds the lag
-	pathsCounted  = 4096                  // paths with a count of calls of their own
-	instancesFile = "instances.json"
+	scanInterval    = 50 * time.Millisecond // how soon a changed file is seen
+	watchTimeout    = 25 * time.Second      // a watch answers after this with the index unchanged
+	maxVersions     = 64                    // earlier versions of a document that a stale platform may serve
+	maxLists        = 256                   // earlier instance lists, which bounds the lag
+	maxCountedPaths = 4096                  // paths with a count of calls of their own
+	instancesFile   = "instances.json"
 )
 
 // Settings are the platform's own.
@@ -80,7 +80,7 @@
 	text     string
 }
 
-type listed struct {
+type listSnapshot struct {
 	at   time.Time
 	list Instances
 }
@@ -89,16 +89,16 @@
 type Platform struct {
 	settings Settings
 
-	mutex    sync.Mutex
-	era      uint64    // rises each time that the platform comes back from a copy
-	away     time.Time // nothing is written until then
-	index    uint64
-	versions map[string][]version // oldest first
-	lists    []listed             // oldest first
-	fault    Fault
-	frozen   *view // what a stale platform serves
-	calls    map[string]uint64
-	changed  chan struct{} // closed and replaced at each change of what is served
+	mutex           sync.Mutex
+	era             uint64    // rises each time that the platform comes back from a copy
+	scanPausedUntil time.Time // nothing is written until then
+	index           uint64
+	versions        map[string][]version // oldest first
+	lists           []listSnapshot       // oldest first
+	fault           Fault
+	staleView       *view // what a stale platform serves
+	calls           map[string]uint64
+	changed         chan struct{} // closed and replaced at each change of what is served
 }
 
 // New returns a platform that has read its directory once.
@@ -116,7 +116,7 @@
 
 // Run reads the directory until the context ends.
 func (p *Platform) Run(ctx context.Context) {
-	ticker := time.NewTicker(scanEvery)
+	ticker := time.NewTicker(scanInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -130,9 +130,9 @@
 
 func (p *Platform) scan() {
 	p.mutex.Lock()
-	away := time.Now().Before(p.away)
+	paused := time.Now().Before(p.scanPausedUntil)
 	p.mutex.Unlock()
-	if away {
+	if paused {
 		return
 	}
 	texts, revisions, err := readDocuments(p.settings.Directory)
@@ -158,48 +158,48 @@
 	}
 	if changed {
 		p.index++
-		p.wake()
+		p.notifyWatches()
 	}
 }
 
 // accept takes a text as a document's newest version and reports whether it is new.
-func (p *Platform) accept(name, text string, fixed uint64) bool {
+func (p *Platform) accept(name, text string, required uint64) bool {
 	kept := p.versions[name]
 	next := version{revision: 1, text: text}
 	if len(kept) > 0 {
 		last := kept[len(kept)-1]
-		if last.text == text && (fixed == 0 || fixed == last.revision) {
+		if last.text == text && (required == 0 || required == last.revision) {
 			return false
 		}
 		next.revision = last.revision + 1
 	}
-	if fixed != 0 {
-		next.revision = fixed
+	if required != 0 {
+		next.revision = required
 	}
 	kept = append(kept, next)
-	if len(kept) > versionsKept {
-		kept = kept[len(kept)-versionsKept:]
+	if len(kept) > maxVersions {
+		kept = kept[len(kept)-maxVersions:]
 	}
 	p.versions[name] = kept
 	p.settings.Log.Info().Str("document", name).Uint64("revision", next.revision).Msg("document changed")
 	return true
 }
 
-// writtenAgain is how long after the platform's return from a copy the teams write again what it lost: the directory has it still.
-const writtenAgain = time.Second
+// rewriteDelay is how long after the platform's return from a copy the teams write again what it lost: the directory has it still.
+const rewriteDelay = time.Second
 
 // restore brings the platform back from a copy that lacks the last versions of each document. Its numbers are given out again.
 func (p *Platform) restore(back int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for name, kept := range p.versions {
-		lost := min(back, len(kept)-1)
-		p.versions[name] = kept[:len(kept)-lost]
-		p.index -= min(p.index, uint64(lost))
+		dropped := min(back, len(kept)-1)
+		p.versions[name] = kept[:len(kept)-dropped]
+		p.index -= min(p.index, uint64(dropped))
 	}
 	p.era++
-	p.away = time.Now().Add(writtenAgain)
-	p.wake()
+	p.scanPausedUntil = time.Now().Add(rewriteDelay)
+	p.notifyWatches()
 	p.settings.Log.Info().Uint64("era", p.era).Msg("back from a copy")
 }
 
@@ -207,18 +207,18 @@
 	if len(p.lists) > 0 && sameInstances(p.lists[len(p.lists)-1].list.Instances, list) {
 		return false
 	}
-	p.lists = append(p.lists, listed{
+	p.lists = append(p.lists, listSnapshot{
 		at:   time.Now(),
 		list: Instances{Index: p.index + 1, Instances: list},
 	})
-	if len(p.lists) > listsKept {
-		p.lists = p.lists[len(p.lists)-listsKept:]
+	if len(p.lists) > maxLists {
+		p.lists = p.lists[len(p.lists)-maxLists:]
 	}
 	return true
 }
 
-// wake lets every waiting watch look again. The mutex is held.
-func (p *Platform) wake() {
+// notifyWatches lets every waiting watch look again. The mutex is held.
+func (p *Platform) notifyWatches() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
--- a/internal/stand/plat/plat_test.go
+++ b/internal/stand/plat/plat_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func write(t *testing.T, directory, name, text string) {
+func writeFile(t *testing.T, directory, name, text string) {
 	t.Helper()
 	assert.NilError(t, os.WriteFile(filepath.Join(directory, name), []byte(text), 0o600))
 }
@@ -31,7 +31,7 @@
 
 func TestRevisionGrowsWithText(t *testing.T) {
 	directory := t.TempDir()
-	write(t, directory, "tracing-core.ini", "one")
+	writeFile(t, directory, "tracing-core.ini", "one")
 	p := New(Settings{Directory: directory})
 	server := httptest.NewServer(p.Reader())
 	defer server.Close()
@@ -41,13 +41,13 @@
 	assert.Equal(t, body, "one")
 
 	p.scan() // unchanged text keeps its revision
-	write(t, directory, "tracing-core.ini", "two")
+	writeFile(t, directory, "tracing-core.ini", "two")
 	p.scan()
 	header, body = get(t, server, "/documents/tracing-core")
 	assert.Equal(t, header.Get("Revision"), "2")
 	assert.Equal(t, body, "two")
 
-	write(t, directory, "tracing-core.rev", "41\n")
+	writeFile(t, directory, "tracing-core.rev", "41\n")
 	p.scan()
 	_, body = get(t, server, "/documents")
 	assert.Equal(t, body, `{"index":3,"documents":[{"name":"tracing-core","revision":41}]}`+"\n")
@@ -55,7 +55,7 @@
 
 func TestWatchAnswersAtChange(t *testing.T) {
 	directory := t.TempDir()
-	write(t, directory, "tracing-core.ini", "one")
+	writeFile(t, directory, "tracing-core.ini", "one")
 	p := New(Settings{Directory: directory})
 	server := httptest.NewServer(p.Reader())
 	defer server.Close()
@@ -71,7 +71,7 @@
 		text, _ := io.ReadAll(answer.Body)
 		changed <- string(text)
 	}()
-	write(t, directory, "tracing-core.ini", "two")
+	writeFile(t, directory, "tracing-core.ini", "two")
 	p.scan()
 	assert.Equal(t, <-changed, `{"index":2,"documents":[{"name":"tracing-core","revision":2}]}`+"\n")
 }
@@ -81,15 +81,15 @@
 // broken connections, and the newest revision once the platform is mended.
 func TestStaleThenDown(t *testing.T) {
 	directory := t.TempDir()
-	write(t, directory, "tracing-core.ini", "one")
+	writeFile(t, directory, "tracing-core.ini", "one")
 	p := New(Settings{Directory: directory})
 	server := httptest.NewServer(p.Reader())
 	defer server.Close()
-	write(t, directory, "tracing-core.ini", "two")
+	writeFile(t, directory, "tracing-core.ini", "two")
 	p.scan()
 
 	p.SetFault(Fault{Mode: Stale, Back: 1})
-	write(t, directory, "tracing-core.ini", "three")
+	writeFile(t, directory, "tracing-core.ini", "three")
 	p.scan()
 	_, body := get(t, server, "/documents/tracing-core")
 	assert.Equal(t, body, "one")
@@ -116,7 +116,7 @@
 
 func TestCallsAreCounted(t *testing.T) {
 	directory := t.TempDir()
-	write(t, directory, "instances.json", `[{"name":"e1","role":"entry","domain":"zg-a","address":"127.0.1.1:7000","state":"live"}]`)
+	writeFile(t, directory, "instances.json", `[{"name":"e1","role":"entry","domain":"zg-a","address":"127.0.1.1:7000","state":"live"}]`)
 	p := New(Settings{Directory: directory})
 	reader, admin := httptest.NewServer(p.Reader()), httptest.NewServer(p.Admin())
 	defer reader.Close()
@@ -138,14 +138,14 @@
 	server := httptest.NewServer(p.Reader())
 	defer server.Close()
 	for _, text := range []string{"one", "two", "three"} {
-		write(t, directory, "tracing-core.ini", text)
+		writeFile(t, directory, "tracing-core.ini", text)
 		p.scan()
 	}
 	p.restore(2)
 	header, body := get(t, server, "/watch?since=9&era=0")
 	assert.Equal(t, header.Get("Era"), "1")
 	assert.Equal(t, body, `{"index":2,"documents":[{"name":"tracing-core","revision":1}]}`+"\n")
-	p.away = time.Time{}
+	p.scanPausedUntil = time.Time{}
 	p.scan()
 	header, body = get(t, server, "/documents/tracing-core")
 	assert.Equal(t, header.Get("Revision"), "2")
--- a/internal/stand/plat/reader.go
+++ b/internal/stand/plat/reader.go
@@ -12,7 +12,7 @@
 type view struct {
 	index    uint64
 	versions map[string]version
-	lists    []listed
+	lists    []listSnapshot
 }
 
 // Reader returns the read-only side: /documents, /documents/NAME, /watch and /instances.
@@ -22,14 +22,14 @@
 	mux.HandleFunc("GET /documents/{name}", p.serveDocument)
 	mux.HandleFunc("GET /watch", p.serveWatch)
 	mux.HandleFunc("GET /instances", p.serveInstances)
-	return p.counted(mux)
+	return p.withFaults(mux)
 }
 
-// counted counts each call and applies the fault that is set.
-func (p *Platform) counted(next http.Handler) http.Handler {
+// withFaults counts each call and applies the fault that is set.
+func (p *Platform) withFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		p.mutex.Lock()
-		if _, known := p.calls[r.URL.Path]; known || len(p.calls) < pathsCounted {
+		if _, known := p.calls[r.URL.Path]; known || len(p.calls) < maxCountedPaths {
 			p.calls[r.URL.Path]++
 		}
 		fault := p.fault
@@ -50,14 +50,14 @@
 
 // current returns what is served now. The mutex is held.
 func (p *Platform) current() view {
-	if p.frozen != nil {
-		return *p.frozen
+	if p.staleView != nil {
+		return *p.staleView
 	}
-	return p.viewBack(0)
+	return p.viewAt(0)
 }
 
-// viewBack returns each document as it was some versions ago. The mutex is held.
-func (p *Platform) viewBack(back int) view {
+// viewAt returns each document as it was some versions ago. The mutex is held.
+func (p *Platform) viewAt(back int) view {
 	v := view{index: p.index, versions: map[string]version{}, lists: p.lists}
 	for name, kept := range p.versions {
 		v.versions[name] = kept[max(0, len(kept)-1-back)]
@@ -110,27 +110,27 @@
 		return
 	}
 	era := r.URL.Query().Get("era") // missing: of a reader that knows none
-	end := time.NewTimer(watchFor)
-	defer end.Stop()
+	timeout := time.NewTimer(watchTimeout)
+	defer timeout.Stop()
 	for {
 		p.mutex.Lock()
-		down, now, changed := p.fault.Mode == Down, p.current(), p.changed
-		other := era != "" && era != strconv.FormatUint(p.era, 10)
+		down, served, changed := p.fault.Mode == Down, p.current(), p.changed
+		eraChanged := era != "" && era != strconv.FormatUint(p.era, 10)
 		p.setEra(w)
 		p.mutex.Unlock()
 		if down {
 			panic(http.ErrAbortHandler) // a watch that was waiting breaks off as well
 		}
-		if now.index > since || other {
-			writeJSON(w, now.documents())
+		if served.index > since || eraChanged {
+			writeJSON(w, served.documents())
 			return
 		}
 		select {
 		case <-changed:
 		case <-r.Context().Done():
 			return
-		case <-end.C:
-			writeJSON(w, now.documents())
+		case <-timeout.C:
+			writeJSON(w, served.documents())
 			return
 		}
 	}
--- a/internal/stand/server/report.go
+++ b/internal/stand/server/report.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	sampleEvery = 20 * time.Millisecond
-	samplesKept = 4096 // which bounds the lag to about 80 s
+	sampleInterval = 20 * time.Millisecond
+	maxSamples     = 4096 // which bounds the lag to about 80 s
 )
 
 // Load is the answer to /load.
@@ -37,18 +37,18 @@
 	load Load
 }
 
-// reported returns the load as of the lag ago. Samples are taken as reports are asked for.
-func (s *Server) reported() Load {
+// reportedLoad returns the load as of the lag ago. Samples are taken as reports are asked for.
+func (s *Server) reportedLoad() Load {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := time.Now()
 	load := Load{Busy: len(s.slots), Slots: s.settings.Slots, Queue: s.waiting, Draining: s.draining}
 	if s.settings.Lag > 0 {
-		if n := len(s.samples); n == 0 || now.Sub(s.samples[n-1].at) >= sampleEvery {
+		if n := len(s.samples); n == 0 || now.Sub(s.samples[n-1].at) >= sampleInterval {
 			s.samples = append(s.samples, sample{at: now, load: load})
 		}
-		if len(s.samples) > samplesKept {
-			s.samples = s.samples[len(s.samples)-samplesKept:]
+		if len(s.samples) > maxSamples {
+			s.samples = s.samples[len(s.samples)-maxSamples:]
 		}
 		load = s.samples[0].load
 		for _, old := range s.samples {
@@ -58,20 +58,20 @@
 			load = old.load
 		}
 	}
-	if s.settings.Lie {
+	if s.settings.ReportIdle {
 		load.Busy, load.Queue = 0, 0
 	}
 	return load
 }
 
 func (s *Server) serveLoad(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, s.reported())
+	writeJSON(w, s.reportedLoad())
 }
 
 func (s *Server) serveHealth(w http.ResponseWriter, _ *http.Request) {
-	load := s.reported()
+	load := s.reportedLoad()
 	health := Health{State: "ready"}
-	if time.Since(s.started) < s.settings.Cold {
+	if time.Since(s.started) < s.settings.WarmUp {
 		health.State = "cold"
 	}
 	if load.Draining {
--- a/internal/stand/server/server.go
+++ b/internal/stand/server/server.go
@@ -29,19 +29,19 @@
 
 // Settings are the server's own.
 type Settings struct {
-	Slots   int           // lookups and uploads that run at a time
-	Queue   int           // lookups and uploads that wait for a slot
-	Service time.Duration // service time of a lookup that names none
-	Cold    time.Duration // time after the start in which work is slow
-	Lag     time.Duration // health and load are reported as they were this long ago
-	Lie     bool          // load is reported as none
-	Journal io.Writer     // gets a line of JSON at the start and the end of each execution, if not nil
-	Log     zerolog.Logger
+	Slots       int           // lookups and uploads that run at a time
+	Queue       int           // lookups and uploads that wait for a slot
+	ServiceTime time.Duration // service time of a lookup that names none
+	WarmUp      time.Duration // time after the start in which work is slow
+	Lag         time.Duration // health and load are reported as they were this long ago
+	ReportIdle  bool          // load is reported as none
+	Journal     io.Writer     // gets a line of JSON at the start and the end of each execution, if not nil
+	Log         zerolog.Logger
 }
 
 const (
-	coldFactor  = 4.0     // service time right after a cold start, times the usual one
-	historyKept = 200_000 // executions; a checker must see none dropped
+	coldFactor = 4.0     // service time right after a cold start, times the usual one
+	maxHistory = 200_000 // executions; a checker must see none dropped
 )
 
 // Execution is one request that ran.
@@ -71,16 +71,16 @@
 	started  time.Time
 	slots    chan struct{}
 
-	mutex    sync.Mutex
-	waiting  int
-	draining bool
-	mode     Mode
-	factor   float64
-	thawed   chan struct{} // closed when the mode changes
-	history  []*Execution
-	dropped  int
-	samples  []sample
-	counts   Counts
+	mutex       sync.Mutex
+	waiting     int
+	draining    bool
+	mode        Mode
+	slowFactor  float64
+	modeChanged chan struct{} // closed when the mode changes
+	history     []*Execution
+	dropped     int
+	samples     []sample
+	counts      Counts
 }
 
 // Counts counts requests by end.
@@ -95,12 +95,12 @@
 // New returns a server that starts cold now.
 func New(s Settings) *Server {
 	return &Server{
-		settings: s,
-		started:  time.Now(),
-		slots:    make(chan struct{}, max(1, s.Slots)),
-		mode:     OK,
-		factor:   1,
-		thawed:   make(chan struct{}),
+		settings:    s,
+		started:     time.Now(),
+		slots:       make(chan struct{}, max(1, s.Slots)),
+		mode:        OK,
+		slowFactor:  1,
+		modeChanged: make(chan struct{}),
 	}
 }
 
@@ -131,19 +131,19 @@
 func (s *Server) SetMode(mode Mode, factor float64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.mode, s.factor = mode, max(1, factor)
-	close(s.thawed)
-	s.thawed = make(chan struct{})
+	s.mode, s.slowFactor = mode, max(1, factor)
+	close(s.modeChanged)
+	s.modeChanged = make(chan struct{})
 	s.settings.Log.Info().Str("mode", string(mode)).Msg("fault set")
 }
 
 // refusal says why a request did not run.
 type refusal string
 
-// take waits for a slot. The request did not run if it returns a refusal.
-func (s *Server) take(ctx context.Context) (release func(), why refusal) {
-	if why := s.thaw(ctx); why != "" {
-		return nil, why
+// acquireSlot waits for a slot. The request did not run if it returns a refusal.
+func (s *Server) acquireSlot(ctx context.Context) (release func(), refused refusal) {
+	if refused := s.awaitThaw(ctx); refused != "" {
+		return nil, refused
 	}
 	s.mutex.Lock()
 	if s.draining {
@@ -153,7 +153,7 @@
 	select {
 	case s.slots <- struct{}{}:
 		s.mutex.Unlock()
-		return s.release, ""
+		return s.releaseSlot, ""
 	default:
 	}
 	if s.waiting >= s.settings.Queue {
@@ -169,39 +169,39 @@
 	}()
 	select {
 	case s.slots <- struct{}{}:
-		return s.release, ""
+		return s.releaseSlot, ""
 	case <-ctx.Done():
 		return nil, "deadline"
 	}
 }
 
-func (s *Server) release() { <-s.slots }
+func (s *Server) releaseSlot() { <-s.slots }
 
-// thaw waits while the server is frozen.
-func (s *Server) thaw(ctx context.Context) refusal {
+// awaitThaw waits while the server is frozen.
+func (s *Server) awaitThaw(ctx context.Context) refusal {
 	for {
 		s.mutex.Lock()
-		mode, thawed := s.mode, s.thawed
+		mode, changed := s.mode, s.modeChanged
 		s.mutex.Unlock()
 		if mode != Freeze {
 			return ""
 		}
 		select {
-		case <-thawed:
+		case <-changed:
 		case <-ctx.Done():
 			return "deadline"
 		}
 	}
 }
 
-// begin logs an execution.
-func (s *Server) begin(r *http.Request, body string) *Execution {
+// beginExecution logs an execution.
+func (s *Server) beginExecution(r *http.Request, body string) *Execution {
 	e := &Execution{ID: r.Header.Get("Request-Id"), Path: r.URL.RequestURI(), Body: body, At: time.Now()}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.counts.Ran++
 	s.journal(e)
-	if len(s.history) >= historyKept {
+	if len(s.history) >= maxHistory {
 		s.dropped++
 		return e
 	}
@@ -224,12 +224,12 @@
 	}
 }
 
-func (s *Server) end(e *Execution, how string) {
+func (s *Server) endExecution(e *Execution, outcome string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	e.End = how
+	e.End = outcome
 	s.journal(e)
-	switch how {
+	switch outcome {
 	case "cancelled":
 		s.counts.Cancelled++
 	case "deadline":
@@ -242,11 +242,11 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	factor := 1.0
-	if age := time.Since(s.started); age < s.settings.Cold {
-		factor = coldFactor - (coldFactor-1)*float64(age)/float64(s.settings.Cold)
+	if age := time.Since(s.started); age < s.settings.WarmUp {
+		factor = coldFactor - (coldFactor-1)*float64(age)/float64(s.settings.WarmUp)
 	}
 	if s.mode == Slow {
-		factor *= s.factor
+		factor *= s.slowFactor
 	}
 	return time.Duration(float64(d) * factor)
 }
--- a/internal/stand/server/work.go
+++ b/internal/stand/server/work.go
@@ -11,99 +11,99 @@
 )
 
 const (
-	bodyKept    = 1 << 10 // of a lookup's body, in the history
-	largestBody = 1 << 20 // of a lookup
+	maxHistoryBody = 1 << 10 // of a lookup's body, in the history
+	maxBody        = 1 << 20 // of a lookup
 )
 
 // withDeadline returns the request's context with its Deadline-Ms.
 func withDeadline(r *http.Request) (context.Context, context.CancelFunc) {
-	left, err := strconv.Atoi(r.Header.Get("Deadline-Ms"))
+	millis, err := strconv.Atoi(r.Header.Get("Deadline-Ms"))
 	if err != nil {
 		return context.WithCancel(r.Context())
 	}
-	return context.WithTimeout(r.Context(), time.Duration(left)*time.Millisecond)
+	return context.WithTimeout(r.Context(), time.Duration(millis)*time.Millisecond)
 }
 
 func (s *Server) serveLookup(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, largestBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err != nil {
 		s.refuse(w, "body")
 		return
 	}
 	ctx, cancel := withDeadline(r)
 	defer cancel()
-	release, why := s.take(ctx)
-	if why != "" {
-		s.refuse(w, why)
+	release, refused := s.acquireSlot(ctx)
+	if refused != "" {
+		s.refuse(w, refused)
 		return
 	}
 	defer release()
-	service := s.settings.Service
-	if asked, err := time.ParseDuration(r.URL.Query().Get("time")); err == nil {
-		service = asked
+	serviceTime := s.settings.ServiceTime
+	if requested, err := time.ParseDuration(r.URL.Query().Get("time")); err == nil {
+		serviceTime = requested
 	}
-	e := s.begin(r, string(body[:min(len(body), bodyKept)]))
-	if !s.work(ctx, w, r, e, service) {
+	e := s.beginExecution(r, string(body[:min(len(body), maxHistoryBody)]))
+	if !s.simulateWork(ctx, w, r, e, serviceTime) {
 		return
 	}
 	fmt.Fprintf(w, "%s %s\n", e.Path, body)
 }
 
-// work spends a service time. It reports whether an answer is to be written.
-func (s *Server) work(ctx context.Context, w http.ResponseWriter, r *http.Request, e *Execution, d time.Duration) bool {
+// simulateWork spends a service time. It reports whether an answer is to be written.
+func (s *Server) simulateWork(ctx context.Context, w http.ResponseWriter, r *http.Request, e *Execution, d time.Duration) bool {
 	s.mutex.Lock()
 	mode := s.mode
 	s.mutex.Unlock()
 	if mode == FailFast {
-		s.end(e, "failed")
+		s.endExecution(e, "failed")
 		http.Error(w, e.Path+" failed", http.StatusInternalServerError)
 		return false
 	}
 	select {
 	case <-time.After(s.serviceTime(d)):
 	case <-ctx.Done():
-		s.stopped(w, r, e)
+		s.endStopped(w, r, e)
 		return false
 	}
-	if s.thaw(ctx) != "" {
-		s.stopped(w, r, e)
+	if s.awaitThaw(ctx) != "" {
+		s.endStopped(w, r, e)
 		return false
 	}
 	if mode == Die {
-		s.end(e, "broken")
+		s.endExecution(e, "broken")
 		panic(http.ErrAbortHandler) // ran, and nobody hears of it
 	}
-	s.end(e, "done")
+	s.endExecution(e, "done")
 	return true
 }
 
-// stopped ends a request whose caller went away or whose deadline passed.
-func (s *Server) stopped(w http.ResponseWriter, r *http.Request, e *Execution) {
+// endStopped ends a request whose caller went away or whose deadline passed.
+func (s *Server) endStopped(w http.ResponseWriter, r *http.Request, e *Execution) {
 	if r.Context().Err() != nil {
-		s.end(e, "cancelled")
+		s.endExecution(e, "cancelled")
 		return
 	}
-	s.end(e, "deadline")
+	s.endExecution(e, "deadline")
 	http.Error(w, e.Path+" deadline", http.StatusGatewayTimeout)
 }
 
 func (s *Server) serveUpload(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := withDeadline(r)
 	defer cancel()
-	release, why := s.take(ctx)
-	if why != "" {
-		s.refuse(w, why)
+	release, refused := s.acquireSlot(ctx)
+	if refused != "" {
+		s.refuse(w, refused)
 		return
 	}
 	defer release()
-	e := s.begin(r, "")
+	e := s.beginExecution(r, "")
 	hash := sha256.New()
 	n, err := io.Copy(hash, r.Body)
 	if err != nil {
-		s.end(e, "cancelled")
+		s.endExecution(e, "cancelled")
 		return
 	}
-	if !s.work(ctx, w, r, e, s.settings.Service) {
+	if !s.simulateWork(ctx, w, r, e, s.settings.ServiceTime) {
 		return
 	}
 	fmt.Fprintf(w, "%s %d %x\n", e.Path, n, hash.Sum(nil))
@@ -112,9 +112,9 @@
 // serveFeed streams n lines (0: until the caller goes), one each interval.
 func (s *Server) serveFeed(w http.ResponseWriter, r *http.Request) {
 	lines, _ := strconv.Atoi(r.URL.Query().Get("n")) // 0 if missing
-	every, err := time.ParseDuration(r.URL.Query().Get("every"))
+	interval, err := time.ParseDuration(r.URL.Query().Get("every"))
 	if err != nil {
-		every = time.Second
+		interval = time.Second
 	}
 	s.mutex.Lock()
 	draining := s.draining
@@ -131,31 +131,31 @@
 		s.counts.Feeds--
 		s.mutex.Unlock()
 	}()
-	e := s.begin(r, "")
-	control := http.NewResponseController(w)
-	ticker := time.NewTicker(max(every, time.Microsecond))
+	e := s.beginExecution(r, "")
+	controller := http.NewResponseController(w)
+	ticker := time.NewTicker(max(interval, time.Microsecond))
 	defer ticker.Stop()
 	for i := 1; lines == 0 || i <= lines; i++ {
 		fmt.Fprintf(w, "%d %s\n", i, e.Path)
-		if control.Flush() != nil || s.thaw(r.Context()) != "" {
-			s.end(e, "cancelled")
+		if controller.Flush() != nil || s.awaitThaw(r.Context()) != "" {
+			s.endExecution(e, "cancelled")
 			return
 		}
 		select {
 		case <-ticker.C:
 		case <-r.Context().Done():
-			s.end(e, "cancelled")
+			s.endExecution(e, "cancelled")
 			return
 		}
 	}
-	s.end(e, "done")
+	s.endExecution(e, "done")
 }
 
 // refuse answers that a request did not run.
-func (s *Server) refuse(w http.ResponseWriter, why refusal) {
+func (s *Server) refuse(w http.ResponseWriter, reason refusal) {
 	s.mutex.Lock()
 	s.counts.Shed++
 	s.mutex.Unlock()
 	w.Header().Set("Not-Run", "1")
-	http.Error(w, string(why), http.StatusServiceUnavailable)
+	http.Error(w, string(reason), http.StatusServiceUnavailable)
 }
