--- a/internal/stand/plat/fault.go
+++ b/internal/stand/plat/fault.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// Mode is how the platform fails.
+// Mode is the way in which the platform fails.
 type Mode string
 
 // The modes.
 const (
 	OK    Mode = "ok"
-	Down  Mode = "down"  // connections break off without an answer
-	Stale Mode = "stale" // what was true when the fault was set, or before, is served for good
-	Slow  Mode = "slow"  // each answer comes after a delay
+	Down  Mode = "down"  // connections are closed without a response
+	Stale Mode = "stale" // serves the state as of the time the fault was set, or earlier, until the fault changes
+	Slow  Mode = "slow"  // delays each response
 )
 
-// Fault is the fault that is set.
+// Fault is a fault of the platform.
 type Fault struct {
 	Mode  Mode
-	Back  int           // Stale: versions of each document to go back
-	Delay time.Duration // Slow
+	Back  int           // for Stale: how many versions each document goes back
+	Delay time.Duration // for Slow
 }
 
-// Admin returns the side that tests use: POST /fault, POST /restore and GET /calls.
+// Admin returns the handler for tests: POST /fault, POST /restore, GET /calls and GET /healthz.
 //
 // /fault takes mode=ok|down|stale|slow, back=VERSIONS for stale and delay=DURATION for slow. /restore takes back=VERSIONS.
 func (p *Platform) Admin() http.Handler {
@@ -36,7 +36,7 @@
 	return mux
 }
 
-// SetFault puts a fault in place of the one that is set.
+// SetFault replaces the current fault.
 func (p *Platform) SetFault(f Fault) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -63,21 +63,21 @@
 	case Slow:
 		f.Delay, err = time.ParseDuration(query.Get("delay"))
 	default:
-		http.Error(w, "mode: ok, down, stale or slow", http.StatusBadRequest)
+		http.Error(w, "mode must be ok, down, stale or slow", http.StatusBadRequest)
 		return
 	}
 	if err != nil || f.Back < 0 || f.Delay < 0 {
-		http.Error(w, "back: versions; delay: a duration", http.StatusBadRequest)
+		http.Error(w, "back must be a number of versions and delay a duration; neither may be negative", http.StatusBadRequest)
 		return
 	}
 	p.SetFault(f)
 }
 
-// serveRestore brings the platform back from a copy.
+// serveRestore restores the platform from a backup.
 func (p *Platform) serveRestore(w http.ResponseWriter, r *http.Request) {
 	back, err := strconv.Atoi(r.URL.Query().Get("back"))
 	if err != nil || back < 0 {
-		http.Error(w, "back: versions", http.StatusBadRequest)
+		http.Error(w, "back must be a number of versions, not negative", http.StatusBadRequest)
 		return
 	}
 	p.restore(back)
--- a/internal/stand/plat/names_test.go
+++ b/internal/stand/plat/names_test.go
@@ -6,7 +6,7 @@
 	"mangowinch/internal/stand/filled"
 )
 
-// Guards against names of the stand-in's answers that change: processes read them under the platform's names.
+// Guards against changed JSON names in the responses: processes read them under the names that the real platform uses.
 func TestNames(t *testing.T) {
 	filled.Names(t, "names.golden", map[string]any{"documents": &Documents{}, "instances": &Instances{}})
 }
--- a/internal/stand/plat/plat.go
+++ b/internal/stand/plat/plat.go
@@ -1,13 +1,13 @@
-// Package plat stands in for the platform: service documents with revisions, a
-// watch on them, and a lagging list of instances.
+// Package plat is a stand-in for the platform: it serves service documents with
+// revisions, a watch on them, and a list of instances that lags.
 //
-// It exists so that the fleet can be run on one machine as separate processes.
-// It is no configuration service: it reads a directory of files again and again,
-// keeps what it saw in memory, and offers its readers no way of writing. Faults
-// are set on a second handler, which readers never see.
+// It exists so that a whole deployment can run on one machine as separate processes.
+// It is not a configuration service: it polls a directory of files, keeps the
+// versions in memory, and offers readers no way to write. Faults are set on a
+// second handler, which readers have no access to.
 //
-// The directory holds NAME.ini (the text of a document), NAME.rev (optional: the
-// revision that the text is to have) and instances.json (optional: the list).
+// The directory holds NAME.ini (the text of a document), NAME.rev (optional, the
+// revision of that text) and instances.json (optional, the list of instances).
 //
 // # Usage
 //
@@ -33,34 +33,34 @@
 )
 
 const (
-	scanInterval    = 50 * time.Millisecond // how soon a changed file is seen
-	watchTimeout    = 25 * time.Second      // a watch answers after this with the index unchanged
-	maxVersions     = 64                    // earlier versions of a document that a stale platform may serve
-	maxLists        = 256                   // earlier instance lists, which bounds the lag
-	maxCountedPaths = 4096                  // paths with a count of calls of their own
+	scanInterval    = 50 * time.Millisecond // bounds how late a changed file is noticed
+	watchTimeout    = 25 * time.Second      // a watch without a change responds after this time
+	maxVersions     = 64                    // versions stored of each document, for Stale and for a restore
+	maxLists        = 256                   // instance lists stored, which bounds the lag
+	maxCountedPaths = 4096                  // paths whose calls are counted
 	instancesFile   = "instances.json"
 )
 
-// Settings are the platform's own.
+// Settings configures a Platform.
 type Settings struct {
 	Directory string
-	Lag       time.Duration // the instance list is served as it was this long ago
+	Lag       time.Duration // age of the instance list that is served
 	Log       zerolog.Logger
 }
 
-// Document names a document and its revision.
+// Document is the name and revision of a document.
 type Document struct {
 	Name     string `json:"name"`
 	Revision uint64 `json:"revision"`
 }
 
-// Documents is the answer to /documents and /watch.
+// Documents is the response to /documents and /watch.
 type Documents struct {
 	Index     uint64     `json:"index"`
 	Documents []Document `json:"documents"`
 }
 
-// Instance is one process as the platform knows it.
+// Instance is one process in the platform's list.
 type Instance struct {
 	Name    string `json:"name"`
 	Role    string `json:"role"`
@@ -69,7 +69,7 @@
 	State   string `json:"state"`
 }
 
-// Instances is the answer to /instances.
+// Instances is the response to /instances.
 type Instances struct {
 	Index     uint64     `json:"index"`
 	Instances []Instance `json:"instances"`
@@ -85,23 +85,23 @@
 	list Instances
 }
 
-// Platform serves a directory. Its methods may be called from any goroutine.
+// Platform serves a directory. Its methods are safe for concurrent use.
 type Platform struct {
 	settings Settings
 
 	mutex           sync.Mutex
-	era             uint64    // rises each time that the platform comes back from a copy
-	scanPausedUntil time.Time // nothing is written until then
+	era             uint64    // incremented at each restore from a backup
+	scanPausedUntil time.Time // set by restore: the directory is not read before this time
 	index           uint64
 	versions        map[string][]version // oldest first
 	lists           []listSnapshot       // oldest first
 	fault           Fault
-	staleView       *view // what a stale platform serves
+	staleView       *view // served while the fault is Stale
 	calls           map[string]uint64
-	changed         chan struct{} // closed and replaced at each change of what is served
+	changed         chan struct{} // closed and replaced when the served state may have changed
 }
 
-// New returns a platform that has read its directory once.
+// New returns a platform and reads its directory once.
 func New(s Settings) *Platform {
 	p := &Platform{
 		settings: s,
@@ -114,7 +114,7 @@
 	return p
 }
 
-// Run reads the directory until the context ends.
+// Run polls the directory until the context ends.
 func (p *Platform) Run(ctx context.Context) {
 	ticker := time.NewTicker(scanInterval)
 	defer ticker.Stop()
@@ -137,7 +137,7 @@
 	}
 	texts, revisions, err := readDocuments(p.settings.Directory)
 	if err != nil {
-		p.settings.Log.Error().Err(err).Msg("directory not readable")
+		p.settings.Log.Error().Err(err).Msg("cannot read the directory of documents")
 		return
 	}
 	list, listErr := readInstances(p.settings.Directory)
@@ -162,7 +162,8 @@
 	}
 }
 
-// accept takes a text as a document's newest version and reports whether it is new.
+// accept stores a text as the newest version of a document and reports whether it is new. A required revision other
+// than 0 takes the place of the next one. The mutex is held.
 func (p *Platform) accept(name, text string, required uint64) bool {
 	kept := p.versions[name]
 	next := version{revision: 1, text: text}
@@ -185,10 +186,12 @@
 	return true
 }
 
-// rewriteDelay is how long after the platform's return from a copy the teams write again what it lost: the directory has it still.
+// rewriteDelay is the time between a restore and the moment at which the service teams have written the lost versions
+// again: until then the directory, which still contains them, is not read.
 const rewriteDelay = time.Second
 
-// restore brings the platform back from a copy that lacks the last versions of each document. Its numbers are given out again.
+// restore restores the platform from a backup that lacks the last versions of each document. The index and the revisions
+// go back as well, so that their numbers are assigned a second time.
 func (p *Platform) restore(back int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -200,7 +203,7 @@
 	p.era++
 	p.scanPausedUntil = time.Now().Add(rewriteDelay)
 	p.notifyWatches()
-	p.settings.Log.Info().Uint64("era", p.era).Msg("back from a copy")
+	p.settings.Log.Info().Uint64("era", p.era).Msg("restored from a backup")
 }
 
 func (p *Platform) acceptList(list []Instance) bool {
@@ -217,7 +220,7 @@
 	return true
 }
 
-// notifyWatches lets every waiting watch look again. The mutex is held.
+// notifyWatches makes every pending watch check for changes. The mutex is held.
 func (p *Platform) notifyWatches() {
 	close(p.changed)
 	p.changed = make(chan struct{})
@@ -257,7 +260,7 @@
 	return texts, revisions, nil
 }
 
-// readRevision returns 0 if the file is missing or is being written.
+// readRevision returns 0 if the file is missing or incomplete, as while it is being written.
 func readRevision(path string) uint64 {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/stand/plat/plat_test.go
+++ b/internal/stand/plat/plat_test.go
@@ -40,7 +40,7 @@
 	assert.Equal(t, header.Get("Revision"), "1")
 	assert.Equal(t, body, "one")
 
-	p.scan() // unchanged text keeps its revision
+	p.scan() // an unchanged text keeps its revision
 	writeFile(t, directory, "tracing-core.ini", "two")
 	p.scan()
 	header, body = get(t, server, "/documents/tracing-core")
@@ -76,9 +76,8 @@
 	assert.Equal(t, <-changed, `{"index":2,"documents":[{"name":"tracing-core","revision":2}]}`+"\n")
 }
 
-// Operators accept a document, the platform falls back to an old copy of its
-// data, and later it fails altogether: readers see the old revision, then
-// broken connections, and the newest revision once the platform is mended.
+// A document changes, and the platform serves stale data and then fails altogether. Readers see the
+// old revision, then closed connections, and the newest revision once the fault is cleared.
 func TestStaleThenDown(t *testing.T) {
 	directory := t.TempDir()
 	writeFile(t, directory, "tracing-core.ini", "one")
@@ -95,7 +94,7 @@
 	assert.Equal(t, body, "one")
 
 	p.SetFault(Fault{Mode: Down})
-	_, err := http.Get(server.URL + "/documents") //nolint:bodyclose // there is no answer
+	_, err := http.Get(server.URL + "/documents") //nolint:bodyclose // there is no response
 	assert.ErrorContains(t, err, "EOF")
 
 	p.SetFault(Fault{Mode: OK})
@@ -131,8 +130,8 @@
 	assert.DeepEqual(t, calls, map[string]uint64{"/instances": 2})
 }
 
-// Guards against a stand-in whose return from a copy no reader could notice.
-func TestReturnFromACopyIsToldByItsEra(t *testing.T) {
+// Guards against a restore from a backup that readers cannot detect: the era must change.
+func TestRestoreChangesEra(t *testing.T) {
 	directory := t.TempDir()
 	p := New(Settings{Directory: directory})
 	server := httptest.NewServer(p.Reader())
--- a/internal/stand/plat/reader.go
+++ b/internal/stand/plat/reader.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// view is what a reader may see at one moment.
+// view is the state that readers see at one point in time.
 type view struct {
 	index    uint64
 	versions map[string]version
 	lists    []listSnapshot
 }
 
-// Reader returns the read-only side: /documents, /documents/NAME, /watch and /instances.
+// Reader returns the read-only handler: /documents, /documents/NAME, /watch and /instances.
 func (p *Platform) Reader() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /documents", p.serveDocuments)
@@ -25,7 +25,7 @@
 	return p.withFaults(mux)
 }
 
-// withFaults counts each call and applies the fault that is set.
+// withFaults counts each call and applies the current fault.
 func (p *Platform) withFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		p.mutex.Lock()
@@ -36,7 +36,7 @@
 		p.mutex.Unlock()
 		switch fault.Mode {
 		case Down:
-			panic(http.ErrAbortHandler) // breaks the connection off, as a dead platform does
+			panic(http.ErrAbortHandler) // closes the connection, as when the platform's process dies
 		case Slow:
 			select {
 			case <-r.Context().Done():
@@ -48,7 +48,7 @@
 	})
 }
 
-// current returns what is served now. The mutex is held.
+// current returns the view that is served now. The mutex is held.
 func (p *Platform) current() view {
 	if p.staleView != nil {
 		return *p.staleView
@@ -56,7 +56,7 @@
 	return p.viewAt(0)
 }
 
-// viewAt returns each document as it was some versions ago. The mutex is held.
+// viewAt returns the view in which each document is the given number of versions old. The mutex is held.
 func (p *Platform) viewAt(back int) view {
 	v := view{index: p.index, versions: map[string]version{}, lists: p.lists}
 	for name, kept := range p.versions {
@@ -84,7 +84,8 @@
 	writeJSON(w, answer)
 }
 
-// setEra says in which era an answer is, though it may have changed since the call came. The mutex is held.
+// setEra sets the response's Era header. The mutex is held, from the reading of the state that the response reports: the
+// era may have changed since the request arrived.
 func (p *Platform) setEra(w http.ResponseWriter) {
 	w.Header().Set("Era", strconv.FormatUint(p.era, 10))
 }
@@ -100,16 +101,16 @@
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.Header().Set("Revision", strconv.FormatUint(version.revision, 10))
-	_, _ = w.Write([]byte(version.text)) // a reader that went away is no fault of ours
+	_, _ = w.Write([]byte(version.text)) // fails only if the reader has disconnected
 }
 
 func (p *Platform) serveWatch(w http.ResponseWriter, r *http.Request) {
 	since, err := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64)
 	if err != nil {
-		http.Error(w, "since: not a number", http.StatusBadRequest)
+		http.Error(w, "since must be a number", http.StatusBadRequest)
 		return
 	}
-	era := r.URL.Query().Get("era") // missing: of a reader that knows none
+	era := r.URL.Query().Get("era") // empty if the reader knows none
 	timeout := time.NewTimer(watchTimeout)
 	defer timeout.Stop()
 	for {
@@ -119,7 +120,7 @@
 		p.setEra(w)
 		p.mutex.Unlock()
 		if down {
-			panic(http.ErrAbortHandler) // a watch that was waiting breaks off as well
+			panic(http.ErrAbortHandler) // pending watches are closed as well
 		}
 		if served.index > since || eraChanged {
 			writeJSON(w, served.documents())
@@ -152,5 +153,5 @@
 
 func writeJSON(w http.ResponseWriter, answer any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(answer) // a reader that went away is no fault of ours
+	_ = json.NewEncoder(w).Encode(answer) // fails only if the reader has disconnected
 }
