--- a/internal/stand/server/names_test.go
+++ b/internal/stand/server/names_test.go
@@ -6,7 +6,7 @@
 	"mangowinch/internal/stand/filled"
 )
 
-// Guards against names of the stand-in's answers that change: agents, checks and journals of earlier runs read them.
+// Guards against changed JSON names in the responses: agents, the checks and readers of older journals depend on them.
 func TestNames(t *testing.T) {
 	filled.Names(t, "names.golden", map[string]any{"load": &Load{}, "health": &Health{}, "history": &History{}})
 }
--- a/internal/stand/server/report.go
+++ b/internal/stand/server/report.go
@@ -9,10 +9,10 @@
 
 const (
 	sampleInterval = 20 * time.Millisecond
-	maxSamples     = 4096 // which bounds the lag to about 80 s
+	maxSamples     = 4096 // bounds the lag to about 80 s
 )
 
-// Load is the answer to /load.
+// Load is the response to /load.
 type Load struct {
 	Busy     int  `json:"busy"`
 	Slots    int  `json:"slots"`
@@ -20,13 +20,13 @@
 	Draining bool `json:"draining"`
 }
 
-// Health is the answer to /health.
+// Health is the response to /health.
 type Health struct {
 	State  string `json:"state"` // ready, cold or draining
 	Counts Counts `json:"counts"`
 }
 
-// History is the answer to /history.
+// History is the response to /history.
 type History struct {
 	Dropped    int          `json:"dropped"`
 	Executions []*Execution `json:"executions"`
@@ -37,7 +37,8 @@
 	load Load
 }
 
-// reportedLoad returns the load as of the lag ago. Samples are taken as reports are asked for.
+// reportedLoad returns the load to report: a sample that is as old as the configured lag, or the current load if there is
+// no lag. Samples are taken only when a report is requested.
 func (s *Server) reportedLoad() Load {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -96,7 +97,7 @@
 
 func (s *Server) serveDrain(http.ResponseWriter, *http.Request) { s.Drain() }
 
-// serveFault takes mode=ok|slow|failfast|die|freeze and factor=NUMBER for slow.
+// serveFault sets the mode from the query: mode=ok|slow|failfast|die|freeze, and factor=NUMBER for slow.
 func (s *Server) serveFault(w http.ResponseWriter, r *http.Request) {
 	mode := Mode(r.URL.Query().Get("mode"))
 	factor := 1.0
@@ -105,11 +106,11 @@
 	case Slow:
 		var err error
 		if factor, err = strconv.ParseFloat(r.URL.Query().Get("factor"), 64); err != nil {
-			http.Error(w, "factor: a number", http.StatusBadRequest)
+			http.Error(w, "factor must be a number", http.StatusBadRequest)
 			return
 		}
 	default:
-		http.Error(w, "mode: ok, slow, failfast, die or freeze", http.StatusBadRequest)
+		http.Error(w, "mode must be ok, slow, failfast, die or freeze", http.StatusBadRequest)
 		return
 	}
 	s.SetMode(mode, factor)
@@ -117,5 +118,5 @@
 
 func writeJSON(w http.ResponseWriter, answer any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(answer) // a reader that went away is no fault of ours
+	_ = json.NewEncoder(w).Encode(answer) // fails only if the client has disconnected
 }
--- a/internal/stand/server/server.go
+++ b/internal/stand/server/server.go
@@ -1,18 +1,18 @@
-// Package server stands in for a backend server: HTTP/1.1, a few slots, a short
+// Package server is a stand-in for a backend server: HTTP/1.1, a few slots, a short
 // queue, shedding, drain, cold start, cancellation, deadlines, and reports of
-// health and load that lag or mislead.
+// health and load that can lag or be wrong.
 //
-// It logs each execution, so that a test can compare what ran with what callers
-// were told. It does no real work: a lookup waits for its service time and says
-// back what it was asked.
+// It records each execution, so that a test can compare what ran with the responses
+// that callers received. It does no real work: a lookup waits for its service time and
+// echoes its path and body.
 //
-// Paths: /feed/... streams numbered lines (query n, every), /upload/... reads the
-// body and answers its byte count and SHA-256, any other path is a lookup (query
-// time: its service time). Lookups and uploads take a slot, feeds do not.
+// /feed/... streams numbered lines (query parameters n and every). /upload/... reads the
+// body and responds with its byte count and SHA-256. Any other path is a lookup (query
+// parameter time: its service time). Lookups and uploads take a slot, feeds do not.
 //
 // # Usage
 //
-//	s := server.New(server.Settings{Slots: 4, Service: 5 * time.Millisecond})
+//	s := server.New(server.Settings{Slots: 4, ServiceTime: 5 * time.Millisecond})
 //	http.ListenAndServe("127.0.20.1:8080", s.Handler())
 package server
 
@@ -27,45 +27,45 @@
 	"github.com/rs/zerolog"
 )
 
-// Settings are the server's own.
+// Settings configures a Server.
 type Settings struct {
-	Slots       int           // lookups and uploads that run at a time
-	Queue       int           // lookups and uploads that wait for a slot
-	ServiceTime time.Duration // service time of a lookup that names none
-	WarmUp      time.Duration // time after the start in which work is slow
-	Lag         time.Duration // health and load are reported as they were this long ago
-	ReportIdle  bool          // load is reported as none
-	Journal     io.Writer     // gets a line of JSON at the start and the end of each execution, if not nil
+	Slots       int           // maximum number of lookups and uploads that run at a time
+	Queue       int           // maximum number of lookups and uploads that wait for a slot
+	ServiceTime time.Duration // service time of uploads, and of lookups without a service time in the query
+	WarmUp      time.Duration // time after the start during which service times are longer
+	Lag         time.Duration // age of the health and load that are reported
+	ReportIdle  bool          // report that no request runs or waits, whatever the load is
+	Journal     io.Writer     // receives a line of JSON at the start and the end of each execution; may be nil
 	Log         zerolog.Logger
 }
 
 const (
-	coldFactor = 4.0     // service time right after a cold start, times the usual one
-	maxHistory = 200_000 // executions; a checker must see none dropped
+	coldFactor = 4.0     // factor of the service time at a cold start; falls to 1 during the warm-up
+	maxHistory = 200_000 // executions; large enough that a test drops none, since its check needs all of them
 )
 
-// Execution is one request that ran.
+// Execution is one request that the server ran.
 type Execution struct {
 	ID   string    `json:"id"`
 	Path string    `json:"path"`
-	Body string    `json:"body"` // of a lookup, its first KiB
+	Body string    `json:"body"` // the first KiB of a lookup's body
 	At   time.Time `json:"at"`
-	End  string    `json:"end"` // done, cancelled, deadline, broken; empty while it runs
+	End  string    `json:"end"` // done, failed, cancelled, deadline or broken; empty while the request runs
 }
 
-// Mode is how the server fails.
+// Mode is the way in which the server fails.
 type Mode string
 
 // The modes.
 const (
 	OK       Mode = "ok"
 	Slow     Mode = "slow"     // service times are multiplied
-	FailFast Mode = "failfast" // answers 500 at once
-	Die      Mode = "die"      // runs the request, then breaks the connection off
-	Freeze   Mode = "freeze"   // neither runs nor answers until the mode changes
+	FailFast Mode = "failfast" // responds with status 500 at once
+	Die      Mode = "die"      // runs the request, then closes the connection without a response
+	Freeze   Mode = "freeze"   // neither starts nor responds to requests until the mode changes
 )
 
-// Server is one backend server.
+// Server is a simulated backend server.
 type Server struct {
 	settings Settings
 	started  time.Time
@@ -76,23 +76,23 @@
 	draining    bool
 	mode        Mode
 	slowFactor  float64
-	modeChanged chan struct{} // closed when the mode changes
+	modeChanged chan struct{} // closed and replaced when the mode is set
 	history     []*Execution
 	dropped     int
 	samples     []sample
 	counts      Counts
 }
 
-// Counts counts requests by end.
+// Counts holds the numbers of requests by outcome.
 type Counts struct {
 	Ran       int `json:"ran"`
 	Shed      int `json:"shed"`
 	Cancelled int `json:"cancelled"`
 	Deadline  int `json:"deadline"`
-	Feeds     int `json:"feeds"` // open now
+	Feeds     int `json:"feeds"` // currently open
 }
 
-// New returns a server that starts cold now.
+// New returns a server whose warm-up starts now.
 func New(s Settings) *Server {
 	return &Server{
 		settings:    s,
@@ -104,7 +104,7 @@
 	}
 }
 
-// Handler returns the server's whole HTTP side.
+// Handler returns the handler for requests, reports and faults.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /health", s.serveHealth)
@@ -119,7 +119,7 @@
 	return mux
 }
 
-// Drain refuses new work from now on; what runs, runs on.
+// Drain makes the server refuse new requests. Requests that already run or wait continue.
 func (s *Server) Drain() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -127,7 +127,7 @@
 	s.settings.Log.Info().Msg("draining")
 }
 
-// SetMode sets how the server fails. The factor counts for Slow only.
+// SetMode sets the failure mode. The factor applies to Slow only.
 func (s *Server) SetMode(mode Mode, factor float64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -137,10 +137,10 @@
 	s.settings.Log.Info().Str("mode", string(mode)).Msg("fault set")
 }
 
-// refusal says why a request did not run.
+// refusal is the reason why a request did not run; empty if it was not refused.
 type refusal string
 
-// acquireSlot waits for a slot. The request did not run if it returns a refusal.
+// acquireSlot waits for a slot. If it returns a refusal, the request must not run.
 func (s *Server) acquireSlot(ctx context.Context) (release func(), refused refusal) {
 	if refused := s.awaitThaw(ctx); refused != "" {
 		return nil, refused
@@ -177,7 +177,7 @@
 
 func (s *Server) releaseSlot() { <-s.slots }
 
-// awaitThaw waits while the server is frozen.
+// awaitThaw waits while the mode is Freeze. It returns a refusal if the context ends first.
 func (s *Server) awaitThaw(ctx context.Context) refusal {
 	for {
 		s.mutex.Lock()
@@ -194,7 +194,7 @@
 	}
 }
 
-// beginExecution logs an execution.
+// beginExecution records the start of an execution.
 func (s *Server) beginExecution(r *http.Request, body string) *Execution {
 	e := &Execution{ID: r.Header.Get("Request-Id"), Path: r.URL.RequestURI(), Body: body, At: time.Now()}
 	s.mutex.Lock()
@@ -209,7 +209,7 @@
 	return e
 }
 
-// journal writes an execution down, where a kill of the process does not lose it.
+// journal writes an execution to the journal, so that it is not lost if the process is killed.
 // The mutex is held.
 func (s *Server) journal(e *Execution) {
 	if s.settings.Journal == nil {
@@ -220,7 +220,7 @@
 		_, err = s.settings.Journal.Write(append(line, '\n'))
 	}
 	if err != nil {
-		s.settings.Log.Error().Err(err).Msg("journal not written")
+		s.settings.Log.Error().Err(err).Msg("cannot write to the journal")
 	}
 }
 
@@ -237,7 +237,7 @@
 	}
 }
 
-// serviceTime returns how long work that usually takes d takes now.
+// serviceTime returns the current duration of work that takes d on a warm, healthy server.
 func (s *Server) serviceTime(d time.Duration) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/stand/server/server_test.go
+++ b/internal/stand/server/server_test.go
@@ -14,7 +14,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// call runs one request and returns its recorded answer.
+// call runs one request and returns the recorded response.
 func call(ctx context.Context, s *Server, method, path, body string, header ...string) *httptest.ResponseRecorder {
 	r := httptest.NewRequestWithContext(ctx, method, path, strings.NewReader(body))
 	for i := 0; i+1 < len(header); i += 2 {
@@ -22,13 +22,13 @@
 	}
 	w := httptest.NewRecorder()
 	func() {
-		defer func() { _ = recover() }() // a broken connection is a panic to the handler
+		defer func() { _ = recover() }() // the handler panics to close the connection
 		s.Handler().ServeHTTP(w, r)
 	}()
 	return w
 }
 
-func TestShedsWhatNeitherRunsNorWaits(t *testing.T) {
+func TestShedsWhenSlotsAndQueueAreFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Settings{Slots: 1, Queue: 1, ServiceTime: time.Second})
 		ctx := t.Context()
@@ -60,7 +60,7 @@
 	})
 }
 
-func TestStopsForDeadlineAndCaller(t *testing.T) {
+func TestDeadlineAndCancellationStopWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Settings{Slots: 1, ServiceTime: time.Hour})
 		w := call(t.Context(), s, "GET", "/lookup/1", "", "Deadline-Ms", "100")
@@ -101,7 +101,7 @@
 	server := httptest.NewServer(s.Handler())
 	defer server.Close()
 	s.SetMode(Die, 1)
-	_, err := http.Post(server.URL+"/lookup/1", "text/plain", strings.NewReader("x")) //nolint:bodyclose // there is no answer
+	_, err := http.Post(server.URL+"/lookup/1", "text/plain", strings.NewReader("x")) //nolint:bodyclose // there is no response
 	assert.ErrorContains(t, err, "EOF")
 	answer, err := http.Get(server.URL + "/history")
 	assert.NilError(t, err)
@@ -111,14 +111,14 @@
 	assert.Equal(t, history.Executions[0].End, "broken")
 }
 
-func TestReportsLagAndLie(t *testing.T) {
+func TestReportsCanLagAndBeWrong(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Settings{Slots: 2, Lag: 3 * time.Second, ServiceTime: 10 * time.Second})
 		assert.Equal(t, s.reportedLoad().Busy, 0)
 		go call(t.Context(), s, "GET", "/lookup/1", "")
 		for range 4 {
 			time.Sleep(time.Second - time.Millisecond)
-			assert.Equal(t, s.reportedLoad().Busy, 0) // as it was 3 s ago
+			assert.Equal(t, s.reportedLoad().Busy, 0) // the load of 3 s ago
 		}
 		time.Sleep(time.Second)
 		assert.Equal(t, s.reportedLoad().Busy, 1)
--- a/internal/stand/server/work.go
+++ b/internal/stand/server/work.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	maxHistoryBody = 1 << 10 // of a lookup's body, in the history
-	maxBody        = 1 << 20 // of a lookup
+	maxHistoryBody = 1 << 10 // bytes of a lookup's body that the history records
+	maxBody        = 1 << 20 // bytes of a lookup's body
 )
 
-// withDeadline returns the request's context with its Deadline-Ms.
+// withDeadline returns the request's context, limited by its Deadline-Ms header if there is one.
 func withDeadline(r *http.Request) (context.Context, context.CancelFunc) {
 	millis, err := strconv.Atoi(r.Header.Get("Deadline-Ms"))
 	if err != nil {
@@ -49,7 +49,8 @@
 	fmt.Fprintf(w, "%s %s\n", e.Path, body)
 }
 
-// simulateWork spends a service time. It reports whether an answer is to be written.
+// simulateWork waits for the service time and ends the execution, both according to the failure mode. It reports whether
+// the caller is to write the response.
 func (s *Server) simulateWork(ctx context.Context, w http.ResponseWriter, r *http.Request, e *Execution, d time.Duration) bool {
 	s.mutex.Lock()
 	mode := s.mode
@@ -71,13 +72,13 @@
 	}
 	if mode == Die {
 		s.endExecution(e, "broken")
-		panic(http.ErrAbortHandler) // ran, and nobody hears of it
+		panic(http.ErrAbortHandler) // the request ran, but gets no response
 	}
 	s.endExecution(e, "done")
 	return true
 }
 
-// endStopped ends a request whose caller went away or whose deadline passed.
+// endStopped ends a request that was cancelled or whose deadline passed.
 func (s *Server) endStopped(w http.ResponseWriter, r *http.Request, e *Execution) {
 	if r.Context().Err() != nil {
 		s.endExecution(e, "cancelled")
@@ -109,7 +110,7 @@
 	fmt.Fprintf(w, "%s %d %x\n", e.Path, n, hash.Sum(nil))
 }
 
-// serveFeed streams n lines (0: until the caller goes), one each interval.
+// serveFeed streams n lines (0: until the caller disconnects), one per interval.
 func (s *Server) serveFeed(w http.ResponseWriter, r *http.Request) {
 	lines, _ := strconv.Atoi(r.URL.Query().Get("n")) // 0 if missing
 	interval, err := time.ParseDuration(r.URL.Query().Get("every"))
@@ -151,7 +152,7 @@
 	s.endExecution(e, "done")
 }
 
-// refuse answers that a request did not run.
+// refuse responds that a request did not run.
 func (s *Server) refuse(w http.ResponseWriter, reason refusal) {
 	s.mutex.Lock()
 	s.counts.Shed++
