--- a/internal/stand/fabric/fabric.go
+++ b/internal/stand/fabric/fabric.go
@@ -1,12 +1,14 @@
-// Package fabric stands in for the network's fabric, which sprays the datagrams
+// Package fabric is a stand-in for the network's fabric, which sprays the datagrams
 // of callers over the entries.
 //
-// Each datagram that a caller sends to a service address goes to an entry chosen
-// at random, so that the packets of one flow reach all of them. The caller's IP
-// address is kept, as a fabric does: per caller and service address there is one
-// socket bound to the caller's own IP address (any address of 127.0.0.0/8 may be
-// bound) and a port of its own. An entry sees that address, and so any entry may
-// answer. It is not meant to be fast, and it knows nothing of QUIC.
+// It exists so that callers, entries and agents can run on one machine with the packets of a
+// flow spread over all entries: each datagram that a caller sends to a service address goes to
+// an entry chosen at random. As in a real fabric, the caller's IP address is preserved. For each
+// caller and service address there is one socket, bound to the caller's IP address (any address
+// of 127.0.0.0/8 can be bound) and a separate port. All entries see the same source address, so
+// any of them can send the response.
+//
+// It is not optimized for speed, and it does not parse QUIC.
 //
 // # Usage
 //
@@ -34,21 +36,21 @@
 
 const (
 	maxDatagram        = 65535
-	socketBufferSize   = 4 << 20 // asked for; the system may give less
+	socketBufferSize   = 4 << 20 // requested; the system may grant less
 	defaultIdleTimeout = 5 * time.Minute
 	defaultMaxCallers  = 20000
 )
 
-// Settings are the fabric's own.
+// Settings configures a Fabric.
 type Settings struct {
-	Services    []netip.AddrPort // where callers reach the services
+	Services    []netip.AddrPort // the service addresses, on which the fabric listens
 	Entries     []netip.Addr     // the bind addresses of the entries
-	IdleTimeout time.Duration    // a caller silent in both directions this long is forgotten
-	MaxCallers  int              // callers known at a time
+	IdleTimeout time.Duration    // a caller without datagrams in either direction for this time is removed
+	MaxCallers  int              // maximum number of callers at a time
 	Log         zerolog.Logger
 }
 
-// Fabric carries datagrams between callers and entries.
+// Fabric forwards datagrams between callers and entries.
 type Fabric struct {
 	settings Settings
 	services []*net.UDPConn
@@ -94,9 +96,9 @@
 	return f, nil
 }
 
-// Run carries datagrams until the context ends.
+// Run forwards datagrams until the context ends.
 func (f *Fabric) Run(ctx context.Context) (err error) {
-	defer func() { err = errors.Wrap(err, "carry datagrams") }()
+	defer func() { err = errors.Wrap(err, "forward datagrams") }()
 	group, ctx := errgroup.WithContext(ctx)
 	for i, conn := range f.services {
 		service := f.settings.Services[i]
@@ -118,7 +120,7 @@
 	return group.Wait()
 }
 
-// readCallers carries what callers send to one service address towards entries.
+// readCallers forwards the datagrams that callers send to one service address.
 func (f *Fabric) readCallers(service netip.AddrPort, conn *net.UDPConn) error {
 	buffer := make([]byte, maxDatagram)
 	for {
@@ -149,11 +151,12 @@
 	if !ok {
 		return
 	}
-	// A write fails when the entry's socket is gone; the datagram is lost, as on a wire.
+	// A write fails if the entry's socket is closed; the datagram is lost, as in a network.
 	_, _ = c.socket.WriteToUDPAddrPort(datagram, netip.AddrPortFrom(entry, c.key.service.Port()))
 }
 
-// callerFor returns the socket of a caller, opened if need be, or nil if there are too many.
+// callerFor returns the caller of a key and opens its socket if it is new. It returns nil if there are too many callers or
+// the socket cannot be opened.
 func (f *Fabric) callerFor(key callerKey, conn *net.UDPConn) *caller {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -168,7 +171,7 @@
 	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(local))
 	if err != nil {
 		f.stats.Refused++
-		f.settings.Log.Error().Err(err).Msg("caller's address not bound")
+		f.settings.Log.Error().Err(err).Msg("cannot bind the caller's address")
 		return nil
 	}
 	enlargeBuffers(socket)
@@ -178,7 +181,7 @@
 	return c
 }
 
-// readEntries carries what entries answer to one caller, until the caller is forgotten.
+// readEntries forwards the datagrams of entries to one caller until the caller is removed.
 func (f *Fabric) readEntries(c *caller, conn *net.UDPConn) {
 	buffer := make([]byte, maxDatagram)
 	for {
@@ -190,12 +193,14 @@
 			continue
 		}
 		if f.admitReturn(c, from) {
-			// A write fails when the caller's socket is gone; the datagram is lost, as on a wire.
+			// A write fails if the caller's socket is closed; the datagram is lost, as in a network.
 			_, _ = conn.WriteToUDPAddrPort(buffer[:n], c.key.address)
 		}
 	}
 }
 
+// admitReturn reports whether a datagram from an entry is forwarded to a caller, and counts it. Datagrams from an address
+// that is not the service's port of an entry are dropped.
 func (f *Fabric) admitReturn(c *caller, from netip.AddrPort) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -234,7 +239,7 @@
 }
 
 func enlargeBuffers(conn *net.UDPConn) {
-	// Smaller buffers only mean more loss under load, so a refusal is no error.
+	// Smaller buffers only cause more loss under load, so errors are ignored.
 	_ = conn.SetReadBuffer(socketBufferSize)
 	_ = conn.SetWriteBuffer(socketBufferSize)
 }
--- a/internal/stand/fabric/fabric_test.go
+++ b/internal/stand/fabric/fabric_test.go
@@ -10,22 +10,22 @@
 	"gotest.tools/v3/assert"
 )
 
-// testNetwork is a fabric with one service, echoing entries and one caller.
-type testNetwork struct {
+// testbed is a fabric with one service, entries that echo, and one caller.
+type testbed struct {
 	fabric  *Fabric
 	caller  *net.UDPConn
-	sources chan netip.AddrPort // sources that entries saw
+	sources chan netip.AddrPort // source addresses of the datagrams that entries received
 }
 
-func start(t *testing.T, entries ...string) *testNetwork {
+func start(t *testing.T, entries ...string) *testbed {
 	t.Helper()
 	return startWithLimit(t, 0, entries...)
 }
 
-func startWithLimit(t *testing.T, maxCallers int, entries ...string) *testNetwork {
+func startWithLimit(t *testing.T, maxCallers int, entries ...string) *testbed {
 	t.Helper()
 	service := freePort(t, "127.0.10.1")
-	b := &testNetwork{sources: make(chan netip.AddrPort, 1024)}
+	b := &testbed{sources: make(chan netip.AddrPort, 1024)}
 	var addresses []netip.Addr
 	for _, text := range entries {
 		address := netip.MustParseAddr(text)
@@ -57,8 +57,8 @@
 	return conn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// echo is an entry that answers each datagram with its own address.
-func (b *testNetwork) echo(t *testing.T, address netip.AddrPort) {
+// echo starts an entry that responds to each datagram with the entry's address.
+func (b *testbed) echo(t *testing.T, address netip.AddrPort) {
 	t.Helper()
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 	assert.NilError(t, err)
@@ -78,8 +78,8 @@
 	}()
 }
 
-// roundTrip sends a datagram and returns the entry that answered.
-func (b *testNetwork) roundTrip(t *testing.T) string {
+// roundTrip sends a datagram and returns the entry that responded.
+func (b *testbed) roundTrip(t *testing.T) string {
 	t.Helper()
 	_, err := b.caller.Write([]byte("hello"))
 	assert.NilError(t, err)
@@ -99,14 +99,14 @@
 		if !source.IsValid() {
 			source = from
 		}
-		assert.Equal(t, from, source) // the same towards every entry
+		assert.Equal(t, from, source) // the same at every entry
 	}
 	assert.Equal(t, source.Addr().String(), "127.0.50.1")
-	// One entry of two getting all of 100 has a chance of 2^-99.
+	// The probability that one of two entries receives all 100 datagrams is 2^-99.
 	assert.Equal(t, len(answered), 2)
 }
 
-func TestCutsByDirection(t *testing.T) {
+func TestLossByDirection(t *testing.T) {
 	b := start(t, "127.0.1.1")
 	entry := netip.MustParseAddr("127.0.1.1")
 	b.roundTrip(t)
@@ -115,7 +115,7 @@
 	b.fabric.SetLoss(Loss{Entry: entry, Back: 1})
 	_, err := b.caller.Write([]byte("hello"))
 	assert.NilError(t, err)
-	<-b.sources // the entry still hears the caller
+	<-b.sources // the entry still receives the caller's datagrams
 	b.awaitStats(func(s Stats) bool { return s.DroppedBack == 1 })
 
 	b.fabric.SetLoss(Loss{Entry: entry, Toward: 1})
@@ -126,11 +126,11 @@
 	b.fabric.SetLoss(Loss{Entry: entry})
 	assert.Equal(t, b.roundTrip(t), "127.0.1.1")
 	<-b.sources
-	assert.Equal(t, len(b.sources), 0) // the datagram cut towards the entry never came
+	assert.Equal(t, len(b.sources), 0) // the entry has not received the datagram dropped towards it
 }
 
-// awaitStats returns once the fabric's counts are as wanted.
-func (b *testNetwork) awaitStats(condition func(Stats) bool) {
+// awaitStats waits until the fabric's counts meet a condition.
+func (b *testbed) awaitStats(condition func(Stats) bool) {
 	for {
 		b.fabric.mutex.Lock()
 		ok := condition(b.fabric.stats)
--- a/internal/stand/fabric/fault.go
+++ b/internal/stand/fabric/fault.go
@@ -16,16 +16,16 @@
 	Back   uint64 `json:"back"`
 }
 
-// Stats counts what the fabric did.
+// Stats holds the fabric's counts of datagrams and callers.
 type Stats struct {
-	Callers       int                        `json:"callers"` // known now
-	Refused       uint64                     `json:"refused"` // datagrams of callers over the bound
+	Callers       int                        `json:"callers"` // open now
+	Refused       uint64                     `json:"refused"` // datagrams of callers that got no socket
 	DroppedToward uint64                     `json:"droppedToward"`
 	DroppedBack   uint64                     `json:"droppedBack"`
 	Entries       map[netip.Addr]*EntryStats `json:"entries"`
 }
 
-// forEntry returns the counts of an entry. Only entries of the plan are asked for, which bounds the map.
+// forEntry returns the counts of an entry. It is called only for entries of the routing, which bounds the map.
 func (s *Stats) forEntry(entry netip.Addr) *EntryStats {
 	c := s.Entries[entry]
 	if c == nil {
@@ -35,33 +35,33 @@
 	return c
 }
 
-// SetEntries puts other entries in place of those that datagrams go to.
+// SetEntries replaces the entries that datagrams go to.
 func (f *Fabric) SetEntries(entries []netip.Addr) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.routing.entries = entries
 }
 
-// SetLoss sets the loss at one entry.
+// SetLoss sets the packet loss at one entry.
 func (f *Fabric) SetLoss(c Loss) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.routing.loss[c.Entry] = c
 }
 
-// SetPartition parts callers and entries; no sides end the partition.
+// SetPartition partitions callers from entries. An empty list of sides ends the partition.
 func (f *Fabric) SetPartition(sides []Side) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.routing.sides = sides
 }
 
-// Admin returns the side that tests use.
+// Admin returns the handler for tests.
 //
 //	POST /entries?set=127.0.1.1,127.0.1.2   the entries that datagrams go to
 //	POST /fault?entry=127.0.1.1&toward=1&back=0.5   loss at one entry, by direction
 //	POST /partition   JSON [{"networks":["127.0.50.0/24"],"entries":["127.0.1.1"]}]; [] ends it
-//	GET /stats
+//	GET /stats   the counts
 func (f *Fabric) Admin() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /entries", f.serveEntries)
@@ -107,7 +107,7 @@
 	}
 	n, err := strconv.ParseFloat(text, 64)
 	if err != nil || n < 0 || n > 1 {
-		return 0, errors.Newf("%q is no share from 0 to 1", text)
+		return 0, errors.Newf("loss %q is not a number from 0 to 1", text)
 	}
 	return n, nil
 }
@@ -131,5 +131,5 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	_, _ = w.Write(text) // a reader that went away is no fault of ours
+	_, _ = w.Write(text) // fails only if the client has disconnected
 }
--- a/internal/stand/fabric/names_test.go
+++ b/internal/stand/fabric/names_test.go
@@ -6,7 +6,7 @@
 	"mangowinch/internal/stand/filled"
 )
 
-// Guards against names of the fabric's requests and answers that change: scripts send and read them.
+// Guards against changed JSON names in the fabric's requests and responses, which scripts send and read.
 func TestNames(t *testing.T) {
 	filled.Names(t, "names.golden", map[string]any{"partition": &[]Side{}, "stats": &Stats{}, "cut": &Loss{}})
 }
--- a/internal/stand/fabric/plan.go
+++ b/internal/stand/fabric/plan.go
@@ -6,20 +6,20 @@
 	"slices"
 )
 
-// Loss is the share of datagrams lost at one entry, by direction, from 0 to 1.
+// Loss is the fraction of datagrams lost at one entry, from 0 to 1, by direction.
 type Loss struct {
 	Entry  netip.Addr `json:"entry"`
 	Toward float64    `json:"toward"` // from callers to the entry
 	Back   float64    `json:"back"`   // from the entry to callers
 }
 
-// Side is one side of a partition: these callers see these entries only.
+// Side is one side of a partition: callers of these networks reach only these entries.
 type Side struct {
 	Networks []netip.Prefix `json:"networks"`
 	Entries  []netip.Addr   `json:"entries"`
 }
 
-// routing says where datagrams may go. It is guarded by the fabric's mutex.
+// routing decides which datagrams are forwarded, and to which entry. It is guarded by the fabric's mutex.
 type routing struct {
 	entries []netip.Addr
 	loss    map[netip.Addr]Loss
@@ -30,28 +30,29 @@
 	return routing{entries: entries, loss: map[netip.Addr]Loss{}}
 }
 
-// pickEntry returns the entry for one datagram of a caller, and false if it is lost.
-func (p routing) pickEntry(caller netip.Addr) (entry netip.Addr, ok bool) {
-	entries := p.entriesFor(caller)
+// pickEntry returns a random entry for one datagram of a caller, and false if the datagram is lost.
+func (r routing) pickEntry(caller netip.Addr) (entry netip.Addr, ok bool) {
+	entries := r.entriesFor(caller)
 	if len(entries) == 0 {
 		return netip.Addr{}, false
 	}
 	entry = entries[rand.IntN(len(entries))]
-	return entry, rand.Float64() >= p.loss[entry].Toward
+	return entry, rand.Float64() >= r.loss[entry].Toward
 }
 
-// reachesCaller tells whether a datagram of an entry reaches a caller.
-func (p routing) reachesCaller(entry, caller netip.Addr) bool {
-	return slices.Contains(p.entriesFor(caller), entry) && rand.Float64() >= p.loss[entry].Back
+// reachesCaller reports whether a datagram from an entry reaches a caller.
+func (r routing) reachesCaller(entry, caller netip.Addr) bool {
+	return slices.Contains(r.entriesFor(caller), entry) && rand.Float64() >= r.loss[entry].Back
 }
 
-func (p routing) entriesFor(caller netip.Addr) []netip.Addr {
-	for _, s := range p.sides {
+// entriesFor returns the entries on the caller's side of the partition, or all entries if the caller is on none.
+func (r routing) entriesFor(caller netip.Addr) []netip.Addr {
+	for _, s := range r.sides {
 		for _, network := range s.Networks {
 			if network.Contains(caller.Unmap()) {
 				return s.Entries
 			}
 		}
 	}
-	return p.entries
+	return r.entries
 }
