--- a/internal/stand/demo/demo.go
+++ b/internal/stand/demo/demo.go
@@ -1,13 +1,13 @@
-// Package demo shows the whole path at work: one deployment as separate processes
-// on loopback, a lookup, a feed and an upload through sprayed packets, and an
-// entry that is killed under an open feed.
+// Package demo demonstrates a deployment of separate processes on loopback: it sends
+// lookups, a feed and an upload through sprayed packets, and kills an entry while the
+// feed is open.
 //
-// It is for people who see the project for the first time. It proves little: that
-// is the work of package faults.
+// It exists as an introduction to the project. It is not a thorough test: package
+// faults tests deployments under many faults.
 //
 // # Usage
 //
-//	whole, err := demo.Run(ctx, os.Stdout, fleet.Settings{Deployment: "examples/zagreb", Binaries: "out"})
+//	complete, err := demo.Run(ctx, os.Stdout, fleet.Settings{Deployment: "examples/zagreb", Binaries: "out"})
 package demo
 
 import (
@@ -35,7 +35,7 @@
 	timeout      = time.Minute
 )
 
-// step is one line of the table.
+// step is one request and its response, a line of the printed table.
 type step struct {
 	description string
 	answer      client.Answer
@@ -45,8 +45,8 @@
 
 func (s step) complete() bool { return s.answer.Outcome == result.Ran && s.answer.Body == s.want }
 
-// Run starts the deployment, shows it and stops it. It reports whether every
-// answer came whole.
+// Run starts the deployment, sends the requests, prints their results and stops the deployment. It reports whether every
+// response was complete.
 func Run(ctx context.Context, out io.Writer, settings fleet.Settings) (complete bool, err error) {
 	defer func() { err = errors.Wrap(err, "demo") }()
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -93,7 +93,7 @@
 		client.Request{Method: "POST", Path: path, Body: bytes.NewReader(body)})
 }
 
-// feedWithKill kills an entry while a feed is open.
+// feedWithKill opens a feed and kills an entry while it is open.
 func feedWithKill(ctx context.Context, f *fleet.Fleet, c *client.Caller) step {
 	path := fmt.Sprintf("/feed/trace?n=%d&every=%s", feedLines, feedInterval)
 	var want strings.Builder
@@ -125,6 +125,6 @@
 		}
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", s.description, s.answer.Outcome, answer, s.took.Round(time.Millisecond))
 	}
-	_ = table.Flush() // the writer is a terminal or a test's buffer
+	_ = table.Flush() // the writer is a terminal or a test's output, so an error is ignored
 	return complete
 }
--- a/internal/stand/demo/demo_test.go
+++ b/internal/stand/demo/demo_test.go
@@ -9,9 +9,9 @@
 	"mangowinch/internal/stand/fleet"
 )
 
-// A newcomer starts the demo. A lookup and an upload come back whole; then an
-// entry is killed while a feed is open. The caller of the feed gets every line,
-// because no entry holds anything that a flow needs.
+// Guards against flows that depend on one entry. A lookup and an upload get complete responses; then an
+// entry is killed while a feed is open. The feed's caller receives every line, because entries hold no
+// state of flows.
 func TestWholePathAsSeparateProcesses(t *testing.T) {
 	binaries := t.TempDir()
 	build := exec.Command("go", "build", "-o", binaries, "mangowinch/cmd/mangowinch", "mangowinch/cmd/standin")
