--- a/internal/stand/matrix/cells.go
+++ b/internal/stand/matrix/cells.go
@@ -54,8 +54,8 @@
 	{concurrentChanges, "two documents, or a document and a drain, at once", []string{"two-documents-at-once", "document-and-drain-at-once"}},
 }
 
-// promiseCells are the promises under single faults. Scenarios that check a promise anyway
-// are those of the fault and are not repeated here.
+// promiseCells are the promises under single faults. For a promise that is checked in all scenarios, findCell
+// adds the fault's scenarios, so they are not repeated here.
 var promiseCells = []Cell{
 	{Row: establishedFlow, Fault: entryKilled, Tests: []string{"flow/paths.TestOneWayFeedLeavesDeadEntry", "stand/demo.TestWholePathAsSeparateProcesses"}},
 	{Row: establishedFlow, Fault: entryJoins, Tests: []string{"flow/ident.TestOpenGivesTheSealedServer"}},
@@ -121,6 +121,7 @@
 	{Row: documentInForce, Fault: concurrentChanges, Tests: []string{"conf/store.TestNeverReverts", "conf/store.TestFaultyDocumentLeavesTheLastGoodOne", "ctrl/relay.TestFaultyDocument"}, Scenarios: []string{"two-documents-at-once"}},
 }
 
+// faultPairs are the pairs of faults. Row is the text of the pair, and Fault is empty.
 var faultPairs = []Cell{
 	{Row: "a server's address is given to another service while a balancer is frozen and wakes with the old document", Scenarios: []string{"address-moves+entry-frozen"}},
 	{Row: "a balancer is killed while a server drains", Scenarios: []string{"entry-killed+server-drains"}},
--- a/internal/stand/matrix/matrix.go
+++ b/internal/stand/matrix/matrix.go
@@ -1,13 +1,13 @@
-// Package matrix is the registry of what is proved: which promise holds under
-// which fault, at which step of a request, and which test or run shows it.
+// Package matrix is the registry of which promise is verified under which fault, and at
+// which step of a request, by which tests and scenarios.
 //
-// docs/FAULTS.md is written from it, and a test holds the page against the
-// registry and the registry against the tree: each test and each scenario that a
-// cell names must be there. It runs nothing itself.
+// It exists so that the coverage of faults is stated in one place: docs/FAULTS.md is generated from
+// the registry. Tests check that the page matches the registry, and that each test and scenario
+// that a cell names exists in the source tree. The package is not a test runner.
 //
-// A cell is shown by tests, which scripts/test runs; by scenarios with real
-// processes, which scripts/faults runs; or it cannot happen, with the reason.
-// Everything else is not proved, and the page says so.
+// A cell is covered by tests, which scripts/test runs, or by scenarios with real
+// processes, which scripts/faults runs, or it states why the fault cannot occur there.
+// The page lists all other cells as not proved.
 //
 // # Usage
 //
@@ -20,31 +20,31 @@
 	"strings"
 )
 
-// Promise is one line of what must always hold.
+// Promise is a property that must always hold, or a step of a request: a row of cells.
 type Promise struct {
 	Name string
 	Text string
-	// Checked says that every scenario checks the promise for all its requests.
+	// Checked reports whether every scenario checks the promise for all its requests.
 	Checked bool
 }
 
-// Fault is one thing that fails.
+// Fault is one kind of failure, with the scenarios that cause it.
 type Fault struct {
 	Name      string
 	Text      string
 	Scenarios []string
 }
 
-// Cell is a promise under a fault, or a step of a request under a fault.
+// Cell is the coverage of a promise, or of a step of a request, under a fault.
 type Cell struct {
 	Row        string
 	Fault      string
 	Tests      []string // area/package.TestName
 	Scenarios  []string
-	Impossible string // why it cannot happen
+	Impossible string // why the fault cannot occur here; empty if it can
 }
 
-// Scenarios returns the names of all scenarios that a cell or a fault names.
+// Scenarios returns the sorted names of all scenarios that a cell or a fault names, without duplicates.
 func Scenarios() (names []string) {
 	for _, f := range faultKinds {
 		names = append(names, f.Scenarios...)
@@ -59,7 +59,7 @@
 	return slices.Compact(names)
 }
 
-// Tests returns the names of all tests that a cell names.
+// Tests returns the sorted names of all tests that a cell names, without duplicates.
 func Tests() (names []string) {
 	for _, c := range slices.Concat(promiseCells, stepCells) {
 		names = append(names, c.Tests...)
@@ -68,8 +68,8 @@
 	return slices.Compact(names)
 }
 
-// findCell returns the cell of a row under a fault, with the scenarios of the fault if
-// they check the row.
+// findCell returns the cell of a row under a fault, merged from all entries of the list for it. If checked is set, it
+// includes the scenarios of the fault.
 func findCell(list []Cell, row string, f Fault, checked bool) Cell {
 	found := Cell{Row: row, Fault: f.Name}
 	if checked {
@@ -90,12 +90,12 @@
 	return found
 }
 
-// Decided says whether the cell is shown or cannot happen.
+// Decided reports whether the cell is covered or its fault cannot occur.
 func (c Cell) Decided() bool {
 	return c.Impossible != "" || len(c.Tests) > 0 || len(c.Scenarios) > 0
 }
 
-// String returns the cell as the page has it.
+// String returns the text of the cell on the page.
 func (c Cell) String() string {
 	if c.Impossible != "" {
 		return "cannot happen: " + c.Impossible
@@ -113,7 +113,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// Page returns docs/FAULTS.md.
+// Page returns the text of docs/FAULTS.md.
 func Page() string {
 	var b strings.Builder
 	b.WriteString(pageHeader)
--- a/internal/stand/matrix/matrix_test.go
+++ b/internal/stand/matrix/matrix_test.go
@@ -12,14 +12,14 @@
 	"mangowinch/internal/stand/faults"
 )
 
-// The page is what people read; it must say what the registry says.
+// Guards against a page that differs from the registry.
 func TestPageIsUpToDate(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/FAULTS.md")
 	assert.NilError(t, err)
 	assert.Equal(t, string(page), Page(), "write it with: go run ./cmd/standin matrix > docs/FAULTS.md")
 }
 
-// A test that was renamed or removed proves nothing any more.
+// Guards against cells that name a renamed or removed test.
 func TestNamedTestsExist(t *testing.T) {
 	name := regexp.MustCompile(`(?m)^func (Test\w+)\(t \*testing\.T\)`)
 	found := map[string]bool{}
@@ -35,7 +35,7 @@
 		}
 	}
 	for _, test := range Tests() {
-		assert.Assert(t, found[test], "%s is not in the tree", test)
+		assert.Assert(t, found[test], "test %s does not exist", test)
 	}
 }
 
@@ -45,12 +45,12 @@
 		known = append(known, s.Name)
 	}
 	for _, name := range Scenarios() {
-		assert.Assert(t, slices.Contains(known, name), "%s is no scenario", name)
+		assert.Assert(t, slices.Contains(known, name), "scenario %s does not exist", name)
 	}
 }
 
-// A row or fault that is misspelt would leave its cell out of the page silently.
-func TestCellsHaveTheirPlace(t *testing.T) {
+// Guards against a misspelt row or fault, which would silently omit the cell from the page.
+func TestCellsHaveKnownRowsAndFaults(t *testing.T) {
 	inRows := func(rows []Promise, name string) bool {
 		return slices.ContainsFunc(rows, func(p Promise) bool { return p.Name == name })
 	}
--- a/internal/stand/matrix/steps.go
+++ b/internal/stand/matrix/steps.go
@@ -1,6 +1,6 @@
 package matrix
 
-// Names of steps.
+// Names of the steps of a request.
 const (
 	duringHandshake = "opening"
 	beforeFirstByte = "arrived"
@@ -21,14 +21,14 @@
 	{Name: unacknowledged, Text: "Answered and not acknowledged"},
 }
 
-// Reasons why a fault cannot come at a step.
+// Reasons why a fault cannot occur at a step.
 const (
 	noPlatform = "once a document is in force, no step of a request asks the platform"
 	noEntry    = "the request is whole at an agent; no balancer takes part until it is answered"
 )
 
-// stepCells are the steps of a request under single faults. A run is named for a step
-// only if requests at that step were caught in it; the runs print how many.
+// stepCells are the steps of a request under single faults. A cell names a scenario only if the fault
+// affected requests at that step when the scenario ran; each run prints their number.
 var stepCells = []Cell{
 	{Row: duringHandshake, Fault: unevenUpdates, Tests: []string{"flow/table.TestSecondHalfOfFirstFlightFindsItsServer", "flow/table.TestNewFlowIsHandedBack"}},
 	{Row: duringHandshake, Fault: serverDrains, Tests: []string{"flow/table.TestLeavingServerPassesNewFlowsOn", "flow/table.TestAllLeavingStillAnswers"}},
