--- a/internal/stand/demo/demo_test.go
+++ b/internal/stand/demo/demo_test.go
@@ -18,7 +18,7 @@
 	text, err := build.CombinedOutput()
 	assert.NilError(t, err, string(text))
 	settings := fleet.Settings{Deployment: "../../../examples/zagreb", Binaries: binaries}
-	whole, err := Run(t.Context(), t.Output(), settings)
+	complete, err := Run(t.Context(), t.Output(), settings)
 	assert.NilError(t, err)
-	assert.Assert(t, whole)
+	assert.Assert(t, complete)
 }
--- a/internal/stand/matrix/cells.go
+++ b/internal/stand/matrix/cells.go
@@ -4,7 +4,7 @@
 const (
 	establishedFlow  = "established"
 	serviceIsolation = "isolated"
-	wholeAnswer      = "whole"
+	completeResponse = "whole"
 	refusedNotRun    = "not-run"
 	atMostOnce       = "once"
 	leavingServer    = "leaving"
@@ -14,24 +14,24 @@
 
 // Names of faults.
 const (
-	entryKilled       = "entry-killed"
-	entryJoins        = "entry-joins"
-	serverDies        = "server-dies"
-	serverDrains      = "drains"
-	unevenUpdates     = "uneven"
-	platformDown      = "down"
-	platformStale     = "stale"
-	platformRestored  = "copied"
-	processFrozen     = "frozen"
-	partition         = "partition"
-	oneWayLoss        = "one-way"
-	concurrentChanges = "racing"
+	entryKilled         = "entry-killed"
+	entryJoins          = "entry-joins"
+	agentOrServerKilled = "server-dies"
+	serverDrains        = "drains"
+	unevenUpdates       = "uneven"
+	platformDown        = "down"
+	platformStale       = "stale"
+	platformRestored    = "copied"
+	processFrozen       = "frozen"
+	partition           = "partition"
+	oneWayLoss          = "one-way"
+	concurrentChanges   = "racing"
 )
 
 var promises = []Promise{
 	{establishedFlow, "An established feed or upload survives any planned change to balancers or servers", true},
 	{serviceIsolation, "No packet or request of one service reaches another", true},
-	{wholeAnswer, "Each caller gets the whole answer to its own request", true},
+	{completeResponse, "Each caller gets the whole answer to its own request", true},
 	{refusedNotRun, "What is refused as \"not run\" did not run", true},
 	{atMostOnce, "A request that is not idempotent runs at most once", true},
 	{leavingServer, "A server that is leaving gets no new work after 3 s", false},
@@ -42,7 +42,7 @@
 var faultKinds = []Fault{
 	{entryKilled, "a balancer is killed", []string{"entry-killed", "entries-killed-in-turn", "entry-killed-twice"}},
 	{entryJoins, "a balancer joins", []string{"entry-joins"}},
-	{serverDies, "an agent or a server is killed", []string{"agent-killed", "server-killed", "server-dies-after-running", "agent-killed-twice"}},
+	{agentOrServerKilled, "an agent or a server is killed", []string{"agent-killed", "server-killed", "server-dies-after-running", "agent-killed-twice"}},
 	{serverDrains, "a server drains", []string{"drain-by-document", "drain-by-server", "drain-by-list", "drain-by-signal"}},
 	{unevenUpdates, "updates reach processes unevenly", []string{"entry-frozen+document"}},
 	{platformDown, "the platform is down", []string{"platform-down", "platform-down-entry-restarted"}},
@@ -68,21 +68,21 @@
 	{Row: serviceIsolation, Fault: unevenUpdates, Tests: []string{"flow/ident.TestIDOfAnotherServiceDoesNotOpen", "flow/frame.TestFrameOfAnotherServiceIsRefused", "work/hand.TestOtherServiceIsRefused"}, Scenarios: []string{"address-moves+entry-frozen"}},
 	{Row: serviceIsolation, Fault: concurrentChanges, Tests: []string{"conf/store.TestDocumentOfAnotherServiceIsRefused"}},
 
-	{Row: wholeAnswer, Fault: serverDies, Tests: []string{"work/hand.TestLinkLostAtEachStep"}},
-	{Row: wholeAnswer, Fault: partition, Tests: []string{"work/hand.TestHistories"}},
+	{Row: completeResponse, Fault: agentOrServerKilled, Tests: []string{"work/hand.TestLinkLostAtEachStep"}},
+	{Row: completeResponse, Fault: partition, Tests: []string{"work/hand.TestHistories"}},
 
-	{Row: refusedNotRun, Fault: serverDies, Tests: []string{"work/hand.TestReceiverRestarted", "work/hand.TestLinkLostAtEachStep"}},
+	{Row: refusedNotRun, Fault: agentOrServerKilled, Tests: []string{"work/hand.TestReceiverRestarted", "work/hand.TestLinkLostAtEachStep"}},
 	{Row: refusedNotRun, Fault: serverDrains, Tests: []string{"work/hand.TestNotRunIsFinal"}},
 	{Row: refusedNotRun, Fault: processFrozen, Tests: []string{"work/hand.TestOldLinkIsReadAfterTheQuestion", "work/memo.TestAskedBeforeItArrived"}},
 	{Row: refusedNotRun, Fault: partition, Tests: []string{"work/hand.TestHistories"}},
 
-	{Row: atMostOnce, Fault: serverDies, Tests: []string{"work/hand.TestServerDiesAfterRunning", "work/hand.TestOwnerRestarted", "work/token.TestRestartedOwnerWithClockSetBack"}},
+	{Row: atMostOnce, Fault: agentOrServerKilled, Tests: []string{"work/hand.TestServerDiesAfterRunning", "work/hand.TestOwnerRestarted", "work/token.TestRestartedOwnerWithClockSetBack"}},
 	{Row: atMostOnce, Fault: processFrozen, Tests: []string{"work/hand.TestFrozenReceiverWakesAfterTheDeadline", "work/memo.TestWokenAfterTheDeadline", "node/agent.TestClaimIsNotSentAfterItsDeadline"}},
 	{Row: atMostOnce, Fault: partition, Tests: []string{"work/hand.TestPartitionAndCallerChangesSides", "work/hand.TestHistories"}},
 
 	{Row: leavingServer, Fault: entryKilled, Scenarios: []string{"entry-killed+server-drains"}},
 	{Row: leavingServer, Fault: entryJoins, Scenarios: []string{"entry-joins+drain"}},
-	{Row: leavingServer, Fault: serverDies, Scenarios: []string{"agent-killed+drain"}},
+	{Row: leavingServer, Fault: agentOrServerKilled, Scenarios: []string{"agent-killed+drain"}},
 	{Row: leavingServer, Fault: serverDrains, Tests: []string{"flow/table.TestLeavingServerPassesNewFlowsOn", "flow/route.TestLeavingServerIsLastChoice", "load/place.TestLeavingAndTriedServersGetNothing", "load/shift.TestLeavingCountsAtOnce", "ctrl/relay.TestListSaysLeave"}, Scenarios: []string{"drain-by-document", "drain-by-server", "drain-by-list", "drain-by-signal"}},
 	{Row: leavingServer, Fault: unevenUpdates, Scenarios: []string{"entry-frozen+document"}},
 	{Row: leavingServer, Fault: platformDown, Scenarios: []string{"platform-down+drain"}},
@@ -97,7 +97,7 @@
 	{Row: plannedStop, Fault: serverDrains, Tests: []string{"flow/paths.TestLeavingEntryIsNotUsed", "node/agent.TestSuccessorBelievesInOldProcessAtFirst"}, Scenarios: []string{"entry-stopped", "agent-replaced", "drain-by-signal", "all-replaced"}},
 
 	{Row: plannedStop, Fault: entryJoins, Scenarios: []string{"entry-stopped+entry-joins"}},
-	{Row: plannedStop, Fault: serverDies, Scenarios: []string{"entry-stopped+agent-killed"}},
+	{Row: plannedStop, Fault: agentOrServerKilled, Scenarios: []string{"entry-stopped+agent-killed"}},
 	{Row: plannedStop, Fault: unevenUpdates, Scenarios: []string{"agent-replaced+documents"}},
 	{Row: plannedStop, Fault: platformDown, Scenarios: []string{"agent-replaced+platform-down"}},
 	{Row: plannedStop, Fault: platformStale, Scenarios: []string{"agent-replaced+platform-stale"}},
@@ -109,7 +109,7 @@
 
 	{Row: documentInForce, Fault: entryKilled, Impossible: "what a balancer had in force dies with it; its successor is a balancer that joins"},
 	{Row: documentInForce, Fault: entryJoins, Scenarios: []string{"entry-joins"}},
-	{Row: documentInForce, Fault: serverDies, Tests: []string{"ctrl/relay.TestManyFailures"}, Scenarios: []string{"agent-killed+drain", "agent-killed+platform-down"}},
+	{Row: documentInForce, Fault: agentOrServerKilled, Tests: []string{"ctrl/relay.TestManyFailures"}, Scenarios: []string{"agent-killed+drain", "agent-killed+platform-down"}},
 	{Row: documentInForce, Fault: serverDrains, Impossible: "a drain changes no document; a drain by document is an update like any other"},
 	{Row: documentInForce, Fault: unevenUpdates, Tests: []string{"conf/store.TestNeverReverts", "ctrl/relay.TestNeverRevertsInFleet", "ctrl/relay.TestChangeReachesAll"}},
 	{Row: documentInForce, Fault: platformDown, Tests: []string{"ctrl/relay.TestPlatformDownAfterOneSawTheChange", "ctrl/relay.TestLongOutage"}, Scenarios: []string{"platform-down-entry-restarted"}},
--- a/internal/stand/matrix/steps.go
+++ b/internal/stand/matrix/steps.go
@@ -32,7 +32,7 @@
 var stepCells = []Cell{
 	{Row: duringHandshake, Fault: unevenUpdates, Tests: []string{"flow/table.TestSecondHalfOfFirstFlightFindsItsServer", "flow/table.TestNewFlowIsHandedBack"}},
 	{Row: duringHandshake, Fault: serverDrains, Tests: []string{"flow/table.TestLeavingServerPassesNewFlowsOn", "flow/table.TestAllLeavingStillAnswers"}},
-	{Row: duringHandshake, Fault: serverDies, Tests: []string{"flow/table.TestDeadFormerChoiceIsAskedOnce", "flow/route.TestSilentServerIsPassedOver"}},
+	{Row: duringHandshake, Fault: agentOrServerKilled, Tests: []string{"flow/table.TestDeadFormerChoiceIsAskedOnce", "flow/route.TestSilentServerIsPassedOver"}},
 	{Row: duringHandshake, Fault: entryJoins, Tests: []string{"flow/table.TestSecondHalfOfFirstFlightFindsItsServer"}},
 
 	{Row: beforeFirstByte, Fault: entryKilled, Scenarios: []string{"entry-killed"}},
@@ -40,14 +40,14 @@
 	{Row: beforeFirstByte, Fault: partition, Tests: []string{"flow/paths.TestPartedCallerIsAnsweredByEntriesThatHearIt"}},
 
 	{Row: queuedAtAgent, Fault: serverDrains, Tests: []string{"load/admit.TestDrainHandsOutWhatWaits", "node/gate.TestDrainGivesWaitingBack"}, Scenarios: []string{"drain-by-document", "drain-by-server", "drain-by-signal"}},
-	{Row: queuedAtAgent, Fault: serverDies, Scenarios: []string{"agent-killed", "server-killed"}},
+	{Row: queuedAtAgent, Fault: agentOrServerKilled, Scenarios: []string{"agent-killed", "server-killed"}},
 	{Row: queuedAtAgent, Fault: unevenUpdates, Scenarios: []string{"entry-frozen+document"}},
 	{Row: queuedAtAgent, Fault: partition, Scenarios: []string{"partition"}},
 	{Row: queuedAtAgent, Fault: oneWayLoss, Scenarios: []string{"cut-back-from-entry"}},
 	{Row: queuedAtAgent, Fault: concurrentChanges, Scenarios: []string{"document-and-drain-at-once"}},
 	{Row: queuedAtAgent, Fault: processFrozen, Tests: []string{"load/admit.TestExpireAnswersAtTheLatestStart"}, Scenarios: []string{"agent-frozen", "server-frozen"}},
 
-	{Row: handedOver, Fault: serverDies, Tests: []string{"work/hand.TestReceiverRestarted", "work/hand.TestUnreachedPeerLeavesTheBody"}, Scenarios: []string{"agent-killed", "server-killed"}},
+	{Row: handedOver, Fault: agentOrServerKilled, Tests: []string{"work/hand.TestReceiverRestarted", "work/hand.TestUnreachedPeerLeavesTheBody"}, Scenarios: []string{"agent-killed", "server-killed"}},
 	{Row: handedOver, Fault: serverDrains, Scenarios: []string{"drain-by-document", "drain-by-server", "drain-by-signal"}},
 	{Row: handedOver, Fault: concurrentChanges, Scenarios: []string{"document-and-drain-at-once"}},
 	{Row: handedOver, Fault: processFrozen, Tests: []string{"work/hand.TestFrozenReceiverWakesAfterTheDeadline"}, Scenarios: []string{"agent-frozen"}},
@@ -56,7 +56,7 @@
 	{Row: handedOver, Fault: unevenUpdates, Tests: []string{"work/hand.TestHopsAreBounded", "work/hand.TestOtherServiceIsRefused"}},
 
 	{Row: sentToServer, Fault: entryKilled, Scenarios: []string{"entry-killed"}},
-	{Row: sentToServer, Fault: serverDies, Tests: []string{"work/hand.TestServerDiesAfterRunning"}, Scenarios: []string{"server-killed", "server-dies-after-running", "agent-killed"}},
+	{Row: sentToServer, Fault: agentOrServerKilled, Tests: []string{"work/hand.TestServerDiesAfterRunning"}, Scenarios: []string{"server-killed", "server-dies-after-running", "agent-killed"}},
 	{Row: sentToServer, Fault: processFrozen, Tests: []string{"node/agent.TestClaimIsNotSentAfterItsDeadline"}, Scenarios: []string{"agent-frozen", "server-frozen", "entry-frozen"}},
 	{Row: sentToServer, Fault: unevenUpdates, Scenarios: []string{"entry-frozen+document"}},
 	{Row: sentToServer, Fault: serverDrains, Scenarios: []string{"drain-by-server", "drain-by-signal"}},
@@ -67,7 +67,7 @@
 
 	{Row: halfTransferred, Fault: entryKilled, Tests: []string{"stand/demo.TestWholePathAsSeparateProcesses"}, Scenarios: []string{"entry-killed", "entries-killed-in-turn"}},
 	{Row: halfTransferred, Fault: entryJoins, Scenarios: []string{"entry-joins"}},
-	{Row: halfTransferred, Fault: serverDies, Scenarios: []string{"agent-killed", "server-killed"}},
+	{Row: halfTransferred, Fault: agentOrServerKilled, Scenarios: []string{"agent-killed", "server-killed"}},
 	{Row: halfTransferred, Fault: serverDrains, Scenarios: []string{"drain-by-document", "drain-by-server", "drain-by-signal"}},
 	{Row: halfTransferred, Fault: unevenUpdates, Scenarios: []string{"entry-frozen+document"}},
 	{Row: halfTransferred, Fault: platformDown, Scenarios: []string{"platform-down"}},
@@ -79,7 +79,7 @@
 	{Row: halfTransferred, Fault: concurrentChanges, Scenarios: []string{"two-documents-at-once", "document-and-drain-at-once"}},
 
 	{Row: unacknowledged, Fault: entryKilled, Tests: []string{"flow/paths.TestOneWayFeedLeavesDeadEntry"}},
-	{Row: unacknowledged, Fault: serverDies, Tests: []string{"work/hand.TestOwnerRestarted"}},
+	{Row: unacknowledged, Fault: agentOrServerKilled, Tests: []string{"work/hand.TestOwnerRestarted"}},
 	{Row: unacknowledged, Fault: partition, Tests: []string{"work/hand.TestPartitionAndCallerChangesSides"}},
 	{Row: unacknowledged, Fault: oneWayLoss, Tests: []string{"flow/paths.TestHalfDeadEntryIsLeftByAlternating", "work/hand.TestAgentsRaceForAKey"}},
 
