--- a/internal/stand/server/server.go
+++ b/internal/stand/server/server.go
@@ -41,7 +41,7 @@
 
 const (
 	coldFactor = 4.0     // factor of the service time at a cold start; falls to 1 during the warm-up
-	maxHistory = 200_000 // executions; large enough that a test drops none, since its check needs all of them
+	maxHistory = 200_000 // executions; checks need the whole history, so none may be dropped
 )
 
 // Execution is one request that the server ran.
