--- a/internal/stand/fabric/names_test.go
+++ b/internal/stand/fabric/names_test.go
@@ -8,5 +8,5 @@
 
 // Guards against changed JSON names in the fabric's requests and responses, which scripts send and read.
 func TestNames(t *testing.T) {
-	filled.Names(t, "names.golden", map[string]any{"partition": &[]Side{}, "stats": &Stats{}, "cut": &Loss{}})
+	filled.AssertRoundTrip(t, "names.golden", map[string]any{"partition": &[]Side{}, "stats": &Stats{}, "cut": &Loss{}})
 }
--- a/internal/stand/plat/names_test.go
+++ b/internal/stand/plat/names_test.go
@@ -8,5 +8,5 @@
 
 // Guards against changed JSON names in the responses: processes read them under the names that the real platform uses.
 func TestNames(t *testing.T) {
-	filled.Names(t, "names.golden", map[string]any{"documents": &Documents{}, "instances": &Instances{}})
+	filled.AssertRoundTrip(t, "names.golden", map[string]any{"documents": &Documents{}, "instances": &Instances{}})
 }
--- a/internal/stand/server/names_test.go
+++ b/internal/stand/server/names_test.go
@@ -8,5 +8,5 @@
 
 // Guards against changed JSON names in the responses: agents, the checks and readers of older journals depend on them.
 func TestNames(t *testing.T) {
-	filled.Names(t, "names.golden", map[string]any{"load": &Load{}, "health": &Health{}, "history": &History{}})
+	filled.AssertRoundTrip(t, "names.golden", map[string]any{"load": &Load{}, "health": &Health{}, "history": &History{}})
 }
