--- a/internal/stand/fabric/fabric.go
+++ b/internal/stand/fabric/fabric.go
@@ -1,12 +1,14 @@
-// Package fabric stands in for the network's fabric, which sprays the datagrams
+// Package fabric is a stand-in for the network's fabric, which sprays the datagrams
 // of callers over the entries.
 //
-// Each datagram that a caller sends to a service address goes to an entry chosen
-// at random, so that the packets of one flow reach all of them. The caller's IP
-// address is kept, as a fabric does: per caller and service address there is one
-// socket bound to the caller's own IP address (any address of 127.0.0.0/8 may be
-// bound) and a port of its own. An entry sees that address, and so any entry may
-// answer. It is not meant to be fast, and it knows nothing of QUIC.
+// It exists so that callers, entries and agents can run on one machine with the packets of a
+// flow spread over all entries: each datagram that a caller sends to a service address goes to
+// an entry chosen at random. As in a real fabric, the caller's IP address is preserved. For each
+// caller and service address there is one socket, bound to the caller's IP address (any address
+// of 127.0.0.0/8 can be bound) and a separate port. All entries see the same source address, so
+// any of them can send the response.
+//
+// It is not optimized for speed, and it does not parse QUIC.
 //
 // # Usage
 //
@@ -33,22 +35,22 @@
 )
 
 const (
-	largestDatagram = 65535
-	socketBuffer    = 4 << 20 // asked for; the system may give less
-	defaultIdle     = 5 * time.Minute
-	defaultCallers  = 20000
+	maxDatagram        = 65535
+	socketBufferSize   = 4 << 20 // requested; the system may grant less
+	defaultIdleTimeout = 5 * time.Minute
+	defaultMaxCallers  = 20000
 )
 
-// Settings are the fabric's own.
+// Settings configures a Fabric.
 type Settings struct {
-	Services []netip.AddrPort // where callers reach the services
-	Entries  []netip.Addr     // the bind addresses of the entries
-	Idle     time.Duration    // a caller silent in both directions this long is forgotten
-	Callers  int              // callers known at a time
-	Log      zerolog.Logger
+	Services    []netip.AddrPort // the service addresses, on which the fabric listens
+	Entries     []netip.Addr     // the bind addresses of the entries
+	IdleTimeout time.Duration    // a caller without datagrams in either direction for this time is removed
+	MaxCallers  int              // maximum number of callers at a time
+	Log         zerolog.Logger
 }
 
-// Fabric carries datagrams between callers and entries.
+// Fabric forwards datagrams between callers and entries.
 type Fabric struct {
 	settings Settings
 	services []*net.UDPConn
@@ -56,7 +58,7 @@
 	mutex   sync.Mutex
 	callers map[callerKey]*caller
 	closed  bool
-	plan    plan
+	routing routing
 	stats   Stats
 }
 
@@ -66,44 +68,44 @@
 }
 
 type caller struct {
-	key    callerKey
-	socket *net.UDPConn
-	used   time.Time // guarded by the fabric's mutex
+	key      callerKey
+	socket   *net.UDPConn
+	lastUsed time.Time // guarded by the fabric's mutex
 }
 
 // Listen opens the service addresses.
 func Listen(s Settings) (f *Fabric, err error) {
 	defer func() { err = errors.Wrap(err, "open fabric") }()
-	if s.Idle == 0 {
-		s.Idle = defaultIdle
+	if s.IdleTimeout == 0 {
+		s.IdleTimeout = defaultIdleTimeout
 	}
-	if s.Callers == 0 {
-		s.Callers = defaultCallers
+	if s.MaxCallers == 0 {
+		s.MaxCallers = defaultMaxCallers
 	}
-	f = &Fabric{settings: s, callers: map[callerKey]*caller{}, plan: newPlan(s.Entries)}
-	f.stats.Entries = map[netip.Addr]*Carried{}
+	f = &Fabric{settings: s, callers: map[callerKey]*caller{}, routing: newRouting(s.Entries)}
+	f.stats.Entries = map[netip.Addr]*EntryStats{}
 	for _, address := range s.Services {
 		conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 		if err != nil {
 			f.close()
 			return nil, err
 		}
-		widen(conn)
+		enlargeBuffers(conn)
 		f.services = append(f.services, conn)
 	}
 	return f, nil
 }
 
-// Run carries datagrams until the context ends.
+// Run forwards datagrams until the context ends.
 func (f *Fabric) Run(ctx context.Context) (err error) {
-	defer func() { err = errors.Wrap(err, "carry datagrams") }()
+	defer func() { err = errors.Wrap(err, "forward datagrams") }()
 	group, ctx := errgroup.WithContext(ctx)
 	for i, conn := range f.services {
 		service := f.settings.Services[i]
 		group.Go(func() error { return f.readCallers(service, conn) })
 	}
 	group.Go(func() error {
-		ticker := time.NewTicker(f.settings.Idle / 4)
+		ticker := time.NewTicker(f.settings.IdleTimeout / 4)
 		defer ticker.Stop()
 		for {
 			select {
@@ -111,16 +113,16 @@
 				f.close()
 				return nil
 			case now := <-ticker.C:
-				f.forgetIdle(now)
+				f.closeIdle(now)
 			}
 		}
 	})
 	return group.Wait()
 }
 
-// readCallers carries what callers send to one service address towards entries.
+// readCallers forwards the datagrams that callers send to one service address.
 func (f *Fabric) readCallers(service netip.AddrPort, conn *net.UDPConn) error {
-	buffer := make([]byte, largestDatagram)
+	buffer := make([]byte, maxDatagram)
 	for {
 		n, from, err := conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -130,18 +132,18 @@
 			return err
 		}
 		key := callerKey{address: from, service: service}
-		if c := f.callerOf(key, conn); c != nil {
-			f.toEntry(c, buffer[:n])
+		if c := f.callerFor(key, conn); c != nil {
+			f.sendToEntry(c, buffer[:n])
 		}
 	}
 }
 
-func (f *Fabric) toEntry(c *caller, datagram []byte) {
+func (f *Fabric) sendToEntry(c *caller, datagram []byte) {
 	f.mutex.Lock()
-	c.used = time.Now()
-	entry, ok := f.plan.choose(c.key.address.Addr())
+	c.lastUsed = time.Now()
+	entry, ok := f.routing.pickEntry(c.key.address.Addr())
 	if ok {
-		f.stats.of(entry).Toward++
+		f.stats.forEntry(entry).Toward++
 	} else {
 		f.stats.DroppedToward++
 	}
@@ -149,38 +151,39 @@
 	if !ok {
 		return
 	}
-	// A write fails when the entry's socket is gone; the datagram is lost, as on a wire.
+	// A write fails if the entry's socket is closed; the datagram is lost, as in a network.
 	_, _ = c.socket.WriteToUDPAddrPort(datagram, netip.AddrPortFrom(entry, c.key.service.Port()))
 }
 
-// callerOf returns the socket of a caller, opened if need be, or nil if there are too many.
-func (f *Fabric) callerOf(key callerKey, conn *net.UDPConn) *caller {
+// callerFor returns the caller of a key and opens its socket if it is new. It returns nil if there are too many callers or
+// the socket cannot be opened.
+func (f *Fabric) callerFor(key callerKey, conn *net.UDPConn) *caller {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if c := f.callers[key]; c != nil {
 		return c
 	}
-	if f.closed || len(f.callers) >= f.settings.Callers {
+	if f.closed || len(f.callers) >= f.settings.MaxCallers {
 		f.stats.Refused++
 		return nil
 	}
-	own := netip.AddrPortFrom(key.address.Addr(), 0)
-	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(own))
+	local := netip.AddrPortFrom(key.address.Addr(), 0)
+	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(local))
 	if err != nil {
 		f.stats.Refused++
-		f.settings.Log.Error().Err(err).Msg("caller's address not bound")
+		f.settings.Log.Error().Err(err).Msg("cannot bind the caller's address")
 		return nil
 	}
-	widen(socket)
-	c := &caller{key: key, socket: socket, used: time.Now()}
+	enlargeBuffers(socket)
+	c := &caller{key: key, socket: socket, lastUsed: time.Now()}
 	f.callers[key] = c
 	go f.readEntries(c, conn)
 	return c
 }
 
-// readEntries carries what entries answer to one caller, until the caller is forgotten.
+// readEntries forwards the datagrams of entries to one caller until the caller is removed.
 func (f *Fabric) readEntries(c *caller, conn *net.UDPConn) {
-	buffer := make([]byte, largestDatagram)
+	buffer := make([]byte, maxDatagram)
 	for {
 		n, from, err := c.socket.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -189,31 +192,33 @@
 		if err != nil {
 			continue
 		}
-		if f.mayReturn(c, from) {
-			// A write fails when the caller's socket is gone; the datagram is lost, as on a wire.
+		if f.admitReturn(c, from) {
+			// A write fails if the caller's socket is closed; the datagram is lost, as in a network.
 			_, _ = conn.WriteToUDPAddrPort(buffer[:n], c.key.address)
 		}
 	}
 }
 
-func (f *Fabric) mayReturn(c *caller, from netip.AddrPort) bool {
+// admitReturn reports whether a datagram from an entry is forwarded to a caller, and counts it. Datagrams from an address
+// that is not the service's port of an entry are dropped.
+func (f *Fabric) admitReturn(c *caller, from netip.AddrPort) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	entry := from.Addr().Unmap()
-	if from.Port() != c.key.service.Port() || !f.plan.returns(entry, c.key.address.Addr()) {
+	if from.Port() != c.key.service.Port() || !f.routing.reachesCaller(entry, c.key.address.Addr()) {
 		f.stats.DroppedBack++
 		return false
 	}
-	c.used = time.Now()
-	f.stats.of(entry).Back++
+	c.lastUsed = time.Now()
+	f.stats.forEntry(entry).Back++
 	return true
 }
 
-func (f *Fabric) forgetIdle(now time.Time) {
+func (f *Fabric) closeIdle(now time.Time) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for key, c := range f.callers {
-		if now.Sub(c.used) > f.settings.Idle {
+		if now.Sub(c.lastUsed) > f.settings.IdleTimeout {
 			c.socket.Close()
 			delete(f.callers, key)
 		}
@@ -233,8 +238,8 @@
 	}
 }
 
-func widen(conn *net.UDPConn) {
-	// Smaller buffers only mean more loss under load, so a refusal is no error.
-	_ = conn.SetReadBuffer(socketBuffer)
-	_ = conn.SetWriteBuffer(socketBuffer)
+func enlargeBuffers(conn *net.UDPConn) {
+	// Smaller buffers only cause more loss under load, so errors are ignored.
+	_ = conn.SetReadBuffer(socketBufferSize)
+	_ = conn.SetWriteBuffer(socketBufferSize)
 }
--- a/internal/stand/fabric/fault.go
+++ b/internal/stand/fabric/fault.go
@@ -10,58 +10,58 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Carried counts the datagrams of one entry.
-type Carried struct {
+// EntryStats counts the datagrams of one entry.
+type EntryStats struct {
 	Toward uint64 `json:"toward"`
 	Back   uint64 `json:"back"`
 }
 
-// Stats counts what the fabric did.
+// Stats holds the fabric's counts of datagrams and callers.
 type Stats struct {
-	Callers       int                     `json:"callers"` // known now
-	Refused       uint64                  `json:"refused"` // datagrams of callers over the bound
-	DroppedToward uint64                  `json:"droppedToward"`
-	DroppedBack   uint64                  `json:"droppedBack"`
-	Entries       map[netip.Addr]*Carried `json:"entries"`
+	Callers       int                        `json:"callers"` // open now
+	Refused       uint64                     `json:"refused"` // datagrams of callers that got no socket
+	DroppedToward uint64                     `json:"droppedToward"`
+	DroppedBack   uint64                     `json:"droppedBack"`
+	Entries       map[netip.Addr]*EntryStats `json:"entries"`
 }
 
-// of returns the counts of an entry. Only entries of the plan are asked for, which bounds the map.
-func (s *Stats) of(entry netip.Addr) *Carried {
+// forEntry returns the counts of an entry. It is called only for entries of the routing, which bounds the map.
+func (s *Stats) forEntry(entry netip.Addr) *EntryStats {
 	c := s.Entries[entry]
 	if c == nil {
-		c = &Carried{}
+		c = &EntryStats{}
 		s.Entries[entry] = c
 	}
 	return c
 }
 
-// SetEntries puts other entries in place of those that datagrams go to.
+// SetEntries replaces the entries that datagrams go to.
 func (f *Fabric) SetEntries(entries []netip.Addr) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.plan.entries = entries
+	f.routing.entries = entries
 }
 
-// SetCut sets the loss at one entry.
-func (f *Fabric) SetCut(c Cut) {
+// SetLoss sets the packet loss at one entry.
+func (f *Fabric) SetLoss(c Loss) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.plan.cuts[c.Entry] = c
+	f.routing.loss[c.Entry] = c
 }
 
-// SetSides parts callers and entries; no sides end the partition.
-func (f *Fabric) SetSides(sides []Side) {
+// SetPartition partitions callers from entries. An empty list of sides ends the partition.
+func (f *Fabric) SetPartition(sides []Side) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.plan.sides = sides
+	f.routing.sides = sides
 }
 
-// Admin returns the side that tests use.
+// Admin returns the handler for tests.
 //
 //	POST /entries?set=127.0.1.1,127.0.1.2   the entries that datagrams go to
 //	POST /fault?entry=127.0.1.1&toward=1&back=0.5   loss at one entry, by direction
 //	POST /partition   JSON [{"networks":["127.0.50.0/24"],"entries":["127.0.1.1"]}]; [] ends it
-//	GET /stats
+//	GET /stats   the counts
 func (f *Fabric) Admin() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /entries", f.serveEntries)
@@ -92,22 +92,22 @@
 		http.Error(w, "entry: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	toward, towardErr := share(query.Get("toward"))
-	back, backErr := share(query.Get("back"))
+	toward, towardErr := parseLoss(query.Get("toward"))
+	back, backErr := parseLoss(query.Get("back"))
 	if err := errors.CombineErrors(towardErr, backErr); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	f.SetCut(Cut{Entry: entry, Toward: toward, Back: back})
+	f.SetLoss(Loss{Entry: entry, Toward: toward, Back: back})
 }
 
-func share(text string) (float64, error) {
+func parseLoss(text string) (float64, error) {
 	if text == "" {
 		return 0, nil
 	}
 	n, err := strconv.ParseFloat(text, 64)
 	if err != nil || n < 0 || n > 1 {
-		return 0, errors.Newf("%q is no share from 0 to 1", text)
+		return 0, errors.Newf("loss %q is not a number from 0 to 1", text)
 	}
 	return n, nil
 }
@@ -118,7 +118,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	f.SetSides(sides)
+	f.SetPartition(sides)
 }
 
 func (f *Fabric) serveStats(w http.ResponseWriter, _ *http.Request) {
@@ -131,5 +131,5 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	_, _ = w.Write(text) // a reader that went away is no fault of ours
+	_, _ = w.Write(text) // fails only if the client has disconnected
 }
--- a/internal/stand/matrix/matrix.go
+++ b/internal/stand/matrix/matrix.go
@@ -1,13 +1,13 @@
-// Package matrix is the registry of what is proved: which promise holds under
-// which fault, at which step of a request, and which test or run shows it.
+// Package matrix is the registry of which promise is verified under which fault, and at
+// which step of a request, by which tests and scenarios.
 //
-// docs/FAULTS.md is written from it, and a test holds the page against the
-// registry and the registry against the tree: each test and each scenario that a
-// cell names must be there. It runs nothing itself.
+// It exists so that the coverage of faults is stated in one place: docs/FAULTS.md is generated from
+// the registry. Tests check that the page matches the registry, and that each test and scenario
+// that a cell names exists in the source tree. The package is not a test runner.
 //
-// A cell is shown by tests, which scripts/test runs; by scenarios with real
-// processes, which scripts/faults runs; or it cannot happen, with the reason.
-// Everything else is not proved, and the page says so.
+// A cell is covered by tests, which scripts/test runs, or by scenarios with real
+// processes, which scripts/faults runs, or it states why the fault cannot occur there.
+// The page lists all other cells as not proved.
 //
 // # Usage
 //
@@ -20,57 +20,57 @@
 	"strings"
 )
 
-// Promise is one line of what must always hold.
+// Promise is a property that must always hold, or a step of a request: a row of cells.
 type Promise struct {
 	Name string
 	Text string
-	// Checked says that every scenario checks the promise for all its requests.
+	// Checked reports whether every scenario checks the promise for all its requests.
 	Checked bool
 }
 
-// Fault is one thing that fails.
+// Fault is one kind of failure, with the scenarios that cause it.
 type Fault struct {
 	Name      string
 	Text      string
 	Scenarios []string
 }
 
-// Cell is a promise under a fault, or a step of a request under a fault.
+// Cell is the coverage of a promise, or of a step of a request, under a fault.
 type Cell struct {
-	Row       string
-	Fault     string
-	Tests     []string // area/package.TestName
-	Scenarios []string
-	Never     string // why it cannot happen
+	Row        string
+	Fault      string
+	Tests      []string // area/package.TestName
+	Scenarios  []string
+	Impossible string // why the fault cannot occur here; empty if it can
 }
 
-// Scenarios returns the names of all scenarios that a cell or a fault names.
+// Scenarios returns the sorted names of all scenarios that a cell or a fault names, without duplicates.
 func Scenarios() (names []string) {
-	for _, f := range kinds {
+	for _, f := range faultKinds {
 		names = append(names, f.Scenarios...)
 	}
-	for _, c := range slices.Concat(cells, steps) {
+	for _, c := range slices.Concat(promiseCells, stepCells) {
 		names = append(names, c.Scenarios...)
 	}
-	for _, p := range pairs {
+	for _, p := range faultPairs {
 		names = append(names, p.Scenarios...)
 	}
 	slices.Sort(names)
 	return slices.Compact(names)
 }
 
-// Tests returns the names of all tests that a cell names.
+// Tests returns the sorted names of all tests that a cell names, without duplicates.
 func Tests() (names []string) {
-	for _, c := range slices.Concat(cells, steps) {
+	for _, c := range slices.Concat(promiseCells, stepCells) {
 		names = append(names, c.Tests...)
 	}
 	slices.Sort(names)
 	return slices.Compact(names)
 }
 
-// find returns the cell of a row under a fault, with the scenarios of the fault if
-// they check the row.
-func find(list []Cell, row string, f Fault, checked bool) Cell {
+// findCell returns the cell of a row under a fault, merged from all entries of the list for it. If checked is set, it
+// includes the scenarios of the fault.
+func findCell(list []Cell, row string, f Fault, checked bool) Cell {
 	found := Cell{Row: row, Fault: f.Name}
 	if checked {
 		found.Scenarios = slices.Clone(f.Scenarios)
@@ -80,7 +80,7 @@
 			continue
 		}
 		found.Tests = append(found.Tests, c.Tests...)
-		found.Never = c.Never
+		found.Impossible = c.Impossible
 		for _, s := range c.Scenarios {
 			if !slices.Contains(found.Scenarios, s) {
 				found.Scenarios = append(found.Scenarios, s)
@@ -90,15 +90,15 @@
 	return found
 }
 
-// Decided says whether the cell is shown or cannot happen.
+// Decided reports whether the cell is covered or its fault cannot occur.
 func (c Cell) Decided() bool {
-	return c.Never != "" || len(c.Tests) > 0 || len(c.Scenarios) > 0
+	return c.Impossible != "" || len(c.Tests) > 0 || len(c.Scenarios) > 0
 }
 
-// String returns the cell as the page has it.
+// String returns the text of the cell on the page.
 func (c Cell) String() string {
-	if c.Never != "" {
-		return "cannot happen: " + c.Never
+	if c.Impossible != "" {
+		return "cannot happen: " + c.Impossible
 	}
 	var parts []string
 	for _, t := range c.Tests {
@@ -113,16 +113,16 @@
 	return strings.Join(parts, ", ")
 }
 
-// Page returns docs/FAULTS.md.
+// Page returns the text of docs/FAULTS.md.
 func Page() string {
 	var b strings.Builder
-	b.WriteString(opening)
-	decided, all := 0, 0
+	b.WriteString(pageHeader)
+	decided, total := 0, 0
 	table := func(list []Cell, row string, checked bool) {
 		b.WriteString("\n| fault | shown by |\n|---|---|\n")
-		for _, f := range kinds {
-			c := find(list, row, f, checked)
-			all++
+		for _, f := range faultKinds {
+			c := findCell(list, row, f, checked)
+			total++
 			if c.Decided() {
 				decided++
 			}
@@ -132,21 +132,21 @@
 	b.WriteString("\n## Promises under single faults\n")
 	for _, p := range promises {
 		fmt.Fprintf(&b, "\n### %s\n", p.Text)
-		table(cells, p.Name, p.Checked)
+		table(promiseCells, p.Name, p.Checked)
 	}
-	fmt.Fprintf(&b, "\n%d of %d cells decided.\n", decided, all)
-	decided, all = 0, 0
+	fmt.Fprintf(&b, "\n%d of %d cells decided.\n", decided, total)
+	decided, total = 0, 0
 	b.WriteString("\n## Steps of a request under single faults\n")
 	b.WriteString("\nThe cells say that no request is run twice, lost without a word, or given another's answer when the fault comes at this step.\n")
-	for _, s := range stepNames {
+	for _, s := range requestSteps {
 		fmt.Fprintf(&b, "\n### %s\n", s.Text)
-		table(steps, s.Name, false)
+		table(stepCells, s.Name, false)
 	}
-	fmt.Fprintf(&b, "\n%d of %d cells decided.\n", decided, all)
+	fmt.Fprintf(&b, "\n%d of %d cells decided.\n", decided, total)
 	b.WriteString("\n## Pairs of faults\n\nAll promises that a scenario checks. Pairs that are not listed are not proved.\n\n| pair | shown by |\n|---|---|\n")
-	for _, p := range pairs {
+	for _, p := range faultPairs {
 		fmt.Fprintf(&b, "| %s | %s |\n", p.Row, p)
 	}
-	b.WriteString(closing)
+	b.WriteString(pageFooter)
 	return b.String()
 }
--- a/internal/stand/server/server.go
+++ b/internal/stand/server/server.go
@@ -1,18 +1,18 @@
-// Package server stands in for a backend server: HTTP/1.1, a few slots, a short
+// Package server is a stand-in for a backend server: HTTP/1.1, a few slots, a short
 // queue, shedding, drain, cold start, cancellation, deadlines, and reports of
-// health and load that lag or mislead.
+// health and load that can lag or be wrong.
 //
-// It logs each execution, so that a test can compare what ran with what callers
-// were told. It does no real work: a lookup waits for its service time and says
-// back what it was asked.
+// It records each execution, so that a test can compare what ran with the responses
+// that callers received. It does no real work: a lookup waits for its service time and
+// echoes its path and body.
 //
-// Paths: /feed/... streams numbered lines (query n, every), /upload/... reads the
-// body and answers its byte count and SHA-256, any other path is a lookup (query
-// time: its service time). Lookups and uploads take a slot, feeds do not.
+// /feed/... streams numbered lines (query parameters n and every). /upload/... reads the
+// body and responds with its byte count and SHA-256. Any other path is a lookup (query
+// parameter time: its service time). Lookups and uploads take a slot, feeds do not.
 //
 // # Usage
 //
-//	s := server.New(server.Settings{Slots: 4, Service: 5 * time.Millisecond})
+//	s := server.New(server.Settings{Slots: 4, ServiceTime: 5 * time.Millisecond})
 //	http.ListenAndServe("127.0.20.1:8080", s.Handler())
 package server
 
@@ -27,84 +27,84 @@
 	"github.com/rs/zerolog"
 )
 
-// Settings are the server's own.
+// Settings configures a Server.
 type Settings struct {
-	Slots   int           // lookups and uploads that run at a time
-	Queue   int           // lookups and uploads that wait for a slot
-	Service time.Duration // service time of a lookup that names none
-	Cold    time.Duration // time after the start in which work is slow
-	Lag     time.Duration // health and load are reported as they were this long ago
-	Lie     bool          // load is reported as none
-	Journal io.Writer     // gets a line of JSON at the start and the end of each execution, if not nil
-	Log     zerolog.Logger
+	Slots       int           // maximum number of lookups and uploads that run at a time
+	Queue       int           // maximum number of lookups and uploads that wait for a slot
+	ServiceTime time.Duration // service time of uploads, and of lookups without a service time in the query
+	WarmUp      time.Duration // time after the start during which service times are longer
+	Lag         time.Duration // age of the health and load that are reported
+	ReportIdle  bool          // report that no request runs or waits, whatever the load is
+	Journal     io.Writer     // receives a line of JSON at the start and the end of each execution; may be nil
+	Log         zerolog.Logger
 }
 
 const (
-	coldFactor  = 4.0     // service time right after a cold start, times the usual one
-	historyKept = 200_000 // executions; a checker must see none dropped
+	coldFactor = 4.0     // factor of the service time at a cold start; falls to 1 during the warm-up
+	maxHistory = 200_000 // executions; checks need the whole history, so none may be dropped
 )
 
-// Execution is one request that ran.
+// Execution is one request that the server ran.
 type Execution struct {
 	ID   string    `json:"id"`
 	Path string    `json:"path"`
-	Body string    `json:"body"` // of a lookup, its first KiB
+	Body string    `json:"body"` // the first KiB of a lookup's body
 	At   time.Time `json:"at"`
-	End  string    `json:"end"` // done, cancelled, deadline, broken; empty while it runs
+	End  string    `json:"end"` // done, failed, cancelled, deadline or broken; empty while the request runs
 }
 
-// Mode is how the server fails.
+// Mode is the way in which the server fails.
 type Mode string
 
 // The modes.
 const (
 	OK       Mode = "ok"
 	Slow     Mode = "slow"     // service times are multiplied
-	FailFast Mode = "failfast" // answers 500 at once
-	Die      Mode = "die"      // runs the request, then breaks the connection off
-	Freeze   Mode = "freeze"   // neither runs nor answers until the mode changes
+	FailFast Mode = "failfast" // responds with status 500 at once
+	Die      Mode = "die"      // runs the request, then closes the connection without a response
+	Freeze   Mode = "freeze"   // neither starts nor responds to requests until the mode changes
 )
 
-// Server is one backend server.
+// Server is a simulated backend server.
 type Server struct {
 	settings Settings
 	started  time.Time
 	slots    chan struct{}
 
-	mutex    sync.Mutex
-	waiting  int
-	draining bool
-	mode     Mode
-	factor   float64
-	thawed   chan struct{} // closed when the mode changes
-	history  []*Execution
-	dropped  int
-	samples  []sample
-	counts   Counts
+	mutex       sync.Mutex
+	waiting     int
+	draining    bool
+	mode        Mode
+	slowFactor  float64
+	modeChanged chan struct{} // closed and replaced when the mode is set
+	history     []*Execution
+	dropped     int
+	samples     []sample
+	counts      Counts
 }
 
-// Counts counts requests by end.
+// Counts holds the numbers of requests by outcome.
 type Counts struct {
 	Ran       int `json:"ran"`
 	Shed      int `json:"shed"`
 	Cancelled int `json:"cancelled"`
 	Deadline  int `json:"deadline"`
-	Feeds     int `json:"feeds"` // open now
+	Feeds     int `json:"feeds"` // currently open
 }
 
-// New returns a server that starts cold now.
+// New returns a server whose warm-up starts now.
 func New(s Settings) *Server {
 	return &Server{
-		settings: s,
-		started:  time.Now(),
-		slots:    make(chan struct{}, max(1, s.Slots)),
-		mode:     OK,
-		factor:   1,
-		thawed:   make(chan struct{}),
+		settings:    s,
+		started:     time.Now(),
+		slots:       make(chan struct{}, max(1, s.Slots)),
+		mode:        OK,
+		slowFactor:  1,
+		modeChanged: make(chan struct{}),
 	}
 }
 
-// Handler returns the server's whole HTTP side.
+// Handler returns the handler for requests, reports and faults.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /health", s.serveHealth)
@@ -119,7 +119,7 @@
 	return mux
 }
 
-// Drain refuses new work from now on; what runs, runs on.
+// Drain makes the server refuse new requests. Requests that already run or wait continue.
 func (s *Server) Drain() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -127,23 +127,23 @@
 	s.settings.Log.Info().Msg("draining")
 }
 
-// SetMode sets how the server fails. The factor counts for Slow only.
+// SetMode sets the failure mode. The factor applies to Slow only.
 func (s *Server) SetMode(mode Mode, factor float64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.mode, s.factor = mode, max(1, factor)
-	close(s.thawed)
-	s.thawed = make(chan struct{})
+	s.mode, s.slowFactor = mode, max(1, factor)
+	close(s.modeChanged)
+	s.modeChanged = make(chan struct{})
 	s.settings.Log.Info().Str("mode", string(mode)).Msg("fault set")
 }
 
-// refusal says why a request did not run.
+// refusal is the reason why a request did not run; empty if it was not refused.
 type refusal string
 
-// take waits for a slot. The request did not run if it returns a refusal.
-func (s *Server) take(ctx context.Context) (release func(), why refusal) {
-	if why := s.thaw(ctx); why != "" {
-		return nil, why
+// acquireSlot waits for a slot. If it returns a refusal, the request must not run.
+func (s *Server) acquireSlot(ctx context.Context) (release func(), refused refusal) {
+	if refused := s.awaitThaw(ctx); refused != "" {
+		return nil, refused
 	}
 	s.mutex.Lock()
 	if s.draining {
@@ -153,7 +153,7 @@
 	select {
 	case s.slots <- struct{}{}:
 		s.mutex.Unlock()
-		return s.release, ""
+		return s.releaseSlot, ""
 	default:
 	}
 	if s.waiting >= s.settings.Queue {
@@ -169,39 +169,39 @@
 	}()
 	select {
 	case s.slots <- struct{}{}:
-		return s.release, ""
+		return s.releaseSlot, ""
 	case <-ctx.Done():
 		return nil, "deadline"
 	}
 }
 
-func (s *Server) release() { <-s.slots }
+func (s *Server) releaseSlot() { <-s.slots }
 
-// thaw waits while the server is frozen.
-func (s *Server) thaw(ctx context.Context) refusal {
+// awaitThaw waits while the mode is Freeze. It returns a refusal if the context ends first.
+func (s *Server) awaitThaw(ctx context.Context) refusal {
 	for {
 		s.mutex.Lock()
-		mode, thawed := s.mode, s.thawed
+		mode, changed := s.mode, s.modeChanged
 		s.mutex.Unlock()
 		if mode != Freeze {
 			return ""
 		}
 		select {
-		case <-thawed:
+		case <-changed:
 		case <-ctx.Done():
 			return "deadline"
 		}
 	}
 }
 
-// begin logs an execution.
-func (s *Server) begin(r *http.Request, body string) *Execution {
+// beginExecution records the start of an execution.
+func (s *Server) beginExecution(r *http.Request, body string) *Execution {
 	e := &Execution{ID: r.Header.Get("Request-Id"), Path: r.URL.RequestURI(), Body: body, At: time.Now()}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.counts.Ran++
 	s.journal(e)
-	if len(s.history) >= historyKept {
+	if len(s.history) >= maxHistory {
 		s.dropped++
 		return e
 	}
@@ -209,7 +209,7 @@
 	return e
 }
 
-// journal writes an execution down, where a kill of the process does not lose it.
+// journal writes an execution to the journal, so that it is not lost if the process is killed.
 // The mutex is held.
 func (s *Server) journal(e *Execution) {
 	if s.settings.Journal == nil {
@@ -220,16 +220,16 @@
 		_, err = s.settings.Journal.Write(append(line, '\n'))
 	}
 	if err != nil {
-		s.settings.Log.Error().Err(err).Msg("journal not written")
+		s.settings.Log.Error().Err(err).Msg("cannot write to the journal")
 	}
 }
 
-func (s *Server) end(e *Execution, how string) {
+func (s *Server) endExecution(e *Execution, outcome string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	e.End = how
+	e.End = outcome
 	s.journal(e)
-	switch how {
+	switch outcome {
 	case "cancelled":
 		s.counts.Cancelled++
 	case "deadline":
@@ -237,16 +237,16 @@
 	}
 }
 
-// serviceTime returns how long work that usually takes d takes now.
+// serviceTime returns the current duration of work that takes d on a warm, healthy server.
 func (s *Server) serviceTime(d time.Duration) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	factor := 1.0
-	if age := time.Since(s.started); age < s.settings.Cold {
-		factor = coldFactor - (coldFactor-1)*float64(age)/float64(s.settings.Cold)
+	if age := time.Since(s.started); age < s.settings.WarmUp {
+		factor = coldFactor - (coldFactor-1)*float64(age)/float64(s.settings.WarmUp)
 	}
 	if s.mode == Slow {
-		factor *= s.factor
+		factor *= s.slowFactor
 	}
 	return time.Duration(float64(d) * factor)
 }
