--- a/cmd/exper/aims.go
+++ b/cmd/exper/aims.go
@@ -57,7 +57,7 @@
 }
 
 func measure(s cases.Service, seed uint64, t policy.Tuning) (f figures) {
-	own := func(c cases.Case) meter.Report { return cases.Run(c, s, policy.Own, t, seed) }
+	own := func(c cases.Case) meter.Report { return cases.Run(c, s, policy.Mangowinch, t, seed) }
 	once := own(cases.Saturation(1, aimsFor))
 	for i, c := range []cases.Case{cases.Saturation(1.2, aimsFor), cases.Saturation(2, aimsFor), cases.Saturation(5, aimsFor), cases.Burst()} {
 		r := own(c)
@@ -68,7 +68,7 @@
 		if i > 0 {
 			f.recoveries += ", "
 		}
-		f.recoveries += fmt.Sprintf("%.1f ms", float64(r.Recovered)/float64(time.Millisecond))
+		f.recoveries += fmt.Sprintf("%.1f ms", float64(r.RecoveryTime)/float64(time.Millisecond))
 	}
 	alone, beside := own(cases.Alone()), own(cases.Heavy())
 	f.modest = 1
@@ -83,11 +83,11 @@
 
 // compareServers compares the imbalance between servers with the baselines of placement.
 func (f *figures) compareServers(s cases.Service, seed uint64, t policy.Tuning) {
-	own := cases.Run(cases.Steady(), s, policy.Own, t, seed)
-	f.balance = [2]float64{own.Imbalance1, own.Imbalance}
-	for _, n := range []policy.Name{policy.RoundTurn, policy.Random, policy.Least, policy.Reported, policy.ByFlow} {
+	own := cases.Run(cases.Steady(), s, policy.Mangowinch, t, seed)
+	f.balance = [2]float64{own.Imbalance1, own.Imbalance10}
+	for _, n := range []policy.Name{policy.RoundRobin, policy.Random, policy.LeastConnections, policy.LeastReported, policy.ByFlow} {
 		r := cases.Run(cases.Steady(), s, n, t, seed)
-		for i, v := range []float64{r.Imbalance1, r.Imbalance} {
+		for i, v := range []float64{r.Imbalance1, r.Imbalance10} {
 			if f.bestName[i] == "" || v < f.best[i] {
 				f.best[i], f.bestName[i] = v, string(n)
 			}
--- a/internal/exper/cases/cases.go
+++ b/internal/exper/cases/cases.go
@@ -7,17 +7,17 @@
 	"mangowinch/internal/exper/fakes"
 )
 
-// connections is how many callers' connections each server's agent holds.
-const connections = 2000
+// connectionsPerServer is the number of caller connections that each server's agent holds.
+const connectionsPerServer = 2000
 
 // Service is the size of a service.
 type Service struct {
-	Name                    string
-	Servers, Slots, Domains int
-	Near, Far               time.Duration // one way within a failure domain, between two
+	Name                               string
+	Servers, Slots, Domains            int
+	IntraDomainDelay, InterDomainDelay time.Duration // one-way network delays
 }
 
-// Today's services.
+// The services of the experiments.
 var (
 	TracingCore = Service{"tracing-core", 7, 4, 3, 100 * time.Microsecond, 500 * time.Microsecond}
 	DocIntake   = Service{"doc-intake", 3, 4, 3, 100 * time.Microsecond, 500 * time.Microsecond}
@@ -25,73 +25,73 @@
 	PiecesDepot = Service{"pieces-depot", 4, 5, 4, 100 * time.Microsecond, time.Millisecond}
 )
 
-// Services lists them all.
+// Services lists all services.
 var Services = []Service{TracingCore, DocIntake, DossierDesk, PiecesDepot}
 
-// Shape is one caller of a case.
-type Shape struct {
-	Name   string
-	Weight int
-	Level  float64      // slot time asked for, as a share of all slots, at level 1 of the case
-	Hot    int          // connections that send nine tenths of its requests
-	Steady bool         // not multiplied by the case's level
-	Mix    []fakes.Work // in place of the case's
+// CallerLoad is the load of one caller of a case.
+type CallerLoad struct {
+	Name           string
+	Weight         int
+	Load           float64          // offered slot time as a share of all slots, at load factor 1
+	HotConnections int              // connections that send 90% of its requests
+	Constant       bool             // not multiplied by the case's load factor
+	Mix            []fakes.Workload // replaces the case's mix
 }
 
-// Case is one load.
+// Case is one load pattern, with the faults that happen during it.
 type Case struct {
-	Name     string
-	Story    string
-	Callers  []Shape
-	Mix      []fakes.Work
-	Level    func(time.Duration) float64
-	Length   time.Duration
-	From, To time.Duration // arrivals in this time are measured
-	End      time.Duration // of the load that recovery is counted from
-	Tries    int           // that a caller makes of a request, 1 for none after the first
-	Faults   func(*run)
+	Name         string
+	Description  string
+	Callers      []CallerLoad
+	Mix          []fakes.Workload
+	LoadFactor   func(time.Duration) float64
+	Length       time.Duration
+	From, To     time.Duration // requests that arrive in this interval are measured
+	LoadEnd      time.Duration // start of the recovery time
+	Tries        int           // tries of each request by its caller, including the first
+	InjectFaults func(*run)
 }
 
-// Work of the services. The brief gives slots and connections, not service times;
-// these are assumptions.
+// The request classes. The project's requirements give slots and connections but no service times, so the
+// service times here are assumptions.
 var (
-	lookup = fakes.Work{Class: "lookup", Kind: docs.Lookup, Mean: 20 * time.Millisecond, Spread: 1, Most: 400 * time.Millisecond, Deadline: 500 * time.Millisecond, Queue: 32, Share: 1}
-	feed   = fakes.Work{Class: "feed", Kind: docs.Feed, Mean: 10 * time.Millisecond, Spread: 1, Most: time.Second, Deadline: time.Second, Queue: 32}
-	upload = fakes.Work{Class: "upload", Kind: docs.Upload, Mean: 2 * time.Second, Spread: 1, Most: 10 * time.Second, Deadline: 30 * time.Second, Queue: 8}
+	lookup = fakes.Workload{Class: "lookup", Kind: docs.Lookup, Mean: 20 * time.Millisecond, Variation: 1, Max: 400 * time.Millisecond, Deadline: 500 * time.Millisecond, Queue: 32, Share: 1}
+	feed   = fakes.Workload{Class: "feed", Kind: docs.Feed, Mean: 10 * time.Millisecond, Variation: 1, Max: time.Second, Deadline: time.Second, Queue: 32}
+	upload = fakes.Workload{Class: "upload", Kind: docs.Upload, Mean: 2 * time.Second, Variation: 1, Max: 10 * time.Second, Deadline: 30 * time.Second, Queue: 8}
 )
 
-// mix shares the offered slot time among the kinds of work.
-func mix(lookups, feeds, uploads float64) []fakes.Work {
+// mix divides the offered slot time among the classes by the given shares.
+func mix(lookups, feeds, uploads float64) []fakes.Workload {
 	l, f, u := lookup, feed, upload
 	l.Share, f.Share, u.Share = lookups, feeds, uploads
-	return []fakes.Work{l, f, u}
+	return []fakes.Workload{l, f, u}
 }
 
-// alike are three callers that ask for the same, together for the given level.
-func alike(level float64) []Shape {
-	return []Shape{
-		{Name: "fund-a", Weight: 1, Level: level / 3},
-		{Name: "fund-b", Weight: 1, Level: level / 3},
-		{Name: "fund-c", Weight: 1, Level: level / 3},
+// equalCallers returns three callers with equal loads that add up to the given load.
+func equalCallers(load float64) []CallerLoad {
+	return []CallerLoad{
+		{Name: "fund-a", Weight: 1, Load: load / 3},
+		{Name: "fund-b", Weight: 1, Load: load / 3},
+		{Name: "fund-c", Weight: 1, Load: load / 3},
 	}
 }
 
-func steady(time.Duration) float64 { return 1 }
+func constantLoad(time.Duration) float64 { return 1 }
 
-// between multiplies the level from one time to another.
-func between(from, to time.Duration, times float64) func(time.Duration) float64 {
+// factorBetween returns a load factor that has the given value in the interval [from, to) and is 1 otherwise.
+func factorBetween(from, to time.Duration, factor float64) func(time.Duration) float64 {
 	return func(t time.Duration) float64 {
 		if t >= from && t < to {
-			return times
+			return factor
 		}
 		return 1
 	}
 }
 
-// minute is a case of steady lookups: 10 s to warm up, a minute measured.
-func minute(name, story string, callers []Shape) Case {
+// newCase returns a case of constant lookups with 10 s of warm-up and one measured minute.
+func newCase(name, description string, callers []CallerLoad) Case {
 	return Case{
-		Name: name, Story: story, Callers: callers, Mix: mix(1, 0, 0), Level: steady,
-		Length: 80 * time.Second, From: 10 * time.Second, To: 70 * time.Second, End: 80 * time.Second, Tries: 1,
+		Name: name, Description: description, Callers: callers, Mix: mix(1, 0, 0), LoadFactor: constantLoad,
+		Length: 80 * time.Second, From: 10 * time.Second, To: 70 * time.Second, LoadEnd: 80 * time.Second, Tries: 1,
 	}
 }
--- a/internal/exper/cases/cases_test.go
+++ b/internal/exper/cases/cases_test.go
@@ -13,158 +13,160 @@
 	"mangowinch/internal/exper/table"
 )
 
-// Aims of the decisions under load.
+// Targets of the decisions under load.
 const (
-	refusalAim = 5 * time.Millisecond
-	oneService = 20 * time.Millisecond // a service time of the cases' lookups
+	maxRefusalTime = 5 * time.Millisecond
+	serviceTime    = 20 * time.Millisecond // mean service time of lookups
 )
 
-func run1(c Case, n policy.Name) meter.Report {
-	return Run(brief(c), TracingCore, n, policy.Tuned, 1)
+func runBrief(c Case, n policy.Name) meter.Report {
+	return Run(shorten(c), TracingCore, n, policy.DefaultTuning, 1)
 }
 
-// small runs at the size of the smallest service, for the loads with most requests.
-func small(c Case, n policy.Name) meter.Report {
-	return Run(brief(c), DocIntake, n, policy.Tuned, 1)
+// runSmall runs a case at the size of the smallest service, to save time on cases with many requests.
+func runSmall(c Case, n policy.Name) meter.Report {
+	return Run(shorten(c), DocIntake, n, policy.DefaultTuning, 1)
 }
 
-// brief measures 15 s in place of a minute where nothing happens later.
-func brief(c Case) Case {
+// shorten reduces the measured time from a minute to 15 s in cases without later events.
+func shorten(c Case) Case {
 	if c.To == 70*time.Second {
-		c.To, c.End, c.Length = 25*time.Second, 27*time.Second, 27*time.Second
+		c.To, c.LoadEnd, c.Length = 25*time.Second, 27*time.Second, 27*time.Second
 	}
 	return c
 }
 
 func share(n int, r meter.Report) float64 { return float64(n) / float64(r.Offered) }
 
-// A fund's nightly batch sends five times what the servers can do for a second. What can't be
-// answered in time is refused at once; the moment it is over, everybody is served again.
+// Guards against late answers and slow recovery after a burst: for one second a batch job offers five
+// times capacity. Requests that cannot be answered in time have to be refused at once, and service has
+// to be normal again as soon as the burst ends.
 func TestBurst(t *testing.T) {
-	r := run1(Burst(), policy.Own)
+	r := runBrief(Burst(), policy.Mangowinch)
 	assert.Equal(t, r.Late, 0)
-	assert.Assert(t, r.Goodput > 0.8 && r.RefusalP99 < refusalAim && r.Recovered <= oneService, r)
+	assert.Assert(t, r.Goodput > 0.8 && r.RefusalP99 < maxRefusalTime && r.RecoveryTime <= serviceTime, r)
 }
 
-// One fund asks for four times capacity. Its rivals' lookups were refused as often
-// as its own with a common queue; now they fare as if it weren't there.
+// Guards against one caller that offers four times capacity and takes the slots of the others. With a
+// common queue, the other callers' lookups are refused as often as the heavy caller's.
 func TestHeavyCallerDelaysOnlyItself(t *testing.T) {
-	alone, beside, common := small(Alone(), policy.Own), small(Heavy(), policy.Own), small(Heavy(), policy.Fifo)
-	for i, c := range beside.Callers[1:] {
+	alone, withHeavy, fcfs := runSmall(Alone(), policy.Mangowinch), runSmall(Heavy(), policy.Mangowinch), runSmall(Heavy(), policy.FCFS)
+	for i, c := range withHeavy.Callers[1:] {
 		assert.Assert(t, c.InTime >= 0.95*alone.Callers[i].InTime, c)
 		assert.Assert(t, c.P99 <= alone.Callers[i].P99*3/2, "%v alone %v", c, alone.Callers[i])
-		assert.Assert(t, common.Callers[i+1].InTime < 0.5, common.Callers[i+1])
+		assert.Assert(t, fcfs.Callers[i+1].InTime < 0.5, fcfs.Callers[i+1])
 	}
 }
 
-// Three connections send most of the load and reach three agents. Their neighbours take over.
+// Guards against hot connections: three connections send most of the load and overload the servers of
+// their agents unless requests are handed over to the other servers.
 func TestHotConnectionsAreSpread(t *testing.T) {
-	r, stay := run1(Hot(), policy.Own), run1(Hot(), policy.ByFlow)
-	assert.Assert(t, r.Imbalance <= 1.1 && share(r.InTime, r) > 0.999, r)
-	assert.Assert(t, stay.Imbalance > 1.2, stay)
+	r, byFlow := runBrief(Hot(), policy.Mangowinch), runBrief(Hot(), policy.ByFlow)
+	assert.Assert(t, r.Imbalance10 <= 1.1 && share(r.InTime, r) > 0.999, r)
+	assert.Assert(t, byFlow.Imbalance10 > 1.2, byFlow)
 }
 
-// At 70% load no server works a tenth more than the mean over 10 s, and no baseline of
-// placement does better.
+// Guards against uneven placement: at 70% of capacity no server uses over 10% more slot time than the
+// mean in windows of 10 s, and no placement baseline is better.
 func TestServersAreBalanced(t *testing.T) {
-	own := Run(Steady(), TracingCore, policy.Own, policy.Tuned, 1).Imbalance
+	own := Run(Steady(), TracingCore, policy.Mangowinch, policy.DefaultTuning, 1).Imbalance10
 	assert.Assert(t, own <= 1.1, own)
-	for _, n := range []policy.Name{policy.RoundTurn, policy.Random, policy.Least, policy.Reported, policy.ByFlow} {
-		other := Run(Steady(), TracingCore, n, policy.Tuned, 1).Imbalance
+	for _, n := range []policy.Name{policy.RoundRobin, policy.Random, policy.LeastConnections, policy.LeastReported, policy.ByFlow} {
+		other := Run(Steady(), TracingCore, n, policy.DefaultTuning, 1).Imbalance10
 		assert.Assert(t, other > own, "%s %v, own %v", n, other, own)
 	}
 }
 
-// A server turns five times slower without failing. Callers whose connections are at its agent
-// would wait five times as long; their lookups run elsewhere while others have idle slots.
+// Guards against a server that becomes five times slower without failing: callers with connections at its
+// agent would wait five times as long unless their lookups run on servers with idle slots.
 func TestSlowServer(t *testing.T) {
-	r, stay := run1(Slow(), policy.Own), run1(Slow(), policy.ByFlow)
+	r, byFlow := runBrief(Slow(), policy.Mangowinch), runBrief(Slow(), policy.ByFlow)
 	assert.Assert(t, share(r.InTime, r) > 0.999 && r.P99 < 150*time.Millisecond, r)
-	assert.Assert(t, stay.P99 > 2*r.P99, stay)
+	assert.Assert(t, byFlow.P99 > 2*r.P99, byFlow)
 }
 
-// A server fails each request within a millisecond. It always has idle slots, so it draws a quarter
-// of all requests by least connections; here it is ejected.
-func TestFailFastServerIsNoSink(t *testing.T) {
-	r, least := run1(FailFast(), policy.Own), run1(FailFast(), policy.Least)
+// Guards against a server that fails each request within a millisecond. It always has idle slots, so that
+// least connections sends it a quarter of all requests; it has to be ejected.
+func TestFailFastServerIsEjected(t *testing.T) {
+	r, leastConnections := runBrief(FailFast(), policy.Mangowinch), runBrief(FailFast(), policy.LeastConnections)
 	assert.Assert(t, share(r.Failed, r) < 0.01, r)
-	assert.Assert(t, share(least.Failed, least) > 0.2, least)
+	assert.Assert(t, share(leastConnections.Failed, leastConnections) > 0.2, leastConnections)
 }
 
-// A server reports for ever that it is idle and quick. Whoever believes it sends it
-// everything; here its own answers and refusals count for more.
+// Guards against a server that always reports that it is idle and fast. A policy that relies on reports
+// alone sends it most requests; its answers and refusals have to outweigh its reports.
 func TestLyingReport(t *testing.T) {
-	r, believed := run1(Lying(), policy.Own), run1(Lying(), policy.Reported)
+	r, leastReported := runBrief(Lying(), policy.Mangowinch), runBrief(Lying(), policy.LeastReported)
 	assert.Assert(t, share(r.InTime, r) > 0.995, r)
-	assert.Assert(t, share(believed.InTime, believed) < 0.8, believed)
+	assert.Assert(t, share(leastReported.InTime, leastReported) < 0.8, leastReported)
 }
 
-// Heirs upload scans for seconds each, more than the servers can take. Lookups of some
-// milliseconds and feeds behind them would wait past their deadlines; half of the slots stay theirs.
+// Guards against uploads of several seconds that occupy all slots: lookups and feeds of some milliseconds
+// would wait past their deadlines. Half of the slots are reserved for short requests.
 func TestLongWorkAmongShort(t *testing.T) {
-	r := Run(Long(), TracingCore, policy.Own, policy.Tuned, 1)
-	common := Run(Long(), TracingCore, policy.Fifo, policy.Tuned, 1)
+	r := Run(Long(), TracingCore, policy.Mangowinch, policy.DefaultTuning, 1)
+	fcfs := Run(Long(), TracingCore, policy.FCFS, policy.DefaultTuning, 1)
 	uploads, lookups, feeds := r.Callers[0], r.Callers[1], r.Callers[2]
 	assert.Assert(t, lookups.InTime > 0.999 && lookups.P99 < 200*time.Millisecond, lookups)
 	assert.Assert(t, feeds.InTime > 0.999, feeds)
-	assert.Assert(t, uploads.OfDue > 0.6, uploads)
-	assert.Assert(t, common.Callers[1].InTime < 0.5, common.Callers[1])
+	assert.Assert(t, uploads.OfFairShare > 0.6, uploads)
+	assert.Assert(t, fcfs.Callers[1].InTime < 0.5, fcfs.Callers[1])
 }
 
-// Callers ask for five times capacity for half a minute. Without a limit nearly all answers
-// come too late; here goodput is that at capacity, and ends with the load.
+// Guards against congestion collapse: callers offer five times capacity for 10 s. Without a limit nearly
+// all answers are late. Goodput has to stay as at capacity, and service has to recover when the load ends.
 func TestSaturationDoesNotCollapse(t *testing.T) {
-	once, five := small(Saturation(1, 10*time.Second), policy.Own), small(Saturation(5, 10*time.Second), policy.Own)
+	once, five := runSmall(Saturation(1, 10*time.Second), policy.Mangowinch), runSmall(Saturation(5, 10*time.Second), policy.Mangowinch)
 	assert.Assert(t, five.Goodput >= 0.97*once.Goodput, "%v of %v", five.Goodput, once.Goodput)
-	assert.Assert(t, five.RefusalP99 < refusalAim && five.Recovered <= oneService && five.Late == 0, five)
-	assert.Assert(t, small(Saturation(5, 10*time.Second), policy.Unlimited).Goodput < 0.1)
+	assert.Assert(t, five.RefusalP99 < maxRefusalTime && five.RecoveryTime <= serviceTime && five.Late == 0, five)
+	assert.Assert(t, runSmall(Saturation(5, 10*time.Second), policy.Unlimited).Goodput < 0.1)
 }
 
-// Lookups have little more time than their service, and queues are longer than that time.
-// First come first served then works mostly on answers that come too late.
+// Guards against work on requests that are answered late: deadlines are short and the queues allow longer
+// waits. A first-come-first-served queue then serves mostly requests that miss their deadlines.
 func TestTightDeadlines(t *testing.T) {
-	r, common := small(Tight(), policy.Own), small(Tight(), policy.Fifo)
-	assert.Assert(t, r.Goodput > 0.95 && r.RefusalP99 < refusalAim, r)
-	assert.Assert(t, common.Goodput < 0.6, common)
+	r, fcfs := runSmall(Tight(), policy.Mangowinch), runSmall(Tight(), policy.FCFS)
+	assert.Assert(t, r.Goodput > 0.95 && r.RefusalP99 < maxRefusalTime, r)
+	assert.Assert(t, fcfs.Goodput < 0.6, fcfs)
 }
 
-// A server joins with empty caches, four times slower at first. With a full share at once its callers
-// would wait past their deadlines.
+// Guards against a full share for a server that joins with empty caches and is four times slower at first:
+// its requests would miss their deadlines.
 func TestColdJoin(t *testing.T) {
-	r, turns := run1(Cold(), policy.Own), run1(Cold(), policy.RoundTurn)
+	r, roundRobin := runBrief(Cold(), policy.Mangowinch), runBrief(Cold(), policy.RoundRobin)
 	assert.Assert(t, r.Late == 0 && r.P99 < 120*time.Millisecond, r)
-	assert.Assert(t, turns.P99 > 2*r.P99, turns)
+	assert.Assert(t, roundRobin.P99 > 2*r.P99, roundRobin)
 }
 
-// One of three servers crashes. The others carry its load; nobody waits for it.
+// Guards against requests that wait for a crashed server: the other two of three servers take its load.
 func TestPartialOutage(t *testing.T) {
-	r := small(Partial(), policy.Own)
-	assert.Assert(t, share(r.InTime, r) > 0.99 && r.RefusalP99 < refusalAim, r)
+	r := runSmall(Partial(), policy.Mangowinch)
+	assert.Assert(t, share(r.InTime, r) > 0.99 && r.RefusalP99 < maxRefusalTime, r)
 }
 
-// All servers are gone for ten seconds, and callers try again. When all come back each second, most
-// have used up their tries before there is room; told when to come back, hardly one goes without.
+// Guards against a retry storm: all servers are unreachable for ten seconds, and callers retry. Callers
+// that retry every second mostly use up their tries before there are free slots; with retry times in the
+// refusals nearly all are served.
 func TestRetryStorm(t *testing.T) {
-	r, least := small(Storm(), policy.Own), small(Storm(), policy.Least)
-	assert.Assert(t, r.GivenUp < least.GivenUp/100 && share(r.Late, r) < 0.001, "%v, least connections %v", r, least)
-	assert.Assert(t, r.Goodput > least.Goodput)
+	r, leastConnections := runSmall(Storm(), policy.Mangowinch), runSmall(Storm(), policy.LeastConnections)
+	assert.Assert(t, r.GivenUp < leastConnections.GivenUp/100 && share(r.Late, r) < 0.001, "%v, least connections %v", r, leastConnections)
+	assert.Assert(t, r.Goodput > leastConnections.Goodput)
 }
 
-// A server leaves while uploads run on it. None is cut, nothing is lost or refused for it.
+// Guards against a drain that interrupts running uploads, or that makes requests fail or be refused.
 func TestDrainUnderLoad(t *testing.T) {
-	r := run1(Drain(), policy.Own)
+	r := runBrief(Drain(), policy.Mangowinch)
 	assert.Equal(t, r.Broken+r.Failed+r.Late, 0)
 	assert.Assert(t, share(r.Refused, r) < 0.001, r)
 }
 
-// The same seed gives the same tables to the last digit, so a change of a decision
-// shows as a change of a figure.
+// Guards against unintended changes of decisions: runs with the same seed give exactly the same figures.
 func TestGolden(t *testing.T) {
 	var rows []table.Row
 	for _, c := range []Case{
 		Steady(), Mixed(), Hot(), Burst(), Slow(), FailFast(), Lying(), Long(), Saturation(2, 5*time.Second), Tight(), Cold(), Drain(),
 	} {
-		rows = append(rows, table.Row{Name: c.Name, Report: small(c, policy.Own)})
+		rows = append(rows, table.Row{Name: c.Name, Report: runSmall(c, policy.Mangowinch)})
 	}
 	var b bytes.Buffer
 	table.Write(&b, rows)
--- a/internal/exper/chart/chart.go
+++ b/internal/exper/chart/chart.go
@@ -1,4 +1,5 @@
-// Package chart draws figures of experiments as SVG.
+// Package chart draws the figures of experiments as line charts in SVG files. It computes nothing from the
+// points.
 //
 // # Usage
 //
@@ -21,7 +22,7 @@
 	Points []Point
 }
 
-// Point is one measurement.
+// Point is one point of a curve.
 type Point struct{ X, Y float64 }
 
 // Chart is a figure with one or more curves.
@@ -36,7 +37,7 @@
 	height = 10 * vg.Centimeter
 )
 
-// Write draws a chart into a file whose name ends in .svg.
+// Write draws a chart to a file. The file's name has to end in .svg.
 func Write(path string, c Chart) (err error) {
 	defer func() { err = errors.Wrapf(err, "draw %s", path) }()
 	p := plot.New()
--- a/internal/exper/fakes/caller.go
+++ b/internal/exper/fakes/caller.go
@@ -1,13 +1,13 @@
-// Package fakes has the servers and callers of one service for experiments with
-// the decisions under load.
+// Package fakes provides simulated servers and callers of one service, for experiments with the decisions
+// under load.
 //
-// They know of arrivals, service times and faults of servers, and of nothing else:
-// no packets, no processes, no control. It is not a simulator of a cluster.
+// The model covers arrivals, service times and server faults only. It is not a simulator of a cluster:
+// there are no packets, no processes and no control plane.
 //
 // # Usage
 //
 //	server := fakes.NewServer(events, 1, 0, 4)
-//	caller := fakes.NewCaller(events, spec, random, submit)
+//	caller := fakes.NewCaller(events, spec, random, loadFactor, submit)
 //	caller.Start()
 package fakes
 
@@ -22,129 +22,131 @@
 
 // Job is one try of one request.
 type Job struct {
-	ID         uint64
-	Class      string
-	Kind       docs.Kind
-	Caller     string
-	Home       int           // server whose agent holds the caller's connection
-	Service    time.Duration // on a healthy server
-	Arrived    time.Time
-	Deadline   time.Time
-	NoDeadline bool // the server is told of no deadline
-	Try        int  // of the caller, from 1
-	Runs       *int // executions begun, over all tries
-	Settled    bool // answered, or given up on by the caller
+	ID          uint64
+	Class       string
+	Kind        docs.Kind
+	Caller      string
+	ConnServer  int           // index of the server whose agent holds the caller's connection
+	ServiceTime time.Duration // on a healthy, warm server
+	Arrived     time.Time
+	Deadline    time.Time
+	NoDeadline  bool // the server does not know the deadline
+	Try         int  // number of the caller's try, from 1
+	Executions  *int // executions started, over all tries
+	Finished    bool // answered, or timed out by the caller
 }
 
-// Work is one class of requests.
-type Work struct {
-	Class    string
-	Kind     docs.Kind
-	Mean     time.Duration // service time, log-normal
-	Spread   float64       // coefficient of variation
-	Most     time.Duration // longest service time
-	Deadline time.Duration
-	Queue    int
-	Share    float64 // of the offered slot time
+// Workload is the load of one request class.
+type Workload struct {
+	Class     string
+	Kind      docs.Kind
+	Mean      time.Duration // of the service time, which is log-normal
+	Variation float64       // coefficient of variation of the service time
+	Max       time.Duration // longest service time
+	Deadline  time.Duration
+	Queue     int
+	Share     float64 // share of the offered slot time
 }
 
 // Spec is one caller's load.
 type Spec struct {
-	Name   string
-	Weight int
-	Homes  []int   // home of each of its connections
-	Hot    int     // so many of its connections send nine tenths of its requests; 0 for all alike
-	Rate   float64 // slot time asked for in each second, at level 1
-	Work   []Work
+	Name           string
+	Weight         int
+	ConnServers    []int   // for each connection, the index of the server whose agent holds it
+	HotConnections int     // number of connections that send 90% of its requests; 0: all send equally
+	Rate           float64 // offered slot time in seconds per second, at load factor 1
+	Workloads      []Workload
 }
 
-// Caller sends requests at random times, without waiting for answers.
+// Caller sends requests at random times and does not wait for answers (an open loop).
 type Caller struct {
-	spec   Spec
-	loop   *loop.Loop
-	random *rand.Rand
-	level  func() float64
-	submit func(*Job)
+	spec       Spec
+	loop       *loop.Loop
+	random     *rand.Rand
+	loadFactor func() float64
+	submit     func(*Job)
 }
 
-// idlePoll is how often a caller at level 0 looks again.
+// idlePoll is the interval at which a caller evaluates its load factor while it sends nothing.
 const idlePoll = 10 * time.Millisecond
 
-// NewCaller returns a caller. level multiplies its rate, submit takes its requests.
-func NewCaller(l *loop.Loop, s Spec, random *rand.Rand, level func() float64, submit func(*Job)) *Caller {
-	return &Caller{spec: s, loop: l, random: random, level: level, submit: submit}
+// NewCaller returns a caller. Its rate is multiplied by loadFactor; it passes its requests to submit.
+func NewCaller(l *loop.Loop, s Spec, random *rand.Rand, loadFactor func() float64, submit func(*Job)) *Caller {
+	return &Caller{spec: s, loop: l, random: random, loadFactor: loadFactor, submit: submit}
 }
 
-// Start begins each class's arrivals.
+// Start schedules the first request of each class.
 func (c *Caller) Start() {
-	for _, w := range c.spec.Work {
+	for _, w := range c.spec.Workloads {
 		if w.Share > 0 {
-			c.next(w)
+			c.scheduleNext(w)
 		}
 	}
 }
 
-func (c *Caller) next(w Work) {
-	rate := c.spec.Rate * c.level() * w.Share / w.Mean.Seconds()
+// scheduleNext schedules the next request of a class, and so all that follow.
+func (c *Caller) scheduleNext(w Workload) {
+	rate := c.spec.Rate * c.loadFactor() * w.Share / w.Mean.Seconds()
 	if rate <= 0 {
-		c.loop.After(idlePoll, func() { c.next(w) })
+		c.loop.After(idlePoll, func() { c.scheduleNext(w) })
 		return
 	}
-	// The gap is cut so that a change of level is noticed soon; arrivals without
-	// memory allow it.
+	// A long gap is cut off and drawn again, so that a change of the load factor takes effect soon. Arrivals
+	// are a Poisson process, which has no memory, so this does not change their distribution.
 	gap := time.Duration(c.random.ExpFloat64() / rate * float64(time.Second))
 	if gap > idlePoll {
-		c.loop.After(idlePoll, func() { c.next(w) })
+		c.loop.After(idlePoll, func() { c.scheduleNext(w) })
 		return
 	}
 	c.loop.After(gap, func() {
-		c.submit(c.job(w))
-		c.next(w)
+		c.submit(c.newJob(w))
+		c.scheduleNext(w)
 	})
 }
 
-func (c *Caller) job(w Work) *Job {
+func (c *Caller) newJob(w Workload) *Job {
 	now := c.loop.Now()
 	return &Job{
-		ID:       c.random.Uint64(),
-		Class:    w.Class,
-		Kind:     w.Kind,
-		Caller:   c.spec.Name,
-		Home:     c.home(),
-		Service:  w.draw(c.random),
-		Arrived:  now,
-		Deadline: now.Add(w.Deadline),
-		Try:      1,
-		Runs:     new(int),
+		ID:          c.random.Uint64(),
+		Class:       w.Class,
+		Kind:        w.Kind,
+		Caller:      c.spec.Name,
+		ConnServer:  c.pickConnServer(),
+		ServiceTime: w.serviceTime(c.random),
+		Arrived:     now,
+		Deadline:    now.Add(w.Deadline),
+		Try:         1,
+		Executions:  new(int),
 	}
 }
 
-// hotShare is what a caller's hot connections send of its requests.
+// hotShare is the share of a caller's requests that its hot connections send.
 const hotShare = 0.9
 
-// Again is one more try of the same request by the caller.
-func (j *Job) Again(now time.Time) *Job {
+// Retry returns the caller's next try of the same request.
+func (j *Job) Retry(now time.Time) *Job {
 	next := *j
 	next.Arrived, next.Deadline = now, now.Add(j.Deadline.Sub(j.Arrived))
 	next.Try++
-	next.Settled = false
+	next.Finished = false
 	return &next
 }
 
-func (c *Caller) home() int {
-	homes := c.spec.Homes
-	if c.spec.Hot > 0 && c.random.Float64() < hotShare {
-		homes = homes[:c.spec.Hot]
+// pickConnServer selects a random connection and returns the server whose agent holds it.
+func (c *Caller) pickConnServer() int {
+	servers := c.spec.ConnServers
+	if c.spec.HotConnections > 0 && c.random.Float64() < hotShare {
+		servers = servers[:c.spec.HotConnections]
 	}
-	return homes[c.random.IntN(len(homes))]
+	return servers[c.random.IntN(len(servers))]
 }
 
-// draw returns a service time: log-normal with the given mean and spread.
-func (w Work) draw(r *rand.Rand) time.Duration {
-	v := math.Log(1 + w.Spread*w.Spread)
+// serviceTime draws a service time from a log-normal distribution, limited to w.Max.
+func (w Workload) serviceTime(r *rand.Rand) time.Duration {
+	v := math.Log(1 + w.Variation*w.Variation)
 	d := time.Duration(math.Exp(r.NormFloat64()*math.Sqrt(v)-v/2) * float64(w.Mean))
-	if w.Most > 0 {
-		d = min(d, w.Most)
+	if w.Max > 0 {
+		d = min(d, w.Max)
 	}
 	return d
 }
--- a/internal/exper/fakes/server.go
+++ b/internal/exper/fakes/server.go
@@ -7,24 +7,25 @@
 	"mangowinch/internal/exper/loop"
 )
 
-// End is how an execution ended.
+// End is the way in which a try of a request ended.
 type End uint8
 
-// The ends.
+// Values of End.
 const (
-	Good      End = iota // answered
-	Failed               // answered with a failure
-	Late                 // stopped by the server at the request's deadline
-	Cut                  // the server stopped while it ran
-	Shed                 // refused as not run
-	Unreached            // the server could not be reached
+	Answered    End = iota // answered with a result
+	Failed                 // answered with an error
+	Late                   // stopped by the server or the caller at the deadline
+	Interrupted            // the server stopped during the execution
+	Shed                   // refused without execution
+	Unreachable            // no connection to the server
 )
 
-// Times of a server that does no work.
+// Times until a server that does not execute requests answers, and the factor of service times at the
+// beginning of a cold start.
 const (
-	failTime    = time.Millisecond
-	unreachTime = 500 * time.Microsecond
-	coldFactor  = 4.0
+	failureTime     = time.Millisecond
+	unreachableTime = 500 * time.Microsecond
+	coldFactor      = 4.0
 )
 
 // Server is a backend server with a few slots and no queue.
@@ -33,20 +34,20 @@
 	Domain int
 	Slots  int
 
-	Factor   float64       // of service times, 1 as a rule
-	FailFast bool          // fails each request at once
-	FailHalf bool          // fails every other request at once
-	Down     bool          // cannot be reached
-	Draining bool          // refuses new work
-	Lie      bool          // reports that it is idle and quick
-	Cold     time.Duration // length of the cold start that began at ColdAt
-	ColdAt   time.Time
-
-	loop    *loop.Loop
-	count   int
-	running []*execution
-	busy    time.Duration // slot time used until accounted
-	at      time.Time
+	TimeFactor   float64       // multiplies service times; 1 in normal operation
+	FailFast     bool          // fails each request immediately
+	FailHalf     bool          // fails every other request immediately
+	Down         bool          // cannot be reached
+	Draining     bool          // refuses new work
+	FalseReports bool          // reports that it is idle and fast
+	ColdStart    time.Duration // length of the cold start that begins at ColdStartAt
+	ColdStartAt  time.Time
+
+	loop          *loop.Loop
+	halfFailCount int
+	running       []*execution
+	busy          time.Duration // slot time used until accountedAt
+	accountedAt   time.Time
 }
 
 type execution struct {
@@ -56,77 +57,80 @@
 
 // NewServer returns an idle server.
 func NewServer(l *loop.Loop, id, domain, slots int) *Server {
-	return &Server{ID: id, Domain: domain, Slots: slots, Factor: 1, loop: l, at: l.Now()}
+	return &Server{ID: id, Domain: domain, Slots: slots, TimeFactor: 1, loop: l, accountedAt: l.Now()}
 }
 
-// Run executes a job and calls done when it ended.
+// Run executes a job and calls done when it ends, before Run returns if the server refuses it.
 func (s *Server) Run(j *Job, done func(End)) {
 	switch {
 	case s.Down:
-		s.loop.After(unreachTime, func() { done(Unreached) })
+		s.loop.After(unreachableTime, func() { done(Unreachable) })
 		return
 	case s.Draining || len(s.running) >= s.Slots:
 		done(Shed)
 		return
-	case s.FailFast || s.FailHalf && s.odd():
-		s.loop.After(failTime, func() { done(Failed) })
+	case s.FailFast || s.FailHalf && s.failsNext():
+		s.loop.After(failureTime, func() { done(Failed) })
 		return
 	}
 	s.account()
 	e := &execution{job: j, done: done}
 	s.running = append(s.running, e)
-	*j.Runs++
-	took, end := time.Duration(float64(j.Service)*s.factor()), Good
+	*j.Executions++
+	took, end := time.Duration(float64(j.ServiceTime)*s.factor()), Answered
 	if left := j.Deadline.Sub(s.loop.Now()); !j.NoDeadline && took > left {
 		took, end = left, Late
 	}
-	s.loop.After(took, func() { s.end(e, end) })
+	s.loop.After(took, func() { s.finish(e, end) })
 }
 
-// odd is true of every other request.
-func (s *Server) odd() bool {
-	s.count++
-	return s.count%2 == 1
+// failsNext reports whether a server with FailHalf set fails the next request, which is every other one.
+func (s *Server) failsNext() bool {
+	s.halfFailCount++
+	return s.halfFailCount%2 == 1
 }
 
-func (s *Server) end(e *execution, how End) {
+// finish ends an execution, unless Stop has interrupted it.
+func (s *Server) finish(e *execution, how End) {
 	n := slices.Index(s.running, e)
 	if n < 0 {
-		return // cut before
+		return // interrupted by Stop
 	}
 	s.account()
 	s.running = slices.Delete(s.running, n, n+1)
 	e.done(how)
 }
 
-// Stop ends the server; what runs is cut.
-func (s *Server) Stop() (cut int) {
+// Stop makes the server unreachable, interrupts the running jobs and returns their number.
+func (s *Server) Stop() (interrupted int) {
 	s.Down = true
 	for len(s.running) > 0 {
-		s.end(s.running[0], Cut)
-		cut++
+		s.finish(s.running[0], Interrupted)
+		interrupted++
 	}
-	return cut
+	return interrupted
 }
 
-// Running returns how many jobs run.
+// Running returns the number of running jobs.
 func (s *Server) Running() int { return len(s.running) }
 
-// Busy returns the slot time used since the start.
+// Busy returns the slot time used since the server was created.
 func (s *Server) Busy() time.Duration {
 	s.account()
 	return s.busy
 }
 
+// account adds the slot time used since the last call.
 func (s *Server) account() {
 	now := s.loop.Now()
-	s.busy += time.Duration(len(s.running)) * now.Sub(s.at)
-	s.at = now
+	s.busy += time.Duration(len(s.running)) * now.Sub(s.accountedAt)
+	s.accountedAt = now
 }
 
+// factor returns the current factor of service times. During a cold start it falls linearly.
 func (s *Server) factor() float64 {
-	if age := s.loop.Now().Sub(s.ColdAt); s.Cold > 0 && age < s.Cold {
-		return s.Factor * (coldFactor - (coldFactor-1)*float64(age)/float64(s.Cold))
+	if age := s.loop.Now().Sub(s.ColdStartAt); s.ColdStart > 0 && age < s.ColdStart {
+		return s.TimeFactor * (coldFactor - (coldFactor-1)*float64(age)/float64(s.ColdStart))
 	}
-	return s.Factor
+	return s.TimeFactor
 }
--- a/internal/exper/flows/flows.go
+++ b/internal/exper/flows/flows.go
@@ -1,9 +1,11 @@
-// Package flows runs the weights of new flows (package shift) at several entries
-// with old reports, second by second.
+// Package flows simulates the weights of new flows (package shift) at several entries with delayed reports,
+// in steps of one second.
 //
-// New flows arrive at random entries, are spread by that entry's weights, last for an
-// exponential time and ask for slot time as long as they last. Each agent's demand
-// reaches each entry late, by a lag that differs between entries.
+// New flows arrive at random entries, which distribute them over the servers by their weights. A flow has an
+// exponentially distributed duration and requires slot time until it ends. Each agent's demand reaches each
+// entry with a lag that differs between entries.
+//
+// The package does not model packets or requests.
 //
 // # Usage
 //
@@ -19,45 +21,47 @@
 	"mangowinch/internal/load/shift"
 )
 
-// Case is one load on the weights.
+// Case is one load pattern for the weights.
 type Case struct {
-	Name, Story string
-	Servers     int
-	Entries     int
-	Rate        float64       // new flows a second, all entries together
-	Life        time.Duration // mean of a flow
-	Level       float64       // demand of all flows as a share of all slots
-	Lag         time.Duration // shortest lag of a report; the longest is twice that
-	Change      time.Duration // when the servers' factors change
-	Length      time.Duration
-	Factors     []float64 // of the first servers' service times from the change on
-	Leave       bool      // server 1 leaves at the change
+	Name, Description string
+	Servers           int
+	Entries           int
+	Rate              float64       // new flows per second, over all entries
+	MeanDuration      time.Duration // mean duration of a flow
+	Load              float64       // demand of all flows as a share of all slots
+	MinLag            time.Duration // shortest lag of reports; the longest is twice that
+	ChangeAt          time.Duration // time of the change: TimeFactors take effect, or server 1 leaves
+	Length            time.Duration
+	TimeFactors       []float64 // factors of the first servers' service times after the change
+	ServerLeaves      bool      // server 1 leaves at the change
 }
 
-// Report sums up a run.
+// Report summarizes a run. Imbalance is the highest demand of a server divided by the mean demand of the
+// servers in service. ShareChange, like ImbalanceBefore, covers the two minutes before the change. Quoted
+// names are columns of the tables.
 type Report struct {
-	Before float64       // mean of the greatest demand over the mean, in the two minutes before the change
-	After  float64       // the same in the last two minutes
-	Peak   float64       // greatest demand of a healthy server over the mean, after the change
-	Moved  float64       // mean change of a server's share of new flows in a minute before the change, as a share of its mean share
-	Apart  float64       // mean share of new flows on which two entries differ, before the change
-	Off    time.Duration // time after the change with the greatest demand over 1.25 of the mean
-	Strays float64       // new flows that a leaving server got from 10 s after it left
+	ImbalanceBefore float64       // "imbalance before": mean imbalance in the two minutes before the change
+	ImbalanceAfter  float64       // "imbalance at the end": mean imbalance in the last two minutes
+	PeakHealthy     float64       // "peak of the healthy": highest demand of a healthy server divided by the mean, after the change
+	ShareChange     float64       // "moved a minute": total change of a server's share of new flows per minute, relative to its mean share
+	Divergence      float64       // "entries apart": mean share of new flows that two entries place differently, before the change
+	TimeImbalanced  time.Duration // "time off": time after the change with an imbalance over maxImbalance
+	StrayFlows      float64       // "strays": new flows that a leaving server received later than 10 s after it left
 }
 
-// within is the greatest demand over the mean that does not count as off.
-const within = 1.25
+// maxImbalance is the highest imbalance that does not count in Report.TimeImbalanced.
+const maxImbalance = 1.25
 
 type run struct {
-	load    Case
-	random  *rand.Rand
-	flows   []float64
-	lagging [][]shift.Load // by second, by server
-	entries []*shift.Weights
-	lags    []int
-	report  Report
-	over    []float64   // greatest over mean demand, by second
-	shares  [][]float64 // of entry 0, by second
+	load        Case
+	random      *rand.Rand
+	flows       []float64      // open flows, by server
+	loadHistory [][]shift.Load // by second, by server
+	entries     []*shift.Weights
+	lags        []int // of reports, by entry, in seconds
+	report      Report
+	imbalance   []float64   // by second
+	shares      [][]float64 // of entry 0, by second
 }
 
 var start = time.Unix(0, 0).UTC()
@@ -73,122 +77,126 @@
 		}
 		w.SetServers(servers)
 		v.entries = append(v.entries, w)
-		v.lags = append(v.lags, int(c.Lag.Seconds())+v.random.IntN(int(c.Lag.Seconds())+1))
+		v.lags = append(v.lags, int(c.MinLag.Seconds())+v.random.IntN(int(c.MinLag.Seconds())+1))
 	}
 	for i := range v.flows {
-		v.flows[i] = math.Round(c.Rate * c.Life.Seconds() / float64(c.Servers))
+		v.flows[i] = math.Round(c.Rate * c.MeanDuration.Seconds() / float64(c.Servers))
 	}
 	for s := range int(c.Length.Seconds()) {
-		v.second(s)
+		v.step(s)
 	}
-	v.sum()
+	v.summarize()
 	return v.report
 }
 
-// second runs one second: reports arrive, weights step, flows end and begin.
-func (v *run) second(s int) {
+// step simulates one second: reports arrive, the weights are adjusted, and flows end and begin.
+func (v *run) step(s int) {
 	now := start.Add(time.Duration(s) * time.Second)
-	changed := now.Sub(start) >= v.load.Change
-	v.lagging = append(v.lagging, v.loads(changed))
+	changed := now.Sub(start) >= v.load.ChangeAt
+	v.loadHistory = append(v.loadHistory, v.loads(changed))
 	for e, w := range v.entries {
 		if at := s - v.lags[e]; at >= 0 {
-			for i, l := range v.lagging[at] {
+			for i, l := range v.loadHistory[at] {
 				w.Report(now, uint32(i+1), l)
 			}
 		}
 		w.Step(now)
 	}
 	for i := range v.flows {
-		v.flows[i] -= float64(poisson(v.random, v.flows[i]/v.load.Life.Seconds()))
+		v.flows[i] -= float64(poisson(v.random, v.flows[i]/v.load.MeanDuration.Seconds()))
 		v.flows[i] = max(v.flows[i], 0)
 	}
 	for range poisson(v.random, v.load.Rate) {
-		i := draw(v.random, v.entries[v.random.IntN(len(v.entries))].Weights())
+		i := pick(v.random, v.entries[v.random.IntN(len(v.entries))].Weights())
 		v.flows[i]++
-		if late := now.Sub(start) - v.load.Change; v.load.Leave && i == 0 && late >= 10*time.Second {
-			v.report.Strays++
+		if sinceChange := now.Sub(start) - v.load.ChangeAt; v.load.ServerLeaves && i == 0 && sinceChange >= 10*time.Second {
+			v.report.StrayFlows++
 		}
 	}
-	v.note(changed)
+	v.record(changed)
 }
 
-// loads is each server's demand. At level 1 and even spread it is 1.
+// loads returns each server's demand, which is 1 if Case.Load is 1 and flows are distributed evenly.
 func (v *run) loads(changed bool) []shift.Load {
-	even := v.load.Rate * v.load.Life.Seconds() / float64(v.load.Servers)
+	perServer := v.load.Rate * v.load.MeanDuration.Seconds() / float64(v.load.Servers)
 	list := make([]shift.Load, len(v.flows))
 	for i, n := range v.flows {
 		factor := 1.0
-		if changed && i < len(v.load.Factors) {
-			factor = v.load.Factors[i]
+		if changed && i < len(v.load.TimeFactors) {
+			factor = v.load.TimeFactors[i]
 		}
-		list[i] = shift.Load{Demand: v.load.Level * n / even * factor, Leaving: changed && v.load.Leave && i == 0}
+		list[i] = shift.Load{Demand: v.load.Load * n / perServer * factor, Leaving: changed && v.load.ServerLeaves && i == 0}
 	}
 	return list
 }
 
-func (v *run) note(changed bool) {
-	sum, most := 0.0, 0.0
+// record adds the current second to the report.
+func (v *run) record(changed bool) {
+	sum, maximum := 0.0, 0.0
 	list := v.loads(changed)
 	n := 0
 	for _, l := range list {
 		if !l.Leaving {
 			sum += l.Demand
 			n++
-			most = max(most, l.Demand)
+			maximum = max(maximum, l.Demand)
 		}
 	}
 	mean := sum / float64(n)
-	v.over = append(v.over, most/mean)
-	for _, l := range list[len(v.load.Factors):] {
+	v.imbalance = append(v.imbalance, maximum/mean)
+	for _, l := range list[len(v.load.TimeFactors):] {
 		if changed && !l.Leaving {
-			v.report.Peak = max(v.report.Peak, l.Demand/mean)
+			v.report.PeakHealthy = max(v.report.PeakHealthy, l.Demand/mean)
 		}
 	}
-	v.shares = append(v.shares, normal(v.entries[0].Weights()))
+	v.shares = append(v.shares, normalize(v.entries[0].Weights()))
 	if !changed {
 		for _, w := range v.entries[1:] {
-			v.report.Apart += apart(v.shares[len(v.shares)-1], normal(w.Weights())) / float64(len(v.entries)-1)
+			v.report.Divergence += distance(v.shares[len(v.shares)-1], normalize(w.Weights())) / float64(len(v.entries)-1)
 		}
 	}
 }
 
-// window is the time over which a mean is taken before the change and at the end.
+// window is the number of seconds before the change and at the end that ImbalanceBefore, ImbalanceAfter and
+// ShareChange cover.
 const window = 120
 
-func (v *run) sum() {
-	change := int(v.load.Change.Seconds())
-	v.report.Before = average(v.over[change-window : change])
-	v.report.After = average(v.over[len(v.over)-window:])
-	v.report.Apart /= float64(change)
+// summarize computes the figures of the report that depend on the whole run.
+func (v *run) summarize() {
+	change := int(v.load.ChangeAt.Seconds())
+	v.report.ImbalanceBefore = average(v.imbalance[change-window : change])
+	v.report.ImbalanceAfter = average(v.imbalance[len(v.imbalance)-window:])
+	v.report.Divergence /= float64(change)
 	for s := change - window; s < change; s++ {
-		v.report.Moved += apart(v.shares[s], v.shares[s-1]) * 2 * 60 / window
+		v.report.ShareChange += distance(v.shares[s], v.shares[s-1]) * 2 * 60 / window
 	}
-	for _, over := range v.over[change:] {
-		if over > within {
-			v.report.Off += time.Second
+	for _, imbalance := range v.imbalance[change:] {
+		if imbalance > maxImbalance {
+			v.report.TimeImbalanced += time.Second
 		}
 	}
 }
 
-// Mean is the mean of the reports of several seeds.
+// Mean returns the mean of several reports.
 func Mean(reports []Report) (m Report) {
 	n := float64(len(reports))
-	off := 0.0
+	imbalanced := 0.0
 	for _, r := range reports {
-		m.Before += r.Before / n
-		m.After += r.After / n
-		m.Peak += r.Peak / n
-		m.Moved += r.Moved / n
-		m.Apart += r.Apart / n
-		m.Strays += r.Strays / n
-		off += r.Off.Seconds() / n
-	}
-	m.Off = time.Duration(off * float64(time.Second))
+		m.ImbalanceBefore += r.ImbalanceBefore / n
+		m.ImbalanceAfter += r.ImbalanceAfter / n
+		m.PeakHealthy += r.PeakHealthy / n
+		m.ShareChange += r.ShareChange / n
+		m.Divergence += r.Divergence / n
+		m.StrayFlows += r.StrayFlows / n
+		imbalanced += r.TimeImbalanced.Seconds() / n
+	}
+	m.TimeImbalanced = time.Duration(imbalanced * float64(time.Second))
 	return m
 }
 
-// apart is the share of flows that two spreads place differently.
-func apart(a, b []float64) float64 {
+// distance returns the share of flows that two distributions place differently (the total variation
+// distance).
+func distance(a, b []float64) float64 {
 	sum := 0.0
 	for i := range a {
 		sum += math.Abs(a[i]-b[i]) / 2
@@ -196,7 +204,8 @@
 	return sum
 }
 
-func normal(list []shift.Weight) []float64 {
+// normalize scales the weights to a sum of 1.
+func normalize(list []shift.Weight) []float64 {
 	shares, sum := make([]float64, len(list)), 0.0
 	for _, w := range list {
 		sum += w.Share
@@ -215,7 +224,8 @@
 	return sum / float64(len(list))
 }
 
-func draw(r *rand.Rand, list []shift.Weight) int {
+// pick returns a random index, with probabilities in proportion to the weights.
+func pick(r *rand.Rand, list []shift.Weight) int {
 	sum := 0.0
 	for _, w := range list {
 		sum += w.Share
@@ -229,7 +239,8 @@
 	return slices.IndexFunc(list, func(w shift.Weight) bool { return w.Share > 0 })
 }
 
-// poisson draws a count with the given mean; by a normal one where that is close.
+// poisson draws from a Poisson distribution with the given mean, approximated by a normal distribution for
+// large means.
 func poisson(r *rand.Rand, mean float64) int {
 	if mean > 50 {
 		return max(0, int(math.Round(mean+math.Sqrt(mean)*r.NormFloat64())))
--- a/internal/exper/loop/loop.go
+++ b/internal/exper/loop/loop.go
@@ -1,9 +1,8 @@
-// Package loop runs an experiment in virtual time: events in the order of their
-// times, one after the other, with no waiting in between.
+// Package loop is a discrete-event simulator: it runs events in virtual time, one after the other in the
+// order of their times, without waiting.
 //
-// It is not a clock for tests of processes (those use testing/synctest): the
-// decisions under test take the time as an argument, so a loop of events is enough
-// and runs some millions of them a second.
+// It is not a clock for tests of processes, which use testing/synctest. The decisions under test receive
+// the time as an argument, so an event loop is sufficient; it runs millions of events per second.
 //
 // # Usage
 //
@@ -17,43 +16,43 @@
 	"time"
 )
 
-// Loop holds the events to come. It is not safe for concurrent use.
+// Loop holds the pending events. It is not safe for concurrent use.
 type Loop struct {
 	start, now time.Time
 	events     events
-	count      uint64
+	lastSeq    uint64
 }
 
 type event struct {
-	at    time.Time
-	order uint64 // events of the same time run in the order in which they were set
-	run   func()
+	at  time.Time
+	seq uint64 // events with equal times run in the order in which they were scheduled
+	run func()
 }
 
-// New returns a loop at its start.
+// New returns a loop without events, at virtual time zero.
 func New() *Loop {
 	start := time.Unix(0, 0).UTC().AddDate(30, 0, 0)
 	return &Loop{start: start, now: start}
 }
 
-// Now returns the virtual time.
+// Now returns the current virtual time.
 func (l *Loop) Now() time.Time { return l.now }
 
-// Elapsed returns the virtual time since the start.
+// Elapsed returns the virtual time since the loop's start.
 func (l *Loop) Elapsed() time.Duration { return l.now.Sub(l.start) }
 
-// After runs a function when the given time has passed.
+// After schedules a function to run after the given duration, immediately if it is negative.
 func (l *Loop) After(d time.Duration, run func()) {
-	l.count++
-	heap.Push(&l.events, event{at: l.now.Add(max(d, 0)), order: l.count, run: run})
+	l.lastSeq++
+	heap.Push(&l.events, event{at: l.now.Add(max(d, 0)), seq: l.lastSeq, run: run})
 }
 
-// At runs a function at a time since the start, at once if that has passed.
+// At schedules a function to run at the given time since the start, immediately if that has passed.
 func (l *Loop) At(elapsed time.Duration, run func()) {
 	l.After(elapsed-l.Elapsed(), run)
 }
 
-// Run runs events until the given time since the start.
+// Run runs all events up to the given time since the start, and sets the virtual time to it.
 func (l *Loop) Run(until time.Duration) {
 	end := l.start.Add(until)
 	for len(l.events) > 0 && !l.events[0].at.After(end) {
@@ -64,12 +63,13 @@
 	l.now = end
 }
 
+// events implements heap.Interface.
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
 	if e[i].at.Equal(e[j].at) {
-		return e[i].order < e[j].order
+		return e[i].seq < e[j].seq
 	}
 	return e[i].at.Before(e[j].at)
 }
--- a/internal/exper/outage/outage_test.go
+++ b/internal/exper/outage/outage_test.go
@@ -8,48 +8,49 @@
 
 const seeds = 2
 
-// play adds up the reports of some seeds under a load that is so many times the case's.
-func play(c Case, times float64, r Rules) (sum Report) {
+// runSeeds returns the sum of the reports of several seeds, with the case's request rates multiplied by factor.
+func runSeeds(c Case, factor float64, r Rules) (sum Report) {
 	kinds := c.Kinds
 	c.Kinds = nil
 	for _, k := range kinds {
-		k.Rate *= times
+		k.Rate *= factor
 		c.Kinds = append(c.Kinds, k)
 	}
 	for seed := range uint64(seeds) {
 		p := Run(c, r, seed)
-		sum.All.Asked += p.All.Asked
+		sum.All.Sent += p.All.Sent
 		sum.All.InTime += p.All.InTime
 		sum.All.Late += p.All.Late
 		sum.All.Failed += p.All.Failed
 		sum.Refused += p.Refused
-		sum.Left += p.Left
+		sum.Abandoned += p.Abandoned
 	}
 	return sum
 }
 
-func part(count, of int) float64 { return float64(count) / float64(of) }
+func fraction(count, of int) float64 { return float64(count) / float64(of) }
 
-// Guards against callers who are refused although servers could serve them before they give up: they come again at once, look new, and
-// take the places of those that are.
+// Guards against refusing callers that servers could serve before they give up: they retry at once, appear to
+// be new, and displace requests that are new.
 func TestFlowsThatCanBeServedWaitAfterAnOutage(t *testing.T) {
 	for _, times := range []float64{1, 1.15, 1.3} {
-		few, many := play(Grown(), times, Rules{PerSlot: 15}), play(Grown(), times, Rules{PerSlot: 30})
-		t.Logf("load %.2f: failed %d and %d of %d, in time %d and %d", times, few.All.Failed, many.All.Failed, few.All.Asked, few.All.InTime, many.All.InTime)
+		few, many := runSeeds(FiftyServers(), times, Rules{PerSlot: 15}), runSeeds(FiftyServers(), times, Rules{PerSlot: 30})
+		t.Logf("load %.2f: failed %d and %d of %d, in time %d and %d", times, few.All.Failed, many.All.Failed, few.All.Sent, few.All.InTime, many.All.InTime)
 		assert.Assert(t, many.Refused <= few.Refused)
-		if few.Refused > few.All.Asked/100 {
-			assert.Assert(t, part(many.All.Failed, many.All.Asked) < part(few.All.Failed, few.All.Asked))
-			assert.Assert(t, part(many.All.InTime, many.All.Asked) >= part(few.All.InTime, few.All.Asked))
+		if few.Refused > few.All.Sent/100 {
+			assert.Assert(t, fraction(many.All.Failed, many.All.Sent) < fraction(few.All.Failed, few.All.Sent))
+			assert.Assert(t, fraction(many.All.InTime, many.All.Sent) >= fraction(few.All.InTime, few.All.Sent))
 		}
 	}
 }
 
-// Guards against a bound that is none: whoever knows each request's age serves more in time, and fails fewer.
-func TestWhoKnowsAgesServesMore(t *testing.T) {
-	got, bound := play(Grown(), 1, Rules{PerSlot: 30}), play(Grown(), 1, Rules{PerSlot: 30, Known: true})
-	t.Logf("in time %.3f of %.3f, failed %.3f of %.3f", part(got.All.InTime, got.All.Asked), part(bound.All.InTime, bound.All.Asked),
-		part(got.All.Failed, got.All.Asked), part(bound.All.Failed, bound.All.Asked))
-	assert.Assert(t, part(got.All.InTime, got.All.Asked) < part(bound.All.InTime, bound.All.Asked))
-	assert.Assert(t, part(got.All.Failed, got.All.Asked) > part(bound.All.Failed, bound.All.Asked))
-	assert.Assert(t, bound.Left < got.Left/2, "%d and %d slots kept for callers who had left", bound.Left, got.Left)
+// Guards against a simulation in which Rules.KnownAges gives no bound: with known ages, more requests have to
+// be answered in time and fewer may fail.
+func TestKnownAgesServeMore(t *testing.T) {
+	got, bound := runSeeds(FiftyServers(), 1, Rules{PerSlot: 30}), runSeeds(FiftyServers(), 1, Rules{PerSlot: 30, KnownAges: true})
+	t.Logf("in time %.3f of %.3f, failed %.3f of %.3f", fraction(got.All.InTime, got.All.Sent), fraction(bound.All.InTime, bound.All.Sent),
+		fraction(got.All.Failed, got.All.Sent), fraction(bound.All.Failed, bound.All.Sent))
+	assert.Assert(t, fraction(got.All.InTime, got.All.Sent) < fraction(bound.All.InTime, bound.All.Sent))
+	assert.Assert(t, fraction(got.All.Failed, got.All.Sent) > fraction(bound.All.Failed, bound.All.Sent))
+	assert.Assert(t, bound.Abandoned < got.Abandoned/2, "%d and %d slots reserved for callers that had given up", bound.Abandoned, got.Abandoned)
 }
--- a/internal/exper/policy/direct.go
+++ b/internal/exper/policy/direct.go
@@ -9,91 +9,93 @@
 )
 
 const (
-	entries   = 4 // balancers, each with its own counts
-	tries     = 3 // of a refused request, the first included
-	news      = 3 * time.Second
-	reportLag = 500 * time.Millisecond
+	entries      = 4                      // number of balancers, each with its own counts
+	maxTries     = 3                      // per refused request, including the first
+	removalDelay = 3 * time.Second        // from a server's leaving until the balancers know
+	reportLag    = 500 * time.Millisecond // until a server's report reaches the balancers
 
-	reportEvery = 250 * time.Millisecond
+	reportInterval = 250 * time.Millisecond
 )
 
-// direct is a set of balancers in front of first-come-first-served queues.
-type direct struct {
-	name    Name
-	world   *World
-	queues  []*buffer
-	entries []*entry
-	next    int
+// baseline is a System of several balancers in front of first-come-first-served queues.
+type baseline struct {
+	name      Name
+	env       *Env
+	queues    []*serverQueue
+	entries   []*entry
+	nextEntry int
 }
 
+// entry is one balancer. Its slices have an element for each server.
 type entry struct {
-	turn     int
-	inflight []int
-	reported []int
-	gone     []bool
+	counter  int    // of the round-robin policy
+	inflight []int  // requests that this entry has placed and that have not ended
+	reported []int  // last reported loads
+	removed  []bool // servers that have left
 }
 
-// buffer is the first-come-first-served queue in front of one server.
-type buffer struct {
+// serverQueue is the first-come-first-served queue in front of one server.
+type serverQueue struct {
 	server  *fakes.Server
-	waiting []call
-	classes map[string]int
+	waiting []waitingJob
+	queued  map[string]int // number of waiting jobs by class
 }
 
-type call struct {
+type waitingJob struct {
 	job  *fakes.Job
 	done func(fakes.End)
 }
 
-func newDirect(n Name, w *World) *direct {
-	d := &direct{name: n, world: w}
-	for _, s := range w.Servers {
-		d.queues = append(d.queues, &buffer{server: s, classes: map[string]int{}})
+func newBaseline(n Name, env *Env) *baseline {
+	d := &baseline{name: n, env: env}
+	for _, s := range env.Servers {
+		d.queues = append(d.queues, &serverQueue{server: s, queued: map[string]int{}})
 	}
 	for i := range entries {
-		size := len(w.Servers)
-		d.entries = append(d.entries, &entry{turn: i, inflight: make([]int, size), reported: make([]int, size), gone: make([]bool, size)})
+		size := len(env.Servers)
+		d.entries = append(d.entries, &entry{counter: i, inflight: make([]int, size), reported: make([]int, size), removed: make([]bool, size)})
 	}
-	if n == Reported {
-		d.report()
+	if n == LeastReported {
+		d.sendReports()
 	}
 	return d
 }
 
-// report takes the servers' own reports to all entries, late.
-func (d *direct) report() {
+// sendReports delivers the servers' load reports to all entries, with a lag of reportLag.
+func (d *baseline) sendReports() {
 	for i, q := range d.queues {
 		load := q.server.Running() + len(q.waiting)
-		if q.server.Lie {
+		if q.server.FalseReports {
 			load = 0
 		}
-		d.world.Loop.After(reportLag, func() {
+		d.env.Loop.After(reportLag, func() {
 			for _, e := range d.entries {
 				e.reported[i] = load
 			}
 		})
 	}
-	d.world.Loop.After(reportEvery, d.report)
+	d.env.Loop.After(reportInterval, d.sendReports)
 }
 
-func (d *direct) Submit(j *fakes.Job, answer func(Answer)) {
-	e := d.entries[d.next%entries] // the fabric sprays
-	d.next++
-	d.try(e, j, nil, answer)
+func (d *baseline) Submit(j *fakes.Job, answer func(Answer)) {
+	e := d.entries[d.nextEntry%entries] // the fabric distributes requests over all entries
+	d.nextEntry++
+	d.dispatch(e, j, nil, answer)
 }
 
-func (d *direct) try(e *entry, j *fakes.Job, tried []int, answer func(Answer)) {
+// dispatch sends a request to a server that it has not tried yet, and tries again if it is refused.
+func (d *baseline) dispatch(e *entry, j *fakes.Job, tried []int, answer func(Answer)) {
 	i := d.choose(e, tried)
 	if i < 0 {
 		answer(Answer{End: fakes.Shed, Reason: result.ServerLeaving})
 		return
 	}
 	e.inflight[i]++
-	d.enter(i, j, func(end fakes.End) {
+	d.enqueue(i, j, func(end fakes.End) {
 		e.inflight[i]--
-		refused := end == fakes.Shed || end == fakes.Unreached
-		if refused && len(tried)+1 < tries && d.world.Loop.Now().Before(j.Deadline) {
-			d.try(e, j, append(slices.Clone(tried), i), answer)
+		refused := end == fakes.Shed || end == fakes.Unreachable
+		if refused && len(tried)+1 < maxTries && d.env.Loop.Now().Before(j.Deadline) {
+			d.dispatch(e, j, append(slices.Clone(tried), i), answer)
 			return
 		}
 		if refused {
@@ -103,32 +105,33 @@
 	})
 }
 
-func (d *direct) choose(e *entry, tried []int) int {
-	var open []int
+// choose returns the server that the policy selects, -1 if there is none.
+func (d *baseline) choose(e *entry, tried []int) int {
+	var candidates []int
 	for i := range d.queues {
-		if !e.gone[i] && !slices.Contains(tried, i) {
-			open = append(open, i)
+		if !e.removed[i] && !slices.Contains(tried, i) {
+			candidates = append(candidates, i)
 		}
 	}
-	if len(open) == 0 {
+	if len(candidates) == 0 {
 		return -1
 	}
 	switch d.name {
-	case RoundTurn:
-		e.turn++
-		return open[e.turn%len(open)]
-	case Least:
-		return d.least(open, e.inflight)
-	case Reported:
-		return d.least(open, e.reported)
+	case RoundRobin:
+		e.counter++
+		return candidates[e.counter%len(candidates)]
+	case LeastConnections:
+		return d.leastLoaded(candidates, e.inflight)
+	case LeastReported:
+		return d.leastLoaded(candidates, e.reported)
 	}
-	return open[d.world.Random.IntN(len(open))]
+	return candidates[d.env.Random.IntN(len(candidates))]
 }
 
-// least returns a server with the lowest count, of equals one at random.
-func (d *direct) least(open, counts []int) int {
+// leastLoaded returns the server with the lowest count; ties are broken at random.
+func (d *baseline) leastLoaded(candidates, counts []int) int {
 	var best []int
-	for _, i := range open {
+	for _, i := range candidates {
 		switch {
 		case len(best) == 0 || counts[i] < counts[best[0]]:
 			best = []int{i}
@@ -136,39 +139,39 @@
 			best = append(best, i)
 		}
 	}
-	return best[d.world.Random.IntN(len(best))]
+	return best[d.env.Random.IntN(len(best))]
 }
 
-// enter runs a request at a server, or lets it wait there.
-func (d *direct) enter(i int, j *fakes.Job, done func(fakes.End)) {
+// enqueue runs a request at a server, queues it there, or refuses it if the queue is full.
+func (d *baseline) enqueue(i int, j *fakes.Job, done func(fakes.End)) {
 	q := d.queues[i]
 	if q.server.Draining || q.server.Down || q.server.FailFast || q.server.Running() < q.server.Slots {
 		d.run(q, j, done)
 		return
 	}
-	if q.classes[j.Class] >= kindOf(d.world.Limits.Classes, j.Class).Queue {
+	if q.queued[j.Class] >= classByName(d.env.Limits.Classes, j.Class).Queue {
 		done(fakes.Shed)
 		return
 	}
-	q.classes[j.Class]++
-	q.waiting = append(q.waiting, call{j, done})
+	q.queued[j.Class]++
+	q.waiting = append(q.waiting, waitingJob{j, done})
 }
 
-func (d *direct) run(q *buffer, j *fakes.Job, done func(fakes.End)) {
+func (d *baseline) run(q *serverQueue, j *fakes.Job, done func(fakes.End)) {
 	q.server.Run(j, func(end fakes.End) {
-		d.drainOne(q)
+		d.startWaiting(q)
 		done(end)
 	})
 }
 
-// drainOne starts what waits while slots are free. What is past its deadline is
-// refused when its turn comes, as a server does that is told of deadlines.
-func (d *direct) drainOne(q *buffer) {
+// startWaiting starts waiting requests while slots are free. A request past its deadline is refused when
+// its turn comes, as by a server that knows the deadlines.
+func (d *baseline) startWaiting(q *serverQueue) {
 	for len(q.waiting) > 0 && (q.server.Running() < q.server.Slots || q.server.Down || q.server.Draining) {
 		c := q.waiting[0]
 		q.waiting = q.waiting[1:]
-		q.classes[c.job.Class]--
-		if !d.world.Loop.Now().Before(c.job.Deadline) {
+		q.queued[c.job.Class]--
+		if !d.env.Loop.Now().Before(c.job.Deadline) {
 			c.done(fakes.Shed)
 			continue
 		}
@@ -176,21 +179,21 @@
 	}
 }
 
-func (d *direct) Leaving(server int) {
-	d.world.Loop.After(news, func() {
+func (d *baseline) Leaving(server int) {
+	d.env.Loop.After(removalDelay, func() {
 		for _, e := range d.entries {
-			e.gone[server] = true
+			e.removed[server] = true
 		}
 	})
 }
 
-func (d *direct) Joined(server int) {
+func (d *baseline) Joined(server int) {
 	for _, e := range d.entries {
-		e.gone[server] = false
+		e.removed[server] = false
 	}
 }
 
-func (d *direct) Waiting() int {
+func (d *baseline) Waiting() int {
 	n := 0
 	for _, q := range d.queues {
 		n += len(q.waiting)
@@ -198,4 +201,4 @@
 	return n
 }
 
-func (d *direct) Cross() (handed, far int) { return 0, 0 }
+func (d *baseline) HandOvers() (handedOver, crossDomain int) { return 0, 0 }
--- a/internal/exper/policy/line.go
+++ b/internal/exper/policy/line.go
@@ -7,32 +7,33 @@
 	"mangowinch/internal/work/result"
 )
 
-// line is the baseline for admission: first come first served, by count only.
-type line struct {
+// fcfsGate is the baseline for admission: a first-come-first-served queue whose only limit is the number
+// of waiting requests per class.
+type fcfsGate struct {
 	limits    admit.Limits
-	unlimited bool // nothing is refused, nothing given up on
+	unlimited bool // requests are neither refused nor expired
 	running   map[uint64]bool
 	waiting   []admit.Request
 	measured  admit.ClassStats
 }
 
-func newLine(l admit.Limits, unlimited bool) *line {
-	return &line{limits: l, unlimited: unlimited, running: map[uint64]bool{}}
+func newFCFSGate(l admit.Limits, unlimited bool) *fcfsGate {
+	return &fcfsGate{limits: l, unlimited: unlimited, running: map[uint64]bool{}}
 }
 
-func (g *line) Arrive(_ time.Time, r admit.Request) admit.Decision {
+func (g *fcfsGate) Arrive(_ time.Time, r admit.Request) admit.Decision {
 	if len(g.running) < g.limits.Slots {
 		g.running[r.ID] = true
 		return admit.Decision{Verdict: admit.Run}
 	}
-	if !g.unlimited && g.count(r.Class) >= kindOf(g.limits.Classes, r.Class).Queue {
+	if !g.unlimited && g.count(r.Class) >= classByName(g.limits.Classes, r.Class).Queue {
 		return admit.Decision{Verdict: admit.Refuse, Reason: result.QueueFull, RetryAfter: time.Second}
 	}
 	g.waiting = append(g.waiting, r)
 	return admit.Decision{Verdict: admit.Wait}
 }
 
-func (g *line) count(class string) int {
+func (g *fcfsGate) count(class string) int {
 	n := 0
 	for _, w := range g.waiting {
 		if w.Class == class {
@@ -42,7 +43,7 @@
 	return n
 }
 
-func (g *line) Done(now time.Time, id uint64, took time.Duration) (c admit.Change) {
+func (g *fcfsGate) Done(now time.Time, id uint64, took time.Duration) (c admit.Change) {
 	delete(g.running, id)
 	if took > 0 {
 		g.measured.Runs++
@@ -61,11 +62,11 @@
 	return c
 }
 
-func (g *line) Expire(time.Time) admit.Change { return admit.Change{} }
+func (g *fcfsGate) Expire(time.Time) admit.Change { return admit.Change{} }
 
-func (g *line) NextExpiry() time.Time { return time.Time{} }
+func (g *fcfsGate) NextExpiry() time.Time { return time.Time{} }
 
-func (g *line) Drain() (ids []uint64) {
+func (g *fcfsGate) Drain() (ids []uint64) {
 	for _, r := range g.waiting {
 		ids = append(ids, r.ID)
 	}
@@ -73,8 +74,8 @@
 	return ids
 }
 
-func (g *line) RetryAfter(time.Time) time.Duration { return time.Second }
+func (g *fcfsGate) RetryAfter(time.Time) time.Duration { return time.Second }
 
-func (g *line) Stats() admit.Stats {
+func (g *fcfsGate) Stats() admit.Stats {
 	return admit.Stats{Slots: g.limits.Slots, Running: len(g.running), Waiting: len(g.waiting), Classes: []admit.ClassStats{g.measured}}
 }
--- a/internal/exper/policy/policy.go
+++ b/internal/exper/policy/policy.go
@@ -1,16 +1,16 @@
-// Package policy has the ways of spreading and admitting requests that the
-// experiments compare: the product's own decision code, driven as a process would
-// drive it, and the usual rules as baselines.
+// Package policy implements the policies for placement and admission that the experiments compare:
+// mangowinch's own decision code, called as the agents call it, and common policies as baselines.
 //
-// The baselines are balancers in front of the servers: four entries, each with its
-// own counts, which place each request without a hop, in front of a
-// first-come-first-served queue at each server, with the same bound as the product's. They try
-// a refused request at up to two more servers. That favours them: the product's
-// requests arrive at the agent that holds the connection and pay for each hop.
+// Most placement baselines are balancers in front of the servers: four entries, each with its own counts,
+// place requests directly, without a hop. Each server has a first-come-first-served queue with the same limit
+// as mangowinch's. A refused request is tried at up to two more servers. This model favours the baselines,
+// because mangowinch's requests arrive at the agent that holds the connection, and each hop takes time.
+//
+// Package policy makes no decisions for production use.
 //
 // # Usage
 //
-//	system := policy.New(policy.Own, world)
+//	system := policy.New(policy.Mangowinch, env)
 //	system.Submit(job, func(a policy.Answer) { ... })
 package policy
 
@@ -32,80 +32,82 @@
 
 // The policies.
 const (
-	Own       Name = "mangowinch"        // admit, queue, place and retry
-	RoundTurn Name = "round robin"       // baseline
-	Random    Name = "random"            // baseline
-	Least     Name = "least connections" // baseline
-	Reported  Name = "least reported"    // baseline: the least busy by the servers' own lagging reports
-	ByFlow    Name = "by flow"           // baseline: a request runs where its connection is, first come first served, bounded
-	Fifo      Name = "fcfs queue"        // own placement, but first come first served, bounded
-	Unlimited Name = "no limit"          // own placement, but nothing is refused and no deadline is told
+	Mangowinch       Name = "mangowinch"        // packages admit, queue, place and retry
+	RoundRobin       Name = "round robin"       // baseline
+	Random           Name = "random"            // baseline
+	LeastConnections Name = "least connections" // baseline
+	LeastReported    Name = "least reported"    // baseline: lowest load by the servers' own delayed reports
+	ByFlow           Name = "by flow"           // baseline: bounded FCFS queue at the agent that holds the connection
+	FCFS             Name = "fcfs queue"        // mangowinch's placement with a bounded FCFS queue
+	Unlimited        Name = "no limit"          // mangowinch's placement with an unbounded FCFS queue and no deadlines at servers
 )
 
-// Names lists all policies in the order of the tables.
-var Names = []Name{Own, RoundTurn, Random, Least, Reported, ByFlow, Fifo, Unlimited}
+// Names lists all policies, in the order of the tables.
+var Names = []Name{Mangowinch, RoundRobin, Random, LeastConnections, LeastReported, ByFlow, FCFS, Unlimited}
 
-// World is what a policy acts in.
-type World struct {
-	Loop    *loop.Loop
-	Servers []*fakes.Server
-	Limits  admit.Limits  // Slots are each server's own
-	Near    time.Duration // one way between agents of a failure domain
-	Far     time.Duration // one way between failure domains
-	Random  *rand.Rand
-	Tuning  Tuning
+// Env is the simulated environment of a policy.
+type Env struct {
+	Loop             *loop.Loop
+	Servers          []*fakes.Server
+	Limits           admit.Limits  // Slots is set for each server
+	IntraDomainDelay time.Duration // one way, between agents of one failure domain
+	InterDomainDelay time.Duration // one way, between failure domains
+	Random           *rand.Rand
+	Tuning           Tuning
 }
 
-// Tuning are thresholds that an experiment changes.
+// Tuning holds the thresholds that an experiment can change.
 type Tuning struct {
-	Admit  admit.Rules
-	Place  place.Rules
-	Retry  retry.Rules
-	Report time.Duration // between two reports of an agent to its peers; 0: they only ride on replies
-	Usage  time.Duration // time constant of the share of slot time in a report
+	Admit          admit.Rules
+	Place          place.Rules
+	Retry          retry.Rules
+	ReportInterval time.Duration // between two reports of an agent to its peers; 0: reports are sent in replies only
+	UsageWindow    time.Duration // time constant of the share of slot time in a report
 }
 
-// Tuned are the thresholds in use.
-var Tuned = Tuning{
-	Admit: admit.Default,
-	Place: place.Default,
-	Retry: retry.Default,
-	Usage: time.Second,
+// DefaultTuning holds the thresholds that mangowinch uses.
+var DefaultTuning = Tuning{
+	Admit:       admit.Default,
+	Place:       place.Default,
+	Retry:       retry.Default,
+	UsageWindow: time.Second,
 }
 
-// Answer is what a caller gets.
+// Answer is the answer to a caller.
 type Answer struct {
-	End    fakes.End     // Shed: refused as not run
-	Reason result.Reason // of a refusal
-	After  time.Duration // of a refusal
+	End        fakes.End
+	Reason     result.Reason // of a refusal (Shed)
+	RetryAfter time.Duration // in a refusal: when the caller may retry
 }
 
-// System takes requests and hears of servers that come and go.
+// System places and runs requests, and is notified when servers leave and join.
 type System interface {
+	// Submit calls answer when the request ends, possibly before Submit returns.
 	Submit(j *fakes.Job, answer func(Answer))
-	// Leaving says that a server takes no new work from now on. Only the process
-	// beside it hears it at once.
+	// Leaving notifies the system that a server, given by its index, accepts no new work from now on. Only
+	// the process beside the server knows at once.
 	Leaving(server int)
-	// Joined says that a server was started.
+	// Joined notifies the system that a server was started.
 	Joined(server int)
-	// Waiting returns how many requests wait in queues.
+	// Waiting returns the number of requests in queues.
 	Waiting() int
-	// Cross returns how many requests were handed to another server's agent, and how
-	// many of them to another failure domain.
-	Cross() (handed, far int)
+	// HandOvers returns the number of hand-overs to another server's agent, retries included, and the number
+	// of these that crossed failure domains.
+	HandOvers() (handedOver, crossDomain int)
 }
 
-// New returns a system of the given policy.
-func New(n Name, w *World) System {
+// New returns a system that applies the given policy.
+func New(n Name, env *Env) System {
 	switch n {
-	case RoundTurn, Random, Least, Reported:
-		return newDirect(n, w)
+	case RoundRobin, Random, LeastConnections, LeastReported:
+		return newBaseline(n, env)
 	default:
-		return newAgents(n, w)
+		return newAgents(n, env)
 	}
 }
 
-func kindOf(classes []docs.Class, name string) docs.Class {
+// classByName returns the class with the given name, or a zero Class.
+func classByName(classes []docs.Class, name string) docs.Class {
 	for _, c := range classes {
 		if c.Name == name {
 			return c
