--- a/internal/ctrl/wire/doc.go
+++ b/internal/ctrl/wire/doc.go
@@ -1,6 +1,6 @@
-// Package wire is what control sends between processes: messages in protobuf,
-// the service in drpc. It is generated from wire.proto and holds no logic;
-// package relay says what the messages mean.
+// Package wire defines the protobuf messages and the drpc service that processes use to exchange control
+// state. It is generated from wire.proto and contains no logic; package relay defines what the messages
+// mean.
 //
 // # Usage
 //
--- a/internal/ctrl/wire/wire_test.go
+++ b/internal/ctrl/wire/wire_test.go
@@ -8,8 +8,8 @@
 	"mangowinch/internal/stand/described"
 )
 
-// Guards against messages and calls that change their names or numbers: old and new processes run side by side during an
-// update.
+// Guards against changes of the names or numbers of messages and calls: processes of the old and the new
+// version run at the same time during an update.
 func TestWireNames(t *testing.T) {
 	golden.Assert(t, described.File(File_wire_proto)+described.Calls(DRPCRelayDescription{}), "names.golden")
 }
--- a/internal/work/wire/wire.go
+++ b/internal/work/wire/wire.go
@@ -1,6 +1,6 @@
-// Package wire holds the messages and the drpc service by which one agent hands a
-// request to another. It is generated from hand.proto; package hand gives the
-// messages their meaning and is the only one to use them.
+// Package wire defines the protobuf messages and the drpc service with which an agent hands over a request
+// to another agent. It is generated from hand.proto and contains no logic; package hand defines what the
+// messages mean and is their only user.
 //
 // # Usage
 //
