--- a/cmd/bench/feeds.go
+++ b/cmd/bench/feeds.go
@@ -25,9 +25,9 @@
 	fmt.Printf("%-12s %6s %6s %10s %14s %14s\n", "half", "killed", "whole", "bytes", "first ended", "last ended")
 	for _, h := range []struct {
 		name string
-		half feeds.Half
+		half feeds.Phase
 	}{{"undisturbed", r.Undisturbed}, {"disturbed", r.Disturbed}} {
-		fmt.Printf("%-12s %6d %6d %10d %14s %14s\n", h.name, h.half.Killed, h.half.Whole, h.half.Bytes,
+		fmt.Printf("%-12s %6d %6d %10d %14s %14s\n", h.name, h.half.Killed, h.half.Complete, h.half.Bytes,
 			h.half.Times[0].Round(time.Millisecond), h.half.Last().Round(time.Millisecond))
 	}
 	fmt.Printf("last feed disturbed, to undisturbed: %.4f\n", float64(r.Disturbed.Last())/float64(r.Undisturbed.Last()))
--- a/cmd/bench/main.go
+++ b/cmd/bench/main.go
@@ -84,8 +84,8 @@
 	}
 	fmt.Printf("%6s %8s %8s %8s %6s %8s %10s %10s %12s\n", "times", "sent", "in time", "refused", "rest", "goodput", "p50", "p99", "refusal p99")
 	for _, r := range rows {
-		fmt.Printf("%6.1f %8d %8d %8d %6d %7.1f%% %10s %10s %12s\n", r.Times, r.Sent, r.InTime, r.Refused, r.Rest, 100*r.Goodput,
-			r.P50.Round(100*time.Microsecond), r.P99.Round(100*time.Microsecond), r.Refusal99.Round(100*time.Microsecond))
+		fmt.Printf("%6.1f %8d %8d %8d %6d %7.1f%% %10s %10s %12s\n", r.Times, r.Sent, r.InTime, r.Refused, r.Other, 100*r.Goodput,
+			r.P50.Round(100*time.Microsecond), r.P99.Round(100*time.Microsecond), r.RefusalP99.Round(100*time.Microsecond))
 	}
 	return nil
 }
@@ -108,9 +108,9 @@
 	fmt.Printf("flows opened and closed: %.0f a second, %d failed\n", r.Rate, r.Failed)
 	fmt.Printf("%8s %12s %12s %8s\n", "flows", "agent KiB", "entry KiB", "answered")
 	for _, p := range r.Points {
-		fmt.Printf("%8d %12d %12d %8d\n", p.Flows, p.Agent>>10, p.Entry>>10, p.Heard)
+		fmt.Printf("%8d %12d %12d %8d\n", p.Flows, p.Agent>>10, p.Entry>>10, p.Answered)
 	}
-	fmt.Printf("agent: %.1f MB and %.1f KB a flow of its own, R squared %.4f\n", r.Base/1e6, r.PerAgentFlow/1e3, r.Fit)
+	fmt.Printf("agent: %.1f MB and %.1f KB a flow of its own, R squared %.4f\n", r.BaseMemory/1e6, r.PerAgentFlow/1e3, r.RSquared)
 	fmt.Printf("entry: %.3f KB a flow of the deployment\n", r.PerEntryFlow/1e3)
 	return nil
 }
--- a/cmd/standin/faults.go
+++ b/cmd/standin/faults.go
@@ -26,7 +26,7 @@
 	results, err := faults.Run(ctx, faults.Settings{
 		Deployment: c.Deployment,
 		Binaries:   c.Binaries,
-		First:      c.First,
+		FirstSeed:  c.First,
 		Seeds:      c.Seeds,
 		Only:       c.Only,
 		Verbose:    c.Verbose,
--- a/cmd/standin/serve.go
+++ b/cmd/standin/serve.go
@@ -51,11 +51,11 @@
 // Run carries datagrams until the context ends.
 func (c *fabricCommand) Run(ctx context.Context, log zerolog.Logger) error {
 	f, err := fabric.Listen(fabric.Settings{
-		Services: c.Service,
-		Entries:  c.Entry,
-		Idle:     c.Idle,
-		Callers:  c.Callers,
-		Log:      log,
+		Services:    c.Service,
+		Entries:     c.Entry,
+		IdleTimeout: c.Idle,
+		MaxCallers:  c.Callers,
+		Log:         log,
 	})
 	if err != nil {
 		return err
@@ -81,13 +81,13 @@
 // Run serves until the context ends, then drains.
 func (c *serverCommand) Run(ctx context.Context, log zerolog.Logger) error {
 	settings := server.Settings{
-		Slots:   c.Slots,
-		Queue:   c.Queue,
-		Service: c.Service,
-		Cold:    c.Cold,
-		Lag:     c.Lag,
-		Lie:     c.Lie,
-		Log:     log,
+		Slots:       c.Slots,
+		Queue:       c.Queue,
+		ServiceTime: c.Service,
+		WarmUp:      c.Cold,
+		Lag:         c.Lag,
+		ReportIdle:  c.Lie,
+		Log:         log,
 	}
 	if c.Journal != "" {
 		file, err := os.OpenFile(c.Journal, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
--- a/internal/bench/feeds/feeds.go
+++ b/internal/bench/feeds/feeds.go
@@ -41,21 +41,21 @@
 	Length     time.Duration
 }
 
-// Half is one half of a run.
-type Half struct {
-	Whole  int             // feeds of which every byte came
-	Bytes  int             // received by all feeds
-	Times  []time.Duration // from asking to the end, ascending
-	Killed int             // entries killed
+// Phase is one half of a run.
+type Phase struct {
+	Complete int             // feeds of which every byte came
+	Bytes    int             // received by all feeds
+	Times    []time.Duration // from asking to the end, ascending
+	Killed   int             // entries killed
 }
 
 // Last returns when the last feed ended.
-func (h Half) Last() time.Duration { return h.Times[len(h.Times)-1] }
+func (h Phase) Last() time.Duration { return h.Times[len(h.Times)-1] }
 
 // Report is what was measured.
 type Report struct {
-	Undisturbed Half
-	Disturbed   Half
+	Undisturbed Phase
+	Disturbed   Phase
 }
 
 // Measure starts the deployment and runs both halves.
@@ -74,7 +74,7 @@
 }
 
 // half opens the feeds, disturbs them and waits for their ends.
-func half(ctx context.Context, f *fleet.Fleet, p Plan, disturb func(context.Context, *fleet.Fleet, time.Duration) (int, error)) (h Half, err error) {
+func half(ctx context.Context, f *fleet.Fleet, p Plan, disturb func(context.Context, *fleet.Fleet, time.Duration) (int, error)) (h Phase, err error) {
 	group, ctx := errgroup.WithContext(ctx)
 	answers := make(chan ended, p.Feeds)
 	for i := range p.Feeds {
@@ -91,14 +91,14 @@
 		})
 	}
 	if err := group.Wait(); err != nil {
-		return Half{}, err
+		return Phase{}, err
 	}
 	close(answers)
 	for e := range answers {
 		h.Bytes += e.bytes
 		h.Times = append(h.Times, e.took)
 		if e.whole {
-			h.Whole++
+			h.Complete++
 		}
 	}
 	slices.Sort(h.Times)
--- a/internal/bench/flows/flows.go
+++ b/internal/bench/flows/flows.go
@@ -48,10 +48,10 @@
 
 // Point is the memory at one number of open flows.
 type Point struct {
-	Flows int
-	Agent int64 // resident bytes, mean of the agents
-	Entry int64 // resident bytes, mean of the entries
-	Heard int   // flows that answered a request after settling
+	Flows    int
+	Agent    int64 // resident bytes, mean of the agents
+	Entry    int64 // resident bytes, mean of the entries
+	Answered int   // flows that answered a request after settling
 }
 
 // Report is what was measured.
@@ -59,8 +59,8 @@
 	Agents, Entries int
 	Points          []Point
 	PerAgentFlow    float64 // bytes of an agent for each of its flows: slope of the fit
-	Base            float64 // bytes of an agent without flows: intercept
-	Fit             float64 // R squared
+	BaseMemory      float64 // bytes of an agent without flows: intercept
+	RSquared        float64 // R squared
 	PerEntryFlow    float64 // bytes of an entry for each flow of the deployment: slope
 	Rate            float64 // flows opened, used once and closed in a second
 	Failed          int64   // flows that did not open
@@ -103,12 +103,12 @@
 	base := s.Callers[0].Networks[0].Addr().As4()
 	base[3] = byte(1 + i%250)
 	return client.Dial(ctx, client.Settings{
-		Local:   netip.AddrFrom4(base),
-		Service: s.Address,
-		Name:    s.Name,
-		Roots:   f.Roots,
-		Idle:    idleLimit,
-		Alive:   keepAlive,
+		Local:       netip.AddrFrom4(base),
+		Service:     s.Address,
+		Name:        s.Name,
+		Roots:       f.Roots,
+		IdleTimeout: idleLimit,
+		KeepAlive:   keepAlive,
 	})
 }
 
@@ -147,7 +147,7 @@
 		})
 	}
 	_ = g.Wait() // its functions give no errors
-	p.Heard = int(heard.Load())
+	p.Answered = int(heard.Load())
 	time.Sleep(settle)
 	var names []string
 	for _, n := range f.Agents(service) {
@@ -222,7 +222,7 @@
 		agent = append(agent, float64(p.Agent))
 		entry = append(entry, float64(p.Entry))
 	}
-	r.Base, r.PerAgentFlow = stat.LinearRegression(flows, agent, nil, false)
-	r.Fit = stat.RSquared(flows, agent, nil, r.Base, r.PerAgentFlow)
+	r.BaseMemory, r.PerAgentFlow = stat.LinearRegression(flows, agent, nil, false)
+	r.RSquared = stat.RSquared(flows, agent, nil, r.BaseMemory, r.PerAgentFlow)
 	_, r.PerEntryFlow = stat.LinearRegression(all, entry, nil, false)
 }
--- a/internal/bench/load/load.go
+++ b/internal/bench/load/load.go
@@ -49,14 +49,14 @@
 
 // Row is one load.
 type Row struct {
-	Times     float64
-	Sent      int
-	InTime    int           // whole answers within the deadline
-	Refused   int           // not run
-	Rest      int           // late, unknown, or without an answer
-	Goodput   float64       // InTime as a share of what the slots can do in the time
-	P50, P99  time.Duration // of whole answers
-	Refusal99 time.Duration // p99 until a refusal was answered
+	Times      float64
+	Sent       int
+	InTime     int           // whole answers within the deadline
+	Refused    int           // not run
+	Other      int           // late, unknown, or without an answer
+	Goodput    float64       // InTime as a share of what the slots can do in the time
+	P50, P99   time.Duration // of whole answers
+	RefusalP99 time.Duration // p99 until a refusal was answered
 }
 
 // Measure starts the deployment and puts the loads on it, one after the other.
@@ -95,7 +95,7 @@
 		base := caller.Networks[0].Addr().As4()
 		base[3] = byte(1 + i%250)
 		g.Go(func() (err error) {
-			flows[i], err = client.Dial(ctx, client.Settings{Local: netip.AddrFrom4(base), Service: s.Address, Name: s.Name, Roots: f.Roots, Alive: time.Second})
+			flows[i], err = client.Dial(ctx, client.Settings{Local: netip.AddrFrom4(base), Service: s.Address, Name: s.Name, Roots: f.Roots, KeepAlive: time.Second})
 			return err
 		})
 	}
@@ -140,7 +140,7 @@
 	t.row.Goodput = float64(t.row.InTime) / (p.capacity(s) * p.Length.Seconds())
 	t.row.P50 = time.Duration(t.whole.ValueAtQuantile(50)) * time.Microsecond
 	t.row.P99 = time.Duration(t.whole.ValueAtQuantile(99)) * time.Microsecond
-	t.row.Refusal99 = time.Duration(t.refuse.ValueAtQuantile(99)) * time.Microsecond
+	t.row.RefusalP99 = time.Duration(t.refuse.ValueAtQuantile(99)) * time.Microsecond
 	return t.row
 }
 
@@ -174,6 +174,6 @@
 		t.row.Refused++
 		_ = t.refuse.RecordValue(took)
 	default:
-		t.row.Rest++
+		t.row.Other++
 	}
 }
--- a/internal/ctrl/fetch/names_test.go
+++ b/internal/ctrl/fetch/names_test.go
@@ -9,5 +9,5 @@
 
 // Guards against names of the platform's answers that are no longer read: the platform isn't renamed along.
 func TestNames(t *testing.T) {
-	filled.Names(t, "names.golden", map[string]any{"documents": &fetch.List{}, "instances": &fetch.Instances{}})
+	filled.AssertRoundTrip(t, "names.golden", map[string]any{"documents": &fetch.List{}, "instances": &fetch.Instances{}})
 }
--- a/internal/ctrl/relay/names_test.go
+++ b/internal/ctrl/relay/names_test.go
@@ -8,5 +8,5 @@
 
 // Guards against names in /status that change, which operators' tools read.
 func TestStatusNames(t *testing.T) {
-	filled.Written(t, "status.golden", map[string]any{"control": &Status{}})
+	filled.AssertJSON(t, "status.golden", map[string]any{"control": &Status{}})
 }
--- a/internal/load/parts/names_test.go
+++ b/internal/load/parts/names_test.go
@@ -14,7 +14,7 @@
 // the names of the Go fields.
 func TestNames(t *testing.T) {
 	golden.Assert(t, strings.Join(Names(), "\n")+"\n", "settings.golden")
-	filled.Names(t, "logged.golden", map[string]any{"parts": &Off{}})
+	filled.AssertRoundTrip(t, "logged.golden", map[string]any{"parts": &Off{}})
 }
 
 // Guards against a mechanism that has no name, or that another one's name switches off.
--- a/internal/node/agent/share_test.go
+++ b/internal/node/agent/share_test.go
@@ -99,7 +99,7 @@
 			name := fmt.Sprintf("burst%d", i)
 			a := z.sendClaim(c, name, "")
 			attempts[i] = check.Attempt{
-				Token: name, Service: service, Once: true, Steady: true, Outcome: a.Outcome, Reason: a.Reason,
+				Token: name, Service: service, AtMostOnce: true, MustComplete: true, Outcome: a.Outcome, Reason: a.Reason,
 				Want: answerTo(name), Got: a.Body,
 			}
 		})
@@ -217,7 +217,7 @@
 	key = z.requestKey(other)
 	z.freeze(frozen)
 	a = z.sendClaim(elsewhere, "frozen", key)
-	z.Process(frozen).Wake()
+	z.Process(frozen).Resume()
 	assert.Equal(t, a.Outcome, result.Unknown, "%+v", a)
 	assert.Equal(t, z.sendClaim(other, "after", "").Outcome, result.Ran)
 	assert.Equal(t, len(z.agentsThatRan("frozen")), 0)
--- a/internal/node/start/names_test.go
+++ b/internal/node/start/names_test.go
@@ -8,5 +8,5 @@
 
 // Guards against names in /status that change: the verbs of one version ask processes of another during an update.
 func TestStatusNames(t *testing.T) {
-	filled.Names(t, "status.golden", map[string]any{"process": &Process{}, "documents": &[]Document{}})
+	filled.AssertRoundTrip(t, "status.golden", map[string]any{"process": &Process{}, "documents": &[]Document{}})
 }
--- a/internal/oper/admin/names_test.go
+++ b/internal/oper/admin/names_test.go
@@ -9,5 +9,5 @@
 // Guards against changed names in /status: operators' tools read them, and during an update the tools of one version query
 // processes of another.
 func TestNames(t *testing.T) {
-	filled.Names(t, "names.golden", map[string]any{"report": &Report{}, "reason": &Reason{}})
+	filled.AssertRoundTrip(t, "names.golden", map[string]any{"report": &Report{}, "reason": &Reason{}})
 }
--- a/internal/stand/check/check.go
+++ b/internal/stand/check/check.go
@@ -22,43 +22,43 @@
 	"mangowinch/internal/work/result"
 )
 
-// LeavingWithin is how long a server that was told to leave may take new work.
-const LeavingWithin = 3 * time.Second
+// LeaveGrace is how long a server that was told to leave may take new work.
+const LeaveGrace = 3 * time.Second
 
 // Rule names what was violated.
 type Rule string
 
 // The rules.
 const (
-	Twice    Rule = "twice"    // a request that is not idempotent ran more than once
-	Lied     Rule = "lied"     // told not-run, and it ran
-	Ghost    Rule = "ghost"    // told ran, and no history has it
-	Foreign  Rule = "foreign"  // the answer of another request
-	Partial  Rule = "partial"  // taken for whole, and is not
-	Cut      Rule = "cut"      // had to survive the fault, and did not
-	Crossed  Rule = "crossed"  // ran at another service
-	Late     Rule = "late"     // new work at a server that had been told to leave
-	Stranger Rule = "stranger" // ran, and no caller asked for it
-	Reverted Rule = "reverted" // an accepted document is not in force; found by runs, not by Check
-	Grown    Rule = "grown"    // a process took more memory than it may; found by runs, not by Check
-	Stuck    Rule = "stuck"    // a process did not start or stop as it must; found by runs, not by Check
+	RanTwice      Rule = "twice"    // a request that is not idempotent ran more than once
+	FalseNotRun   Rule = "lied"     // told not-run, and it ran
+	FalseRan      Rule = "ghost"    // told ran, and no history has it
+	WrongAnswer   Rule = "foreign"  // the answer of another request
+	Truncated     Rule = "partial"  // taken for whole, and is not
+	Interrupted   Rule = "cut"      // had to survive the fault, and did not
+	WrongService  Rule = "crossed"  // ran at another service
+	LateWork      Rule = "late"     // new work at a server that had been told to leave
+	Unrequested   Rule = "stranger" // ran, and no caller asked for it
+	Reverted      Rule = "reverted" // an accepted document is not in force; found by runs, not by Check
+	TooMuchMemory Rule = "grown"    // a process took more memory than it may; found by runs, not by Check
+	Stuck         Rule = "stuck"    // a process did not start or stop as it must; found by runs, not by Check
 )
 
 // Attempt is one request as its caller saw it. A repeat with a request key counts
 // as one attempt with its first try, with the outcome of the last.
 type Attempt struct {
-	Token   string // unique in the run, part of the path
-	Service string
-	Once    bool // not idempotent
-	Steady  bool // must come to its end whole in spite of the fault
-	Long    bool // a feed or an upload
-	Outcome result.Outcome
-	Reason  string
-	Want    string // the whole answer
-	Got     string // as far as it came
-	Err     string // why the answer is not whole, empty if the caller takes it for whole
-	Begun   time.Time
-	Ended   time.Time
+	Token        string // unique in the run, part of the path
+	Service      string
+	AtMostOnce   bool // not idempotent
+	MustComplete bool // must come to its end whole in spite of the fault
+	Long         bool // a feed or an upload
+	Outcome      result.Outcome
+	Reason       string
+	Want         string // the whole answer
+	Got          string // as far as it came
+	Err          string // why the answer is not whole, empty if the caller takes it for whole
+	Begun        time.Time
+	Ended        time.Time
 }
 
 // Execution is one request that ran, by the history of its server.
@@ -107,7 +107,7 @@
 	}
 	for _, e := range r.Executions {
 		if !asked[e.Token] {
-			violations = append(violations, Violation{Stranger, e.Token, "ran at " + e.Server})
+			violations = append(violations, Violation{Unrequested, e.Token, "ran at " + e.Server})
 		}
 	}
 	violations = append(violations, checkLeaving(r)...)
@@ -119,28 +119,28 @@
 	add := func(rule Rule, detail string) {
 		violations = append(violations, Violation{rule, a.Token, detail})
 	}
-	if a.Once && len(ran) > 1 {
-		add(Twice, "ran at "+places(ran))
+	if a.AtMostOnce && len(ran) > 1 {
+		add(RanTwice, "ran at "+places(ran))
 	}
 	if a.Outcome == result.NotRun && len(ran) > 0 {
-		add(Lied, "ran at "+places(ran)+", reason "+a.Reason)
+		add(FalseNotRun, "ran at "+places(ran)+", reason "+a.Reason)
 	}
 	if a.Outcome == result.Ran && len(ran) == 0 {
-		add(Ghost, "in no history")
+		add(FalseRan, "in no history")
 	}
 	for _, e := range ran {
 		if e.Service != a.Service {
-			add(Crossed, "asked of "+a.Service+", ran at "+e.Service+" "+e.Server)
+			add(WrongService, "asked of "+a.Service+", ran at "+e.Service+" "+e.Server)
 		}
 	}
 	switch {
 	case a.Outcome == result.Ran && a.Got != "" && !strings.Contains(firstLine(a.Got), a.Token):
-		add(Foreign, fmt.Sprintf("got %.80q", a.Got))
+		add(WrongAnswer, fmt.Sprintf("got %.80q", a.Got))
 	case a.Outcome == result.Ran && a.Err == "" && a.Got != a.Want:
-		add(Partial, fmt.Sprintf("got %d bytes of %d", len(a.Got), len(a.Want)))
+		add(Truncated, fmt.Sprintf("got %d bytes of %d", len(a.Got), len(a.Want)))
 	}
-	if a.Steady && (a.Outcome != result.Ran || a.Err != "") {
-		add(Cut, fmt.Sprintf("%s %s after %d bytes of %d in %s: %s", a.Outcome, a.Reason,
+	if a.MustComplete && (a.Outcome != result.Ran || a.Err != "") {
+		add(Interrupted, fmt.Sprintf("%s %s after %d bytes of %d in %s: %s", a.Outcome, a.Reason,
 			len(a.Got), len(a.Want), a.Ended.Sub(a.Begun).Round(time.Millisecond), a.Err))
 	}
 	return violations
@@ -150,8 +150,8 @@
 	for _, l := range r.Leaving {
 		for _, e := range r.Executions {
 			after := e.At.Sub(l.At)
-			if e.Service == l.Service && e.Server == l.Server && after > LeavingWithin {
-				violations = append(violations, Violation{Late, e.Token,
+			if e.Service == l.Service && e.Server == l.Server && after > LeaveGrace {
+				violations = append(violations, Violation{LateWork, e.Token,
 					fmt.Sprintf("began at %s %s after it was told to leave", e.Server, after.Round(time.Millisecond))})
 			}
 		}
--- a/internal/stand/check/check_test.go
+++ b/internal/stand/check/check_test.go
@@ -14,7 +14,7 @@
 
 func attempt(change func(*Attempt)) Attempt {
 	a := Attempt{
-		Token: "t1", Service: "tracing-core", Once: true, Outcome: result.Ran,
+		Token: "t1", Service: "tracing-core", AtMostOnce: true, Outcome: result.Ran,
 		Want: "/lookup/t1 t1\n", Got: "/lookup/t1 t1\n", Begun: start, Ended: start.Add(time.Second),
 	}
 	if change != nil {
@@ -31,28 +31,28 @@
 func TestEachViolationIsCaught(t *testing.T) {
 	ran := []Execution{execution("tracing-core", "s1", 0)}
 	tests := map[Rule]Run{
-		Twice: {
+		RanTwice: {
 			Attempts:   []Attempt{attempt(nil)},
 			Executions: []Execution{execution("tracing-core", "s1", 0), execution("tracing-core", "s2", 0)},
 		},
-		Lied: {
+		FalseNotRun: {
 			Attempts:   []Attempt{attempt(func(a *Attempt) { a.Outcome, a.Got, a.Err = result.NotRun, "", "503" })},
 			Executions: ran,
 		},
-		Ghost:   {Attempts: []Attempt{attempt(nil)}},
-		Foreign: {Attempts: []Attempt{attempt(func(a *Attempt) { a.Got = "/lookup/t2 t2\n" })}, Executions: ran},
-		Partial: {Attempts: []Attempt{attempt(func(a *Attempt) { a.Got = "/lookup/t1" })}, Executions: ran},
-		Cut: {
-			Attempts:   []Attempt{attempt(func(a *Attempt) { a.Steady, a.Outcome, a.Err = true, result.Unknown, "timeout" })},
+		FalseRan:    {Attempts: []Attempt{attempt(nil)}},
+		WrongAnswer: {Attempts: []Attempt{attempt(func(a *Attempt) { a.Got = "/lookup/t2 t2\n" })}, Executions: ran},
+		Truncated:   {Attempts: []Attempt{attempt(func(a *Attempt) { a.Got = "/lookup/t1" })}, Executions: ran},
+		Interrupted: {
+			Attempts:   []Attempt{attempt(func(a *Attempt) { a.MustComplete, a.Outcome, a.Err = true, result.Unknown, "timeout" })},
 			Executions: ran,
 		},
-		Crossed: {Attempts: []Attempt{attempt(nil)}, Executions: []Execution{execution("doc-intake", "s1", 0)}},
-		Late: {
+		WrongService: {Attempts: []Attempt{attempt(nil)}, Executions: []Execution{execution("doc-intake", "s1", 0)}},
+		LateWork: {
 			Attempts:   []Attempt{attempt(nil)},
 			Executions: []Execution{execution("tracing-core", "s1", 3001*time.Millisecond)},
 			Leaving:    []Leave{{Service: "tracing-core", Server: "s1", At: start}},
 		},
-		Stranger: {Executions: ran},
+		Unrequested: {Executions: ran},
 	}
 	for rule, run := range tests {
 		violations := Check(run)
@@ -68,7 +68,7 @@
 		r.Leaving = []Leave{{Service: "tracing-core", Server: "s9", At: start}}
 		for _, token := range rapid.SliceOfNDistinct(rapid.StringMatching("t[0-9]{6}"), 0, 20, rapid.ID[string]).Draw(t, "tokens") {
 			a := attempt(func(a *Attempt) { a.Token, a.Want, a.Got = token, token, token })
-			a.Once = rapid.Bool().Draw(t, "once")
+			a.AtMostOnce = rapid.Bool().Draw(t, "once")
 			a.Outcome = result.Outcome(rapid.IntRange(0, 2).Draw(t, "outcome"))
 			runs := 1
 			switch {
@@ -76,7 +76,7 @@
 				runs, a.Got = 0, ""
 			case a.Outcome == result.Unknown:
 				runs, a.Got, a.Err = rapid.IntRange(0, 1).Draw(t, "runs"), "", "lost"
-			case !a.Once:
+			case !a.AtMostOnce:
 				runs = rapid.IntRange(1, 3).Draw(t, "runs")
 			}
 			r.Attempts = append(r.Attempts, a)
--- a/internal/stand/client/client.go
+++ b/internal/stand/client/client.go
@@ -45,12 +45,12 @@
 
 // Settings say who calls whom.
 type Settings struct {
-	Local   netip.Addr // the caller's own address
-	Service netip.AddrPort
-	Name    string // that the certificate must have
-	Roots   *x509.CertPool
-	Idle    time.Duration // a connection that hears nothing this long is given up, 30 s if 0
-	Alive   time.Duration // how often a packet is sent on an idle connection, never if 0
+	Local       netip.Addr // the caller's own address
+	Service     netip.AddrPort
+	Name        string // that the certificate must have
+	Roots       *x509.CertPool
+	IdleTimeout time.Duration // a connection that hears nothing this long is given up, 30 s if 0
+	KeepAlive   time.Duration // how often a packet is sent on an idle connection, never if 0
 }
 
 // Caller is one QUIC connection.
@@ -69,8 +69,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if s.Idle == 0 {
-		s.Idle = idleTimeout
+	if s.IdleTimeout == 0 {
+		s.IdleTimeout = idleTimeout
 	}
 	c = &Caller{
 		settings:  s,
@@ -80,9 +80,9 @@
 	}
 	tlsConfig := &tls.Config{RootCAs: s.Roots, ServerName: s.Name, NextProtos: []string{http3.NextProtoH3}}
 	config := &quic.Config{
-		MaxIdleTimeout:       s.Idle,
+		MaxIdleTimeout:       s.IdleTimeout,
 		HandshakeIdleTimeout: handshakeTimeout,
-		KeepAlivePeriod:      s.Alive,
+		KeepAlivePeriod:      s.KeepAlive,
 	}
 	conn, err := c.transport.Dial(ctx, net.UDPAddrFromAddrPort(s.Service), tlsConfig, config)
 	if err != nil {
@@ -113,13 +113,13 @@
 
 // Answer is what became of a request.
 type Answer struct {
-	Status  int // 0 if none came
-	Outcome result.Outcome
-	Reason  string
-	Key     string
-	After   string // Retry-After
-	Body    string // as far as it came
-	Err     error  // the answer is not whole
+	Status     int // 0 if none came
+	Outcome    result.Outcome
+	Reason     string
+	Key        string
+	RetryAfter string // Retry-After
+	Body       string // as far as it came
+	Err        error  // the answer is not whole
 }
 
 // Do sends a request and waits for the whole answer.
@@ -144,13 +144,13 @@
 	defer response.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(response.Body, largestAnswer))
 	answer := Answer{
-		Status:  response.StatusCode,
-		Outcome: parseOutcome(response.Header.Get("Outcome")),
-		Reason:  response.Header.Get("Reason"),
-		Key:     response.Header.Get("Request-Key"),
-		After:   response.Header.Get("Retry-After"),
-		Body:    string(body),
-		Err:     err,
+		Status:     response.StatusCode,
+		Outcome:    parseOutcome(response.Header.Get("Outcome")),
+		Reason:     response.Header.Get("Reason"),
+		Key:        response.Header.Get("Request-Key"),
+		RetryAfter: response.Header.Get("Retry-After"),
+		Body:       string(body),
+		Err:        err,
 	}
 	if err != nil && answer.Outcome == result.Ran {
 		answer.Outcome = result.Unknown // the head came, the answer did not
--- a/internal/stand/fabric/fabric.go
+++ b/internal/stand/fabric/fabric.go
@@ -41,11 +41,11 @@
 
 // Settings are the fabric's own.
 type Settings struct {
-	Services []netip.AddrPort // where callers reach the services
-	Entries  []netip.Addr     // the bind addresses of the entries
-	Idle     time.Duration    // a caller silent in both directions this long is forgotten
-	Callers  int              // callers known at a time
-	Log      zerolog.Logger
+	Services    []netip.AddrPort // where callers reach the services
+	Entries     []netip.Addr     // the bind addresses of the entries
+	IdleTimeout time.Duration    // a caller silent in both directions this long is forgotten
+	MaxCallers  int              // callers known at a time
+	Log         zerolog.Logger
 }
 
 // Fabric carries datagrams between callers and entries.
@@ -74,14 +74,14 @@
 // Listen opens the service addresses.
 func Listen(s Settings) (f *Fabric, err error) {
 	defer func() { err = errors.Wrap(err, "open fabric") }()
-	if s.Idle == 0 {
-		s.Idle = defaultIdle
+	if s.IdleTimeout == 0 {
+		s.IdleTimeout = defaultIdle
 	}
-	if s.Callers == 0 {
-		s.Callers = defaultCallers
+	if s.MaxCallers == 0 {
+		s.MaxCallers = defaultCallers
 	}
 	f = &Fabric{settings: s, callers: map[callerKey]*caller{}, plan: newPlan(s.Entries)}
-	f.stats.Entries = map[netip.Addr]*Carried{}
+	f.stats.Entries = map[netip.Addr]*EntryStats{}
 	for _, address := range s.Services {
 		conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 		if err != nil {
@@ -103,7 +103,7 @@
 		group.Go(func() error { return f.readCallers(service, conn) })
 	}
 	group.Go(func() error {
-		ticker := time.NewTicker(f.settings.Idle / 4)
+		ticker := time.NewTicker(f.settings.IdleTimeout / 4)
 		defer ticker.Stop()
 		for {
 			select {
@@ -160,7 +160,7 @@
 	if c := f.callers[key]; c != nil {
 		return c
 	}
-	if f.closed || len(f.callers) >= f.settings.Callers {
+	if f.closed || len(f.callers) >= f.settings.MaxCallers {
 		f.stats.Refused++
 		return nil
 	}
@@ -213,7 +213,7 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for key, c := range f.callers {
-		if now.Sub(c.used) > f.settings.Idle {
+		if now.Sub(c.used) > f.settings.IdleTimeout {
 			c.socket.Close()
 			delete(f.callers, key)
 		}
--- a/internal/stand/fabric/fabric_test.go
+++ b/internal/stand/fabric/fabric_test.go
@@ -32,7 +32,7 @@
 		addresses = append(addresses, address)
 		b.echo(t, netip.AddrPortFrom(address, service.Port()))
 	}
-	f, err := Listen(Settings{Services: []netip.AddrPort{service}, Entries: addresses, Callers: callers})
+	f, err := Listen(Settings{Services: []netip.AddrPort{service}, Entries: addresses, MaxCallers: callers})
 	assert.NilError(t, err)
 	b.fabric = f
 	ctx, cancel := context.WithCancel(context.Background())
@@ -112,18 +112,18 @@
 	b.ask(t)
 	<-b.seen
 
-	b.fabric.SetCut(Cut{Entry: entry, Back: 1})
+	b.fabric.SetLoss(Loss{Entry: entry, Back: 1})
 	_, err := b.caller.Write([]byte("hello"))
 	assert.NilError(t, err)
 	<-b.seen // the entry still hears the caller
 	b.await(func(s Stats) bool { return s.DroppedBack == 1 })
 
-	b.fabric.SetCut(Cut{Entry: entry, Toward: 1})
+	b.fabric.SetLoss(Loss{Entry: entry, Toward: 1})
 	_, err = b.caller.Write([]byte("hello"))
 	assert.NilError(t, err)
 	b.await(func(s Stats) bool { return s.DroppedToward == 1 })
 
-	b.fabric.SetCut(Cut{Entry: entry})
+	b.fabric.SetLoss(Loss{Entry: entry})
 	assert.Equal(t, b.ask(t), "127.0.1.1")
 	<-b.seen
 	assert.Equal(t, len(b.seen), 0) // the datagram cut towards the entry never came
@@ -144,7 +144,7 @@
 
 func TestPartitionHidesEntries(t *testing.T) {
 	b := start(t, "127.0.1.1", "127.0.1.2")
-	b.fabric.SetSides([]Side{{
+	b.fabric.SetPartition([]Side{{
 		Networks: []netip.Prefix{netip.MustParsePrefix("127.0.50.0/24")},
 		Entries:  []netip.Addr{netip.MustParseAddr("127.0.1.2")},
 	}})
--- a/internal/stand/fabric/fault.go
+++ b/internal/stand/fabric/fault.go
@@ -10,26 +10,26 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Carried counts the datagrams of one entry.
-type Carried struct {
+// EntryStats counts the datagrams of one entry.
+type EntryStats struct {
 	Toward uint64 `json:"toward"`
 	Back   uint64 `json:"back"`
 }
 
 // Stats counts what the fabric did.
 type Stats struct {
-	Callers       int                     `json:"callers"` // known now
-	Refused       uint64                  `json:"refused"` // datagrams of callers over the bound
-	DroppedToward uint64                  `json:"droppedToward"`
-	DroppedBack   uint64                  `json:"droppedBack"`
-	Entries       map[netip.Addr]*Carried `json:"entries"`
+	Callers       int                        `json:"callers"` // known now
+	Refused       uint64                     `json:"refused"` // datagrams of callers over the bound
+	DroppedToward uint64                     `json:"droppedToward"`
+	DroppedBack   uint64                     `json:"droppedBack"`
+	Entries       map[netip.Addr]*EntryStats `json:"entries"`
 }
 
 // of returns the counts of an entry. Only entries of the plan are asked for, which bounds the map.
-func (s *Stats) of(entry netip.Addr) *Carried {
+func (s *Stats) of(entry netip.Addr) *EntryStats {
 	c := s.Entries[entry]
 	if c == nil {
-		c = &Carried{}
+		c = &EntryStats{}
 		s.Entries[entry] = c
 	}
 	return c
@@ -42,15 +42,15 @@
 	f.plan.entries = entries
 }
 
-// SetCut sets the loss at one entry.
-func (f *Fabric) SetCut(c Cut) {
+// SetLoss sets the loss at one entry.
+func (f *Fabric) SetLoss(c Loss) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.plan.cuts[c.Entry] = c
 }
 
-// SetSides parts callers and entries; no sides end the partition.
-func (f *Fabric) SetSides(sides []Side) {
+// SetPartition parts callers and entries; no sides end the partition.
+func (f *Fabric) SetPartition(sides []Side) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.plan.sides = sides
@@ -98,7 +98,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	f.SetCut(Cut{Entry: entry, Toward: toward, Back: back})
+	f.SetLoss(Loss{Entry: entry, Toward: toward, Back: back})
 }
 
 func share(text string) (float64, error) {
@@ -118,7 +118,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	f.SetSides(sides)
+	f.SetPartition(sides)
 }
 
 func (f *Fabric) serveStats(w http.ResponseWriter, _ *http.Request) {
--- a/internal/stand/fabric/names_test.go
+++ b/internal/stand/fabric/names_test.go
@@ -8,5 +8,5 @@
 
 // Guards against names of the fabric's requests and answers that change: scripts send and read them.
 func TestNames(t *testing.T) {
-	filled.Names(t, "names.golden", map[string]any{"partition": &[]Side{}, "stats": &Stats{}, "cut": &Cut{}})
+	filled.AssertRoundTrip(t, "names.golden", map[string]any{"partition": &[]Side{}, "stats": &Stats{}, "cut": &Loss{}})
 }
--- a/internal/stand/fabric/plan.go
+++ b/internal/stand/fabric/plan.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// Cut is the share of datagrams lost at one entry, by direction, from 0 to 1.
-type Cut struct {
+// Loss is the share of datagrams lost at one entry, by direction, from 0 to 1.
+type Loss struct {
 	Entry  netip.Addr `json:"entry"`
 	Toward float64    `json:"toward"` // from callers to the entry
 	Back   float64    `json:"back"`   // from the entry to callers
@@ -22,12 +22,12 @@
 // plan says where datagrams may go. It is guarded by the fabric's mutex.
 type plan struct {
 	entries []netip.Addr
-	cuts    map[netip.Addr]Cut
+	cuts    map[netip.Addr]Loss
 	sides   []Side
 }
 
 func newPlan(entries []netip.Addr) plan {
-	return plan{entries: entries, cuts: map[netip.Addr]Cut{}}
+	return plan{entries: entries, cuts: map[netip.Addr]Loss{}}
 }
 
 // choose returns the entry for one datagram of a caller, and false if it is lost.
--- a/internal/stand/faults/faults.go
+++ b/internal/stand/faults/faults.go
@@ -40,7 +40,7 @@
 type Settings struct {
 	Deployment string
 	Binaries   string
-	First      uint64   // first seed
+	FirstSeed  uint64   // first seed
 	Seeds      int      // runs of each scenario
 	Only       []string // parts of the names of scenarios; all if empty
 	Verbose    bool     // print requests of unknown outcome
@@ -49,29 +49,29 @@
 
 // Result is one run.
 type Result struct {
-	Scenario   string
-	Seed       uint64
-	Attempts   int
-	Executions int
-	Outcomes   [3]int // by result.Outcome
-	Caught     Caught
-	Dials      int           // handshakes begun
-	Undialed   int           // handshakes that failed
-	Repeated   int           // requests of unknown outcome sent again with their key
-	Slowest    time.Duration // lookup, from asking to its end
-	Left       time.Duration // from telling a server to leave to its last new request
-	Note       string        // what the scenario measured besides
-	Violations []check.Violation
-	Unknown    []string // requests of unknown outcome, each with what its caller saw
+	Scenario      string
+	Seed          uint64
+	Attempts      int
+	Executions    int
+	Outcomes      [3]int // by result.Outcome
+	Caught        Caught
+	Dials         int           // handshakes begun
+	FailedDials   int           // handshakes that failed
+	Repeated      int           // requests of unknown outcome sent again with their key
+	SlowestLookup time.Duration // lookup, from asking to its end
+	LastNewWork   time.Duration // from telling a server to leave to its last new request
+	Note          string        // what the scenario measured besides
+	Violations    []check.Violation
+	Unknown       []string // requests of unknown outcome, each with what its caller saw
 }
 
 // Caught counts the requests in progress when the first fault struck, by step.
 type Caught struct {
-	Opening int // handshake half done
-	Waiting int // not at a server yet
-	Running int // at a server, nothing of the answer back
-	Midway  int // answer or upload half done
-	Handed  int // of these, at another agent than that of the caller's connection
+	Opening    int // handshake half done
+	Waiting    int // not at a server yet
+	Running    int // at a server, nothing of the answer back
+	Midway     int // answer or upload half done
+	HandedOver int // of these, at another agent than that of the caller's connection
 }
 
 // Run runs each scenario with each seed, one after the other.
@@ -82,7 +82,7 @@
 			continue
 		}
 		for i := range s.Seeds {
-			seed := s.First + uint64(i)
+			seed := s.FirstSeed + uint64(i)
 			r, err := runOne(ctx, s, scenario, seed)
 			if err != nil {
 				return results, errors.Wrapf(err, "%s seed %d", scenario.Name, seed)
@@ -113,16 +113,16 @@
 
 func printResult(out io.Writer, r Result) {
 	left := ""
-	if r.Left > 0 {
-		left = ", last new work " + r.Left.Round(time.Millisecond).String() + " after the word to leave"
+	if r.LastNewWork > 0 {
+		left = ", last new work " + r.LastNewWork.Round(time.Millisecond).String() + " after the word to leave"
 	}
 	if r.Note != "" {
 		left += ", " + r.Note
 	}
 	fmt.Fprintf(out, "%-34s seed %-4d %4d attempts (%d ran, %d not run, %d unknown), %4d executions, caught %d opening %d waiting %d running %d midway (%d handed over), %d repeats, %d of %d handshakes failed, slowest lookup %s%s: %d violations\n",
 		r.Scenario, r.Seed, r.Attempts, r.Outcomes[result.Ran], r.Outcomes[result.NotRun], r.Outcomes[result.Unknown],
-		r.Executions, r.Caught.Opening, r.Caught.Waiting, r.Caught.Running, r.Caught.Midway, r.Caught.Handed,
-		r.Repeated, r.Undialed, r.Dials, r.Slowest.Round(time.Millisecond), left, len(r.Violations))
+		r.Executions, r.Caught.Opening, r.Caught.Waiting, r.Caught.Running, r.Caught.Midway, r.Caught.HandedOver,
+		r.Repeated, r.FailedDials, r.Dials, r.SlowestLookup.Round(time.Millisecond), left, len(r.Violations))
 	for _, v := range r.Violations {
 		fmt.Fprintf(out, "    %s\n", v)
 	}
@@ -183,13 +183,13 @@
 		places[e.Token] = e
 	}
 	answer := Result{
-		Scenario:   r.scenario.Name,
-		Seed:       seed,
-		Attempts:   len(attempts),
-		Executions: len(executions),
-		Dials:      len(r.load.dials),
-		Undialed:   r.load.undialed,
-		Repeated:   r.load.repeated,
+		Scenario:    r.scenario.Name,
+		Seed:        seed,
+		Attempts:    len(attempts),
+		Executions:  len(executions),
+		Dials:       len(r.load.dials),
+		FailedDials: r.load.undialed,
+		Repeated:    r.load.repeated,
 	}
 	for i := range attempts {
 		a := &attempts[i]
@@ -197,20 +197,20 @@
 		// Whatever had come to a server must end whole, unless the fault hit that
 		// server or the agent that holds the caller's connection.
 		hit := r.hit[at.Service+"/"+at.Server] || r.hit[at.Service+"/"+at.Origin]
-		a.Steady = a.Steady && began && !hit
+		a.MustComplete = a.MustComplete && began && !hit
 		answer.Outcomes[a.Outcome]++
 		if a.Outcome == result.Unknown {
 			answer.Unknown = append(answer.Unknown, fmt.Sprintf("%s (%s) after %s, ran at %q: %s %s",
 				a.Token, a.Want[:min(len(a.Want), 10)], a.Ended.Sub(a.Begun).Round(time.Millisecond), at.Server, a.Reason, a.Err))
 		}
 		if !a.Long {
-			answer.Slowest = max(answer.Slowest, a.Ended.Sub(a.Begun))
+			answer.SlowestLookup = max(answer.SlowestLookup, a.Ended.Sub(a.Begun))
 		}
 		answer.Caught.add(*a, at, began, r.struck)
 	}
 	answer.Caught.Opening = r.load.opening(r.struck)
 	answer.Note = r.note
-	answer.Left = lastNew(r.leaving, executions)
+	answer.LastNewWork = lastNew(r.leaving, executions)
 	answer.Violations = append(check.Check(check.Run{
 		Attempts:   attempts,
 		Executions: executions,
@@ -236,7 +236,7 @@
 		return
 	}
 	if began && at.Origin != at.Server {
-		c.Handed++
+		c.HandedOver++
 	}
 	switch {
 	case !began || at.At.After(struck):
--- a/internal/stand/faults/faults_test.go
+++ b/internal/stand/faults/faults_test.go
@@ -55,7 +55,7 @@
 	c.add(open, check.Execution{At: after, Server: "s2", Origin: "s1"}, true, struck)
 	c.add(open, check.Execution{At: before, Server: "s1", Origin: "s1"}, true, struck)
 	c.add(long, check.Execution{At: before, Server: "s1", Origin: "s1"}, true, struck)
-	assert.Equal(t, c, Caught{Waiting: 2, Running: 1, Midway: 1, Handed: 1})
+	assert.Equal(t, c, Caught{Waiting: 2, Running: 1, Midway: 1, HandedOver: 1})
 }
 
 func TestScenarioNamesAreUnique(t *testing.T) {
--- a/internal/stand/faults/flood.go
+++ b/internal/stand/faults/flood.go
@@ -74,7 +74,7 @@
 		total += n
 	}
 	var stats fabric.Stats
-	if err := r.fleet.Ask(r.ctx, "fabric", "/stats", &stats); err != nil {
+	if err := r.fleet.GetJSON(r.ctx, "fabric", "/stats", &stats); err != nil {
 		return err
 	}
 	r.note = fmt.Sprintf("%d openers, %d of them seen by the fabric", total, stats.Callers)
@@ -111,7 +111,7 @@
 		}
 		largest = max(largest, size)
 		if size > mostMemory {
-			r.extra = append(r.extra, check.Violation{Rule: check.Grown, Token: n.Process.Name,
+			r.extra = append(r.extra, check.Violation{Rule: check.TooMuchMemory, Token: n.Process.Name,
 				Detail: fmt.Sprintf("%d MiB resident", size>>20)})
 		}
 	}
--- a/internal/stand/faults/load.go
+++ b/internal/stand/faults/load.go
@@ -139,7 +139,7 @@
 		begun := time.Now()
 		ctx, cancel := context.WithTimeout(ctx, dialTime)
 		caller, err := client.Dial(ctx, client.Settings{
-			Local: p.local, Service: p.service.Address, Name: p.service.Name, Roots: p.fleet.Roots, Idle: idleTimeout,
+			Local: p.local, Service: p.service.Address, Name: p.service.Name, Roots: p.fleet.Roots, IdleTimeout: idleTimeout,
 		})
 		cancel()
 		p.load.dialed(begun, err)
@@ -194,7 +194,7 @@
 		if answer.Reason == client.Unsent && i < repeats && p.connect(ctx, ctx) {
 			continue
 		}
-		if answer.Outcome != result.Unknown || !a.Once || key == "" || i == repeats || !p.connect(ctx, ctx) {
+		if answer.Outcome != result.Unknown || !a.AtMostOnce || key == "" || i == repeats || !p.connect(ctx, ctx) {
 			break
 		}
 		p.load.mutex.Lock()
@@ -230,11 +230,11 @@
 // choose draws a request. The function makes it anew for each sending.
 func (p *party) choose(token string) (check.Attempt, func() client.Request) {
 	// Under a heavy load a lookup may reach its deadline at its server.
-	a := check.Attempt{Token: token, Service: p.service.Name, Steady: !p.heavy}
+	a := check.Attempt{Token: token, Service: p.service.Name, MustComplete: !p.heavy}
 	work := time.Duration(p.random.Int64N(int64(longestWork))).Round(time.Millisecond)
 	switch n := p.random.IntN(100); {
 	case n < 50:
-		a.Once = true
+		a.AtMostOnce = true
 		return p.lookup(a, fmt.Sprintf("/lookup/%s?time=%s", token, work))
 	case n < 70:
 		return p.lookup(a, fmt.Sprintf("/status/%s?time=%s", token, work))
@@ -253,7 +253,7 @@
 }
 
 func (p *party) feed(a check.Attempt, path string) (check.Attempt, func() client.Request) {
-	a.Long, a.Steady = true, true
+	a.Long, a.MustComplete = true, true
 	var lines int
 	_, query, _ := strings.Cut(path, "?n=")
 	if _, err := fmt.Sscanf(query, "%d&", &lines); err != nil {
@@ -268,7 +268,7 @@
 }
 
 func (p *party) upload(a check.Attempt, path string, size int) (check.Attempt, func() client.Request) {
-	a.Long, a.Steady, a.Once = true, true, true
+	a.Long, a.MustComplete, a.AtMostOnce = true, true, true
 	body := make([]byte, size)
 	for i := range body {
 		body[i] = byte(p.random.Uint32())
--- a/internal/stand/faults/move.go
+++ b/internal/stand/faults/move.go
@@ -52,7 +52,7 @@
 	if err := r.restart(a.Process.Name); err != nil {
 		return err
 	}
-	entry.Wake()
+	entry.Resume()
 	r.wait(3 * time.Second)
 	return nil
 }
--- a/internal/stand/faults/pairs.go
+++ b/internal/stand/faults/pairs.go
@@ -119,7 +119,7 @@
 		return err
 	}
 	r.wait(3 * time.Second)
-	p.Wake()
+	p.Resume()
 	r.expectRevision(p.Name, a.Agent.Service, 2)
 	r.wait(time.Second)
 	return nil
--- a/internal/stand/faults/scenario.go
+++ b/internal/stand/faults/scenario.go
@@ -128,7 +128,7 @@
 	p := r.fleet.Process(r.entry().Process.Name)
 	p.Freeze()
 	r.wait(2 * time.Second)
-	p.Wake()
+	p.Resume()
 	return nil
 }
 
@@ -176,7 +176,7 @@
 	p := r.fleet.Process(a.Process.Name)
 	p.Freeze()
 	r.wait(time.Second)
-	p.Wake()
+	p.Resume()
 	return nil
 }
 
@@ -188,7 +188,7 @@
 	p := r.fleet.Process(a.Process.Name)
 	p.Freeze()
 	r.wait(idleTimeout + time.Second)
-	p.Wake()
+	p.Resume()
 	return nil
 }
 
--- a/internal/stand/faults/succeed.go
+++ b/internal/stand/faults/succeed.go
@@ -10,7 +10,7 @@
 // the same address beside it, and the old process takes nothing new.
 func agentSucceeded(r *run) error {
 	name := r.agent().Process.Name
-	if _, err := r.fleet.Succeed(r.ctx, name); err != nil {
+	if _, err := r.fleet.StartSuccessor(r.ctx, name); err != nil {
 		return err
 	}
 	r.fleet.Process(name).Stop()
--- a/internal/stand/faults/twice.go
+++ b/internal/stand/faults/twice.go
@@ -46,7 +46,7 @@
 	}
 	r.wait(time.Second)
 	for _, e := range r.fleet.Entries() {
-		r.fleet.Process(e.Process.Name).Wake()
+		r.fleet.Process(e.Process.Name).Resume()
 	}
 	return nil
 }
--- a/internal/stand/filled/names.go
+++ b/internal/stand/filled/names.go
@@ -10,9 +10,9 @@
 	"gotest.tools/v3/golden"
 )
 
-// Written compares the JSON of values, filled, with a golden file. Each value is a pointer; the names are those of the
+// AssertJSON compares the JSON of values, filled, with a golden file. Each value is a pointer; the names are those of the
 // values in the file.
-func Written(t *testing.T, file string, values map[string]any) {
+func AssertJSON(t *testing.T, file string, values map[string]any) {
 	t.Helper()
 	for _, v := range values {
 		Fill(v)
@@ -22,11 +22,11 @@
 	golden.Assert(t, string(text)+"\n", file)
 }
 
-// Names is Written for values that are read as well: what the golden file holds must be read with no field left unset,
+// AssertRoundTrip is Written for values that are read as well: what the golden file holds must be read with no field left unset,
 // and give the same text again.
-func Names(t *testing.T, file string, values map[string]any) {
+func AssertRoundTrip(t *testing.T, file string, values map[string]any) {
 	t.Helper()
-	Written(t, file, values)
+	AssertJSON(t, file, values)
 	var texts map[string]json.RawMessage
 	assert.NilError(t, json.Unmarshal(golden.Get(t, file), &texts))
 	assert.Equal(t, len(texts), len(values))
--- a/internal/stand/fleet/ask.go
+++ b/internal/stand/fleet/ask.go
@@ -12,8 +12,8 @@
 	"mangowinch/internal/flow/order"
 )
 
-// Ask reads what a process tells at a path of its operators' address into answer.
-func (f *Fleet) Ask(ctx context.Context, process, path string, answer any) (err error) {
+// GetJSON reads what a process tells at a path of its operators' address into answer.
+func (f *Fleet) GetJSON(ctx context.Context, process, path string, answer any) (err error) {
 	defer func() { err = errors.Wrapf(err, "ask %s for %s", process, path) }()
 	body, err := f.do(ctx, http.MethodGet, process, path, "")
 	if err != nil {
@@ -61,7 +61,7 @@
 			} `json:"documents"`
 		} `json:"sections"`
 	}
-	if err := f.Ask(ctx, process, "/status", &status); err != nil {
+	if err := f.GetJSON(ctx, process, "/status", &status); err != nil {
 		return 0, err
 	}
 	for _, d := range status.Sections.Documents {
--- a/internal/stand/fleet/process.go
+++ b/internal/stand/fleet/process.go
@@ -99,8 +99,8 @@
 // Freeze stops the process as SIGSTOP does; Wake lets it run on.
 func (p *Process) Freeze() { p.signal(syscall.SIGSTOP) }
 
-// Wake ends a freeze.
-func (p *Process) Wake() { p.signal(syscall.SIGCONT) }
+// Resume ends a freeze.
+func (p *Process) Resume() { p.signal(syscall.SIGCONT) }
 
 // Stop asks the process to stop as SIGTERM does; see Ended.
 func (p *Process) Stop() { p.signal(syscall.SIGTERM) }
--- a/internal/stand/fleet/succeed.go
+++ b/internal/stand/fleet/succeed.go
@@ -14,9 +14,9 @@
 // that it replaces on the same instance.
 const successorPort = 9001
 
-// Succeed starts a successor beside a running agent, with the same settings but for
+// StartSuccessor starts a successor beside a running agent, with the same settings but for
 // the operators' address, and returns its name once it is ready.
-func (f *Fleet) Succeed(ctx context.Context, name string) (successor string, err error) {
+func (f *Fleet) StartSuccessor(ctx context.Context, name string) (successor string, err error) {
 	defer func() { err = errors.Wrapf(err, "start successor of %s", name) }()
 	old := f.Process(name)
 	operator := netip.AddrPortFrom(old.Operator.Addr(), successorPort)
--- a/internal/stand/matrix/cells.go
+++ b/internal/stand/matrix/cells.go
@@ -107,10 +107,10 @@
 	{Row: planned, Fault: oneWay, Scenarios: []string{"entry-stopped+cut-back"}},
 	{Row: planned, Fault: racing, Scenarios: []string{"agent-replaced+documents"}},
 
-	{Row: inForce, Fault: entryKilled, Never: "what a balancer had in force dies with it; its successor is a balancer that joins"},
+	{Row: inForce, Fault: entryKilled, Impossible: "what a balancer had in force dies with it; its successor is a balancer that joins"},
 	{Row: inForce, Fault: entryJoins, Scenarios: []string{"entry-joins"}},
 	{Row: inForce, Fault: serverDies, Tests: []string{"ctrl/relay.TestManyFailures"}, Scenarios: []string{"agent-killed+drain", "agent-killed+platform-down"}},
-	{Row: inForce, Fault: drains, Never: "a drain changes no document; a drain by document is an update like any other"},
+	{Row: inForce, Fault: drains, Impossible: "a drain changes no document; a drain by document is an update like any other"},
 	{Row: inForce, Fault: uneven, Tests: []string{"conf/store.TestNeverReverts", "ctrl/relay.TestNeverRevertsInFleet", "ctrl/relay.TestChangeReachesAll"}},
 	{Row: inForce, Fault: down, Tests: []string{"ctrl/relay.TestPlatformDownAfterOneSawTheChange", "ctrl/relay.TestLongOutage"}, Scenarios: []string{"platform-down-entry-restarted"}},
 	{Row: inForce, Fault: stale, Tests: []string{"conf/store.TestNeverReverts", "ctrl/relay.TestRestartWithStalePlatform"}, Scenarios: []string{"platform-stale-entry-restarted", "platform-stale+drain"}},
--- a/internal/stand/matrix/matrix.go
+++ b/internal/stand/matrix/matrix.go
@@ -37,11 +37,11 @@
 
 // Cell is a promise under a fault, or a step of a request under a fault.
 type Cell struct {
-	Row       string
-	Fault     string
-	Tests     []string // area/package.TestName
-	Scenarios []string
-	Never     string // why it cannot happen
+	Row        string
+	Fault      string
+	Tests      []string // area/package.TestName
+	Scenarios  []string
+	Impossible string // why it cannot happen
 }
 
 // Scenarios returns the names of all scenarios that a cell or a fault names.
@@ -80,7 +80,7 @@
 			continue
 		}
 		found.Tests = append(found.Tests, c.Tests...)
-		found.Never = c.Never
+		found.Impossible = c.Impossible
 		for _, s := range c.Scenarios {
 			if !slices.Contains(found.Scenarios, s) {
 				found.Scenarios = append(found.Scenarios, s)
@@ -92,13 +92,13 @@
 
 // Decided says whether the cell is shown or cannot happen.
 func (c Cell) Decided() bool {
-	return c.Never != "" || len(c.Tests) > 0 || len(c.Scenarios) > 0
+	return c.Impossible != "" || len(c.Tests) > 0 || len(c.Scenarios) > 0
 }
 
 // String returns the cell as the page has it.
 func (c Cell) String() string {
-	if c.Never != "" {
-		return "cannot happen: " + c.Never
+	if c.Impossible != "" {
+		return "cannot happen: " + c.Impossible
 	}
 	var parts []string
 	for _, t := range c.Tests {
--- a/internal/stand/plat/names_test.go
+++ b/internal/stand/plat/names_test.go
@@ -8,5 +8,5 @@
 
 // Guards against names of the stand-in's answers that change: processes read them under the platform's names.
 func TestNames(t *testing.T) {
-	filled.Names(t, "names.golden", map[string]any{"documents": &Documents{}, "instances": &Instances{}})
+	filled.AssertRoundTrip(t, "names.golden", map[string]any{"documents": &Documents{}, "instances": &Instances{}})
 }
--- a/internal/stand/server/report.go
+++ b/internal/stand/server/report.go
@@ -58,7 +58,7 @@
 			load = old.load
 		}
 	}
-	if s.settings.Lie {
+	if s.settings.ReportIdle {
 		load.Busy, load.Queue = 0, 0
 	}
 	return load
@@ -71,7 +71,7 @@
 func (s *Server) serveHealth(w http.ResponseWriter, _ *http.Request) {
 	load := s.reported()
 	health := Health{State: "ready"}
-	if time.Since(s.started) < s.settings.Cold {
+	if time.Since(s.started) < s.settings.WarmUp {
 		health.State = "cold"
 	}
 	if load.Draining {
--- a/internal/stand/server/server.go
+++ b/internal/stand/server/server.go
@@ -29,14 +29,14 @@
 
 // Settings are the server's own.
 type Settings struct {
-	Slots   int           // lookups and uploads that run at a time
-	Queue   int           // lookups and uploads that wait for a slot
-	Service time.Duration // service time of a lookup that names none
-	Cold    time.Duration // time after the start in which work is slow
-	Lag     time.Duration // health and load are reported as they were this long ago
-	Lie     bool          // load is reported as none
-	Journal io.Writer     // gets a line of JSON at the start and the end of each execution, if not nil
-	Log     zerolog.Logger
+	Slots       int           // lookups and uploads that run at a time
+	Queue       int           // lookups and uploads that wait for a slot
+	ServiceTime time.Duration // service time of a lookup that names none
+	WarmUp      time.Duration // time after the start in which work is slow
+	Lag         time.Duration // health and load are reported as they were this long ago
+	ReportIdle  bool          // load is reported as none
+	Journal     io.Writer     // gets a line of JSON at the start and the end of each execution, if not nil
+	Log         zerolog.Logger
 }
 
 const (
@@ -242,8 +242,8 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	factor := 1.0
-	if age := time.Since(s.started); age < s.settings.Cold {
-		factor = coldFactor - (coldFactor-1)*float64(age)/float64(s.settings.Cold)
+	if age := time.Since(s.started); age < s.settings.WarmUp {
+		factor = coldFactor - (coldFactor-1)*float64(age)/float64(s.settings.WarmUp)
 	}
 	if s.mode == Slow {
 		factor *= s.factor
--- a/internal/stand/server/server_test.go
+++ b/internal/stand/server/server_test.go
@@ -30,7 +30,7 @@
 
 func TestShedsWhatNeitherRunsNorWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := New(Settings{Slots: 1, Queue: 1, Service: time.Second})
+		s := New(Settings{Slots: 1, Queue: 1, ServiceTime: time.Second})
 		ctx := t.Context()
 		answers := make(chan *httptest.ResponseRecorder, 3)
 		for range 3 {
@@ -49,7 +49,7 @@
 
 func TestColdStartIsSlow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := New(Settings{Slots: 1, Service: time.Second, Cold: 10 * time.Second})
+		s := New(Settings{Slots: 1, ServiceTime: time.Second, WarmUp: 10 * time.Second})
 		begun := time.Now()
 		call(t.Context(), s, "GET", "/lookup/1", "")
 		assert.Equal(t, time.Since(begun), 4*time.Second)
@@ -62,7 +62,7 @@
 
 func TestStopsForDeadlineAndCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := New(Settings{Slots: 1, Service: time.Hour})
+		s := New(Settings{Slots: 1, ServiceTime: time.Hour})
 		w := call(t.Context(), s, "GET", "/lookup/1", "", "Deadline-Ms", "100")
 		assert.Equal(t, w.Code, http.StatusGatewayTimeout)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -76,7 +76,7 @@
 
 func TestDrainRefusesNewWorkOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := New(Settings{Slots: 2, Service: time.Second})
+		s := New(Settings{Slots: 2, ServiceTime: time.Second})
 		feed := make(chan *httptest.ResponseRecorder)
 		go func() { feed <- call(t.Context(), s, "GET", "/feed/1?n=3&every=1s", "") }()
 		synctest.Wait()
@@ -113,7 +113,7 @@
 
 func TestReportsLagAndLie(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := New(Settings{Slots: 2, Lag: 3 * time.Second, Service: 10 * time.Second})
+		s := New(Settings{Slots: 2, Lag: 3 * time.Second, ServiceTime: 10 * time.Second})
 		assert.Equal(t, s.reported().Busy, 0)
 		go call(t.Context(), s, "GET", "/lookup/1", "")
 		for range 4 {
@@ -122,7 +122,7 @@
 		}
 		time.Sleep(time.Second)
 		assert.Equal(t, s.reported().Busy, 1)
-		s.settings.Lie = true
+		s.settings.ReportIdle = true
 		assert.Equal(t, s.reported().Busy, 0)
 		time.Sleep(10 * time.Second)
 	})
--- a/internal/stand/server/work.go
+++ b/internal/stand/server/work.go
@@ -38,7 +38,7 @@
 		return
 	}
 	defer release()
-	service := s.settings.Service
+	service := s.settings.ServiceTime
 	if asked, err := time.ParseDuration(r.URL.Query().Get("time")); err == nil {
 		service = asked
 	}
@@ -103,7 +103,7 @@
 		s.end(e, "cancelled")
 		return
 	}
-	if !s.work(ctx, w, r, e, s.settings.Service) {
+	if !s.work(ctx, w, r, e, s.settings.ServiceTime) {
 		return
 	}
 	fmt.Fprintf(w, "%s %d %x\n", e.Path, n, hash.Sum(nil))
