--- a/internal/exper/outage/outage.go
+++ b/internal/exper/outage/outage.go
@@ -256,7 +256,7 @@
 // offer gives a flow to an agent, which may pass it on.
 func (v *run) offer(a *agent, o *opening, w *hold.QueuedFlow, visited []msgs.Visit, final bool) {
 	work := uint16((a.expected() + a.queue.Len()) * 100 / v.c.Slots)
-	next := share.Next(share.Server{Agent: address(a.index), Work: work}, visited, final, v.others[a.index], v.random.IntN)
+	next := share.Next(share.Server{Agent: address(a.index), Utilization: work}, visited, final, v.others[a.index], v.random.IntN)
 	if i := index(next.Agent); i != a.index {
 		v.loop.After(hop, func() { v.offer(v.agents[i], o, w, next.Visited, next.Final) })
 		return
--- a/internal/load/hold/hold.go
+++ b/internal/load/hold/hold.go
@@ -114,8 +114,9 @@
 }
 
 // Next removes and returns the flow that is served next, or nil if the server has no room for it. The
-// server has the given number of slots, and expected is the number of its requests that are under way or
-// about to arrive. Flows with a priority above lowest get more room.
+// server has the given number of slots, and expected is the number of its requests that are in progress or
+// about to arrive. lowest is the lowest priority; flows of a higher one are admitted to a busier server (see
+// admissionLimit).
 func (q *Queue) Next(now time.Time, expected, slots, lowest int) (next *QueuedFlow) {
 	next = q.Peek(now)
 	if next == nil || expected >= admissionLimit(next, slots, lowest) {
--- a/internal/load/parts/parts.go
+++ b/internal/load/parts/parts.go
@@ -15,7 +15,7 @@
 
 import "slices"
 
-// Off holds the mechanisms that are switched off. The fields are named like the mechanisms in settings.
+// Off holds the mechanisms that are switched off. Processes log it under the names of its fields.
 type Off struct {
 	Reports  bool // placement of flows by the reports of agents (package steer)
 	Avoid    bool // servers that did not answer or refused come last (steer)
--- a/internal/load/quick/quick.go
+++ b/internal/load/quick/quick.go
@@ -3,7 +3,7 @@
 //
 // A server that has lost a dependency answers all or some of its requests with an error within a few
 // milliseconds, while its health check succeeds. Answers on an opaque flow cannot be read. Such a server
-// has nothing under way and looks idle, so that placement by load sends it more requests than any other,
+// has no requests in progress and looks idle, so that placement by load sends it more requests than any other,
 // and requests that must not run twice fail permanently.
 //
 // For each kind of request, identified by the address that is called, the breaker learns the time below
--- a/internal/load/retry/retry.go
+++ b/internal/load/retry/retry.go
@@ -2,8 +2,8 @@
 //
 // After an outage, or while a server sheds load, every layer that retries multiplies the load when
 // capacity is scarcest. Three layers with three attempts each turn one request into 27, and the service
-// stays down long after the cause is gone. In addition, a claim that is retried without proof that it did
-// not run may be filed twice.
+// stays down long after the cause is gone. In addition, a request that must not run twice, such as one that
+// files a claim, may do so if it is retried without proof that it did not run.
 //
 // The rules:
 //
--- a/internal/load/shift/shift.go
+++ b/internal/load/shift/shift.go
@@ -103,9 +103,9 @@
 	return &Weights{rules: r}
 }
 
-// SetServers applies the servers of a document. A server that is new, or that returns from leaving,
-// starts at the floor because it is cold and the others already have load. With the first document all
-// servers start equal.
+// SetServers applies the servers of a document. With the first document all servers start equal. Later, a
+// server that is new, or that returns from leaving, starts at the floor: it is cold, and the others already
+// have load.
 func (w *Weights) SetServers(servers []Server) {
 	first := w.states == nil
 	states := make([]*state, 0, len(servers))
--- a/internal/load/steer/steer.go
+++ b/internal/load/steer/steer.go
@@ -41,7 +41,7 @@
 	Slots    int
 	Draining bool
 	Cold     bool // started recently and still slow
-	Failed   bool // declared dead by the failure detector
+	Failed   bool // its agent is declared failed by the failure detector
 }
 
 const (
@@ -54,7 +54,7 @@
 	// several seconds.
 	flowWorkWindow = 256
 	// crossDomainWork is the extra work, in slots, charged to a server in another failure domain. Traffic
-	// between domains is expensive, and the agent of a busy server forwards the flow by itself.
+	// between domains is expensive, and the agent of a busy server offers the flow to other agents by itself.
 	crossDomainWork = 8
 	// coldFactor multiplies the work of a server that has just started, whose requests take 1.6 times as
 	// long.
@@ -62,7 +62,7 @@
 	// jitter is the range of the random term that breaks ties, so that entries with the same report
 	// choose differently.
 	jitter = 0.1
-	// reportDecay is the time over which the reported number of requests under way loses its weight. A
+	// reportDecay is the time over which the reported number of requests in progress loses its weight. A
 	// request lasts about 40 ms, so later the average is the better estimate.
 	reportDecay = 250 * time.Millisecond
 	// noReplyFor is how long a server that did not answer an opening packet is placed last. The caller
@@ -75,7 +75,7 @@
 // state is what the chooser knows about one server.
 type state struct {
 	load         msgs.Load
-	avgBusy      float64 // moving average of the requests under way
+	avgBusy      float64 // moving average of the requests in progress
 	reportedAt   time.Time
 	placed       float64 // flows placed since the last report
 	noReplyUntil time.Time
@@ -88,7 +88,7 @@
 	off      parts.Off
 	random   *rand.Rand
 	states   map[netip.Addr]*state
-	avgBusy  float64 // average number of requests under way over all reports
+	avgBusy  float64 // average number of requests in progress over all reports
 	avgFlows float64 // average number of open flows over all reports
 }
 
@@ -164,7 +164,7 @@
 // Placed records that a flow was sent to an agent.
 func (c *Chooser) Placed(agent netip.Addr) { c.state(agent).placed++ }
 
-// busyWindow is the number of reports over which the requests under way are averaged.
+// busyWindow is the number of reports over which the requests in progress are averaged.
 const busyWindow = 8
 
 // Report records the load that an agent reports for its server.
@@ -176,9 +176,9 @@
 	c.avgFlows += (float64(l.Flows) - c.avgFlows) / flowWorkWindow
 }
 
-// flowWork returns the work, in slots, that an open flow stands for in addition to the requests under
-// way, learned from all reports. If the value is too high, idle flows count as work, and new flows go to
-// recently started servers in other domains for as long as those hold fewer flows than the local servers.
+// flowWork returns the work, in slots, that an open flow stands for in addition to the requests in
+// progress, learned from all reports. If the value is too high, idle flows count as work, and new flows go
+// to recently started servers in other domains for as long as those hold fewer flows than the local servers.
 func (c *Chooser) flowWork() float64 { return min(maxFlowWork, c.avgBusy/c.avgFlows) }
 
 // Accepted records that an agent's server accepted a flow.
--- a/internal/load/steer/steer_test.go
+++ b/internal/load/steer/steer_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// Guards against placing flows on a hung server, which has no requests under way and looks idle.
+// Guards against placing flows on a hung server, which has no requests in progress and looks idle.
 func TestServerWithoutReplyComesLast(t *testing.T) {
 	c := New("zg-a", rand.New(rand.NewPCG(1, 2)), parts.Off{})
 	list := candidates(2)
@@ -86,8 +86,9 @@
 }
 
 // Guards against idle flows that count as work. During a rolling replacement new servers hold no flows
-// while local servers hold a hundred each, most of them idle. If an open flow counts as seven times its
-// real work, new flows go to new servers in other domains, and all their traffic crosses domains.
+// while local servers hold a hundred each, most of them idle. When an open flow counted as seven times its
+// real work, two of five new flows went to new servers in other domains for half a minute, and all their
+// traffic crossed domains.
 func TestIdleFlowsDoNotSendNewFlowsToOtherDomains(t *testing.T) {
 	c := New("zg-b", rand.New(rand.NewPCG(1, 2)), parts.Off{})
 	list := candidates(2)
@@ -99,8 +100,8 @@
 	assert.Equal(t, choose(t, c, now, list), agent(1))
 }
 
-// Flows with frequent requests count as work: of two local servers that both report no requests under
-// way, the one with fewer such flows is chosen.
+// Flows with frequent requests count as work: of two local servers that both report no requests in
+// progress, the one with fewer such flows is chosen.
 func TestFlowsWithFrequentRequestsCount(t *testing.T) {
 	c := New("zg-a", rand.New(rand.NewPCG(1, 2)), parts.Off{})
 	list := candidates(3)
--- a/internal/load/trip/trip.go
+++ b/internal/load/trip/trip.go
@@ -1,6 +1,6 @@
 // Package trip is a circuit breaker for one backend server, used by the agent beside it.
 //
-// A server that aborts each request at once has nothing under way and looks idle, so that placement by
+// A server that aborts each request at once has none in progress and looks idle, so that placement by
 // load sends it more requests. Callers whose requests were aborted retry, are placed on the same server,
 // and fail permanently after the third attempt. With 10 of 51 servers flapping, 111 idempotent requests
 // failed in this way within 6.5 s.
