--- a/internal/flow/frame/frame.go
+++ b/internal/flow/frame/frame.go
@@ -43,7 +43,7 @@
 
 // The flags.
 const (
-	Leaving   Flag = 1 << iota // the sender takes no new work
+	Leaving   Flag = 1 << iota // the sender takes no new flows
 	Cold                       // the sender's backend server has just started (cold start)
 	IfOwner                    // Forward: the receiver keeps the datagram if it owns the flow, else returns it
 	NoOwner                    // Forward: no other agent owns the flow
--- a/internal/flow/frame/wire_test.go
+++ b/internal/flow/frame/wire_test.go
@@ -21,7 +21,7 @@
 	return h
 }
 
-// Guards against frames that change their bytes: old and new processes run side by side during an update.
+// Guards against a change of the encoding of frames: old and new processes run side by side during an update.
 func TestWireBytes(t *testing.T) {
 	r := ring(t, "tracing-core")
 	var text strings.Builder
@@ -34,7 +34,7 @@
 	golden.Assert(t, text.String(), "wire.golden")
 }
 
-// Guards against a field of an older process's frame that is lost when it is read.
+// Guards against a decoder that loses a field of a frame from an older process.
 func TestWireBytesAreRead(t *testing.T) {
 	r := ring(t, "tracing-core")
 	lines := strings.Split(string(golden.Get(t, "wire.golden")), "\n")
--- a/internal/flow/ident/wire_test.go
+++ b/internal/flow/ident/wire_test.go
@@ -12,7 +12,7 @@
 	"mangowinch/internal/stand/filled"
 )
 
-// wireRing is a ring whose every byte is known.
+// wireRing returns a ring with fixed key material.
 func wireRing(t *testing.T) *Ring {
 	t.Helper()
 	r, err := NewRing("tracing-core", Secret{Name: "k1", Material: [SecretSize]byte{1, 2, 3}})
@@ -20,8 +20,8 @@
 	return r
 }
 
-// Guards against connection IDs that an entry or a successor of another version doesn't open: old and new processes run
-// side by side during an update, and flows outlast it.
+// Guards against a change of connection IDs, which an entry or a successor of another version could then not
+// open: old and new processes run side by side during an update, and flows outlast it.
 func TestWireBytes(t *testing.T) {
 	r := wireRing(t)
 	var o Owner
@@ -35,7 +35,7 @@
 	golden.Assert(t, strings.Join(lines, "\n")+"\n", "wire.golden")
 }
 
-// Guards against an older process's connection ID that names another server.
+// Guards against reading another server out of the connection ID of an older process.
 func TestWireBytesAreRead(t *testing.T) {
 	line, _, _ := strings.Cut(string(golden.Get(t, "wire.golden")), "\n")
 	id, err := hex.DecodeString(strings.TrimPrefix(line, "id "))
--- a/internal/flow/msgs/alive.go
+++ b/internal/flow/msgs/alive.go
@@ -67,7 +67,7 @@
 	Agents []FailedAgent
 }
 
-// FailedAgent is an agent that answers no process.
+// FailedAgent is an agent that the failure detector has declared failed.
 type FailedAgent struct {
 	Agent netip.Addr
 	Age   uint16 // milliseconds since the process that detected the failure declared it
--- a/internal/flow/msgs/msgs.go
+++ b/internal/flow/msgs/msgs.go
@@ -119,7 +119,7 @@
 
 // Load describes how busy an agent's server is.
 type Load struct {
-	Busy  uint16 // requests in progress: sent by callers and not answered yet
+	Busy  uint16 // requests that are unanswered or about to arrive (a flow is opened for one)
 	Flows uint16 // open flows
 }
 
--- a/internal/flow/msgs/wire_test.go
+++ b/internal/flow/msgs/wire_test.go
@@ -13,13 +13,13 @@
 	"mangowinch/internal/stand/filled"
 )
 
-// message is any message that is sent.
+// message is a message of any kind.
 type message interface{ AppendTo(b []byte) []byte }
 
-// reader reads what follows the head of a message.
+// reader decodes a message from the bytes after its header.
 type reader func(h Header, b []byte) (message, error)
 
-// reads makes a reader of a function that reads one kind.
+// reads returns a reader that calls the Read function of one kind.
 func reads[M any, P interface {
 	*M
 	message
@@ -30,28 +30,29 @@
 	}
 }
 
-// readNews does what package opaque does with news: the change is all that follows the head.
-func readNews(h Header, b []byte) (Update, error) { return Update{Header: h, Change: b}, nil }
+// readUpdate decodes an Update as package opaque does: all bytes after the header are the change.
+func readUpdate(h Header, b []byte) (Update, error) { return Update{Header: h, Change: b}, nil }
 
-// readers are the readers of all kinds.
+// readers holds the readers of all kinds.
 var readers = map[Kind]reader{
 	KindForward: reads(ReadForward), KindOpened: reads(ReadOpened), KindRefused: reads(ReadRefused), KindOwner: reads(ReadOwner),
 	KindRegister: reads(ReadRegister), KindQuery: reads(ReadQuery), KindQueryAnswer: reads(ReadQueryAnswer), KindBeacon: reads(ReadBeacon),
-	KindUpdate: reads(readNews), KindOffer: reads(ReadOffer), KindPing: reads(ReadPing), KindPingAck: reads(ReadPingAck),
+	KindUpdate: reads(readUpdate), KindOffer: reads(ReadOffer), KindPing: reads(ReadPing), KindPingAck: reads(ReadPingAck),
 	KindLookup: reads(ReadLookup), KindLookupResult: reads(ReadLookupResult), KindProbeResult: reads(ReadProbeResult), KindFailed: reads(ReadFailed),
 }
 
 // full returns a message of a kind with every field set.
 func full(t *testing.T, k Kind) message {
 	t.Helper()
-	m, _ := readers[k](Header{}, make([]byte, 200)) // its type is all that counts
+	m, _ := readers[k](Header{}, make([]byte, 200)) // only the type of m is used
 	assert.Assert(t, m != nil, "kind %d has no reader", k)
 	filled.Fill(m)
 	reflect.ValueOf(m).Elem().Field(0).Addr().Interface().(*Header).Kind = k
 	return m
 }
 
-// flagged returns messages of a kind that have one flag set each, since a full one doesn't tell its flags apart.
+// flagged returns, for each flag of a kind, a message with only this flag set: in a message with all flags
+// set, exchanged flags would not show.
 func flagged(t *testing.T, k Kind) (list []message) {
 	t.Helper()
 	for on := range reflect.TypeOf(full(t, k)).Elem().NumField() {
@@ -70,7 +71,7 @@
 	return list
 }
 
-// Guards against datagrams that change their bytes: old and new processes run side by side during an update.
+// Guards against a change of the encoding of messages: old and new processes run side by side during an update.
 func TestWireBytes(t *testing.T) {
 	var text strings.Builder
 	for k := Kind(1); int(k) < NumKinds; k++ {
@@ -79,7 +80,7 @@
 	golden.Assert(t, text.String(), "wire.golden")
 }
 
-// Guards against flags that change places.
+// Guards against flags that are exchanged in the encoding.
 func TestWireFlags(t *testing.T) {
 	var text strings.Builder
 	for k := Kind(1); int(k) < NumKinds; k++ {
@@ -94,7 +95,7 @@
 	golden.Assert(t, text.String(), "flags.golden")
 }
 
-// Guards against a field of an older process's datagram that is lost when it is read.
+// Guards against a decoder that loses a field of a message from an older process.
 func TestWireBytesAreRead(t *testing.T) {
 	lines := strings.Fields(string(golden.Get(t, "wire.golden")))
 	assert.Equal(t, len(lines), 3*(NumKinds-1))
@@ -112,7 +113,8 @@
 	}
 }
 
-// Guards against reasons, roles and verdicts that an older process reads as others.
+// Guards against a change of the numbers of reasons, roles and verdicts, which an older process would take for
+// other ones.
 func TestWireNumbers(t *testing.T) {
 	var text strings.Builder
 	for w := range Reason(len(reasonNames) + 1) {
--- a/internal/flow/owner/entry.go
+++ b/internal/flow/owner/entry.go
@@ -1,6 +1,6 @@
-// Package owner holds the tables that record which agent owns a flow. An entry uses one to send a
-// flow's packets to its owner; an agent uses others to track the flows of its own server and, as the home
-// of flows (the agent that keeps their location records), to answer where they are.
+// Package owner holds the tables that record which agent owns a flow. An entry uses one (Entry) to send a
+// flow's packets to its owner. An agent uses one (Agent) for the flows of its own server, and one (Home) for
+// the location records that it keeps as the home of flows.
 //
 // The owner of a flow is the agent beside the server that holds it. No table is the only copy: a process
 // that lacks a record recovers it through the flow's home (package homes) and by querying agents. Tables
@@ -135,9 +135,7 @@
 }
 
 // NewEntry returns a table of at most limit flows.
-func NewEntry(limit int) *Entry {
-	return &Entry{limit: limit, flows: map[segs.Flow]*EntryFlow{}}
-}
+func NewEntry(limit int) *Entry { return &Entry{limit: limit, flows: map[segs.Flow]*EntryFlow{}} }
 
 // Len returns the number of flows.
 func (t *Entry) Len() int { return len(t.flows) }
--- a/internal/flow/owner/owner_test.go
+++ b/internal/flow/owner/owner_test.go
@@ -23,9 +23,9 @@
 	return &segs.Segment{Flow: flow, Flags: segs.Ack, Seq: seq, Len: 100}
 }
 
-// Two servers accept a flow and the caller chooses one. If the check were too loose, the caller's
-// acknowledgement would match the other server's sequence number by chance once in 64 flows: that server
-// would return the packet, and the open flow would be reset.
+// Two servers accept a flow and the caller chooses one. If Fits allowed too wide a range of acknowledgements,
+// the caller's would match the other server's sequence number by chance once in 64 flows: that server would
+// return the packet, and the open flow would be reset.
 func TestHalfOpenFlowFitsOnlyPacketsOfItsServer(t *testing.T) {
 	table := NewAgent(10, parts.Off{})
 	o := table.Add(now, flow)
@@ -143,7 +143,7 @@
 		table.FromServer(now.Add(20*time.Millisecond), o, &segs.Segment{Flags: segs.Ack, Seq: 1000, Ack: 101, Len: 10})
 	}
 	o := table.Add(now, segs.Flow{CallerPort: 99})
-	assert.Equal(t, table.Expected(now.Add(50*time.Millisecond)), 1, "the server hasn't accepted it yet")
+	assert.Equal(t, table.Expected(now.Add(50*time.Millisecond)), 1, "the server has not accepted the flow yet")
 	table.Accept(now.Add(50*time.Millisecond), o, 1000)
 	assert.Equal(t, table.Expected(now.Add(60*time.Millisecond)), 1, "its request may still arrive")
 	assert.Equal(t, table.Expected(now.Add(70*time.Millisecond)), 0)
--- a/internal/flow/packet/wire_test.go
+++ b/internal/flow/packet/wire_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/golden"
 )
 
-// Guards against headers of QUIC packets that are read at other places than callers write them.
+// Guards against reading a field of a QUIC header at a different offset from the one at which callers write it.
 func TestWireBytesAreRead(t *testing.T) {
 	var text string
 	for _, b := range [][]byte{
--- a/internal/flow/paths/paths.go
+++ b/internal/flow/paths/paths.go
@@ -3,7 +3,7 @@
 // A feed sends in one direction: its caller sends nothing until it receives something. If the entry that an
 // agent answers through has failed, the agent thus receives nothing that would show the failure, and QUIC
 // backs off exponentially: the last of 100 feeds ended 56 s late. The agent therefore tracks when it last
-// received a frame, of any flow, from each entry, and probes an entry in use that has become idle.
+// received a frame, of any flow, from each entry, and probes an entry in use from which it receives none.
 //
 // An entry may also work in one direction only. If the path from agent to entry is cut, the echo of a probe
 // is missing, because a probe makes the round trip. If the path from entry to caller is cut, echoes arrive
@@ -18,9 +18,9 @@
 // An agent answers through a small active set of entries. With 800 entries, an agent receives too few
 // datagrams from each of them to detect failures from those alone, and if each of 6,800 agents probed only
 // four entries five times a second, an entry would receive 37 KB a second. A caller's reaction is therefore
-// evidence as well: if a caller that was silent is sent a datagram through an entry and sends one at once
-// through any other entry, the first entry has delivered the datagram. Entries are probed only while one in
-// use lacks any such evidence.
+// a liveness signal as well: if a caller that has sent nothing is sent a datagram through an entry and sends
+// one at once through any other entry, the first entry has delivered the datagram. Entries are probed only
+// while one in use lacks liveness signals of both kinds.
 //
 // The package does no input or output. The current time is a parameter.
 //
@@ -42,10 +42,11 @@
 const (
 	// ProbeEvery is the interval at which Probes is to be called.
 	ProbeEvery = 100 * time.Millisecond
-	// probeAfter is how long an entry in use may be idle before it is probed.
+	// probeAfter is the time without a liveness signal, which is a frame from the entry or a caller's
+	// reaction, after which an entry in use is probed.
 	probeAfter = 150 * time.Millisecond
-	// FailAfter is how long an entry may be idle before it counts as failed and flows leave it: time for
-	// probeAfter, two probes and a round trip of some milliseconds.
+	// FailAfter is the time without a liveness signal after which an entry counts as failed and flows leave
+	// it: time for probeAfter, two probes and a round trip of some milliseconds.
 	FailAfter = 400 * time.Millisecond
 	// maxActive is the number of entries in the active set. With four, two may fail at once and a caller's
 	// datagrams can still alternate between two others.
@@ -84,7 +85,7 @@
 }
 
 type entry struct {
-	lastReceived time.Time // last frame from it, or reaction of a caller to a datagram sent through it
+	lastReceived time.Time // last liveness signal: a frame from it, or a reaction to a datagram sent through it
 	lastSent     time.Time // when a datagram was last sent through it
 	leaving      bool
 }
@@ -96,8 +97,8 @@
 	index        int            // position in the active set, modulo its size
 	sentVia      netip.AddrPort // entry of all datagrams sent since lastReceived; not valid if there were several
 	// via is the entry that forwarded the caller's first datagram after its last pause. The caller is
-	// answered through it while it is live. It is not valid while an acknowledgement of the caller is
-	// overdue.
+	// answered through this entry while the entry is live. via is not valid while an acknowledgement of the
+	// caller is overdue.
 	via netip.AddrPort
 }
 
@@ -142,7 +143,7 @@
 
 // updateVia chooses the entry for the answers to a caller that has sent a datagram after a pause: the entry
 // that forwarded the datagram. If the last answers went through this entry too and have been unacknowledged
-// for as long as a pause, they may never arrive that way, and another entry is tried.
+// for longer than minPause, its path to the caller may be cut, and another entry is tried.
 func (s *Selector) updateVia(now time.Time, c *caller, via netip.AddrPort) {
 	overdue := c.unacked > 0 && now.Sub(c.unackedSince) > minPause
 	if !overdue || c.via != via {
@@ -240,9 +241,10 @@
 	return !e.leaving && now.Sub(e.lastReceived) < FailAfter
 }
 
-// Probes refreshes the active set and returns the entries to be probed now. As soon as an entry in use is
-// idle, these are all idle active entries, so that a live one is known before the one in use counts as
-// failed. Probes also evicts entries and callers that have had no traffic for long.
+// Probes refreshes the active set and returns the entries to be probed now. As soon as an entry in use has
+// given no liveness signal for probeAfter, these are all active entries without one for that long, so that a
+// live entry is known before the one in use counts as failed. Probes also evicts entries and callers that have
+// had no traffic for longer than retention.
 func (s *Selector) Probes(now time.Time) (toProbe []netip.AddrPort) {
 	suspect := false
 	for _, a := range s.active {
@@ -308,7 +310,7 @@
 // Status is the state of an entry for operators. It is encoded under the names of its fields.
 type Status struct {
 	Entry   netip.AddrPort
-	Quiet   time.Duration // time since the last frame from it, or reaction of a caller to a datagram sent through it
+	Quiet   time.Duration // time since the last liveness signal
 	Live    bool
 	Leaving bool
 	Active  bool // it is in the active set
--- a/internal/flow/paths/paths_test.go
+++ b/internal/flow/paths/paths_test.go
@@ -16,10 +16,10 @@
 	return netip.MustParseAddrPort(fmt.Sprintf("127.0.1.%d:7000", i))
 }
 
-// run sends a datagram each step and lets the entries that echoes selects answer probes. heardBy returns the
+// run sends a datagram each step and lets the entries that echoes selects answer probes. ackVia returns the
 // entry through which the caller's acknowledgement arrives, if it does. run returns how many datagrams went
 // through each entry.
-func run(s *Selector, now time.Time, steps int, echoes func(netip.AddrPort) bool, heardBy func(sent netip.AddrPort) (netip.AddrPort, bool)) (sent map[netip.AddrPort]int, end time.Time) {
+func run(s *Selector, now time.Time, steps int, echoes func(netip.AddrPort) bool, ackVia func(sent netip.AddrPort) (netip.AddrPort, bool)) (sent map[netip.AddrPort]int, end time.Time) {
 	sent = make(map[netip.AddrPort]int)
 	const step = 20 * time.Millisecond
 	for i := range steps {
@@ -36,7 +36,7 @@
 			continue
 		}
 		sent[via]++
-		if by, ok := heardBy(via); ok {
+		if by, ok := ackVia(via); ok {
 			s.Received(now, by, feed, false)
 		}
 	}
@@ -122,9 +122,9 @@
 	assert.Equal(t, len(s.Probes(now.Add(probeAfter))), maxActive)
 }
 
-// 6,800 agents answer feeds with a line each half second through 800 entries. If all idle entries were probed
-// all the time, an entry would receive 37 KB a second, twice its budget. Callers that acknowledge each line
-// must be evidence enough, and an idle agent must probe no entry.
+// 6,800 agents answer feeds with a line each half second through 800 entries. If all entries without traffic
+// were probed all the time, an entry would receive 37 KB a second, twice its budget. Acknowledgements of each
+// line must suffice as liveness signals, and an idle agent must probe no entry.
 func TestReactionsSpareProbes(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := selector(now, 4)
@@ -176,7 +176,7 @@
 func upload(s *Selector, now time.Time, from netip.AddrPort, reach func() netip.AddrPort, lost func(netip.AddrPort) bool) bool {
 	const roundTrip, giveUp = 25 * time.Millisecond, 5 * time.Second
 	for range 100 {
-		silent := time.Duration(0)
+		waited := time.Duration(0)
 		for pause := roundTrip; ; pause *= 2 {
 			s.Received(now, reach(), from, false)
 			via, ok := s.Choose(now, from)
@@ -184,7 +184,7 @@
 				now = now.Add(roundTrip)
 				break
 			}
-			if silent += pause; silent > giveUp {
+			if waited += pause; waited > giveUp {
 				return false
 			}
 			now = now.Add(pause)
--- a/internal/flow/route/route.go
+++ b/internal/flow/route/route.go
@@ -29,7 +29,7 @@
 type Server struct {
 	ID           uint32
 	Weight       float64 // share of new flows; with 0, none while another server has a weight
-	Leaving      bool    // takes no new work, according to the document, the platform's list or the server's agent
+	Leaving      bool    // takes no new flows, according to the document, the platform's list or the server's agent
 	Unresponsive bool    // has not answered lately, see Detector
 }
 
--- a/internal/flow/route/route_test.go
+++ b/internal/flow/route/route_test.go
@@ -18,8 +18,8 @@
 
 func choice(t Table, key uint64) uint32 { return t.Choose(nil, key, 1).Server }
 
-// Each server's share of new flows must equal its share of the weights, because the registry weighs imbalance
-// most. With 200,000 keys the standard error is under 0.2 percent.
+// Each server's share of new flows must equal its share of the weights, because an even load is the
+// requirement with the greatest weight. With 200,000 keys the standard error is under 0.2 percent.
 func TestSharesFollowWeights(t *testing.T) {
 	list := servers(7)
 	list[2].Weight = 3
--- a/internal/flow/seek/seek_test.go
+++ b/internal/flow/seek/seek_test.go
@@ -170,11 +170,11 @@
 	known   []netip.Addr // agents that the lead knows of
 	next    int
 	holds   map[segs.Flow]netip.Addr // flow -> agent beside the server that holds it
-	wire    []any                    // questionTo or answerFrom
+	network []any                    // queryTo or answerFrom
 	flows   int
 }
 
-type questionTo struct {
+type queryTo struct {
 	to    netip.Addr
 	query Query
 }
@@ -194,7 +194,7 @@
 		m := &model{now: start, seek: New(0), present: agents(3), known: agents(3), next: 3, holds: map[segs.Flow]netip.Addr{}}
 		r.Repeat(map[string]func(*rapid.T){
 			"open":    m.open,
-			"want":    m.want,
+			"want":    m.add,
 			"restart": m.restart,
 			"join":    func(*rapid.T) { m.present = append(m.present, agent(m.next)); m.next++ },
 			"learn":   func(*rapid.T) { m.known = slices.Clone(m.present) },
@@ -214,8 +214,8 @@
 	m.holds[question(m.flows).Flow] = rapid.SampledFrom(m.present).Draw(r, "owner")
 }
 
-// want queues a question about an open flow or one that has ended.
-func (m *model) want(r *rapid.T) {
+// add queues a question about an open flow or one that has ended.
+func (m *model) add(r *rapid.T) {
 	if m.flows == 0 {
 		r.Skip("no flow")
 	}
@@ -225,9 +225,9 @@
 
 // restart makes a server lose all its flows.
 func (m *model) restart(r *rapid.T) {
-	lost := rapid.SampledFrom(m.present).Draw(r, "server")
+	restarted := rapid.SampledFrom(m.present).Draw(r, "server")
 	for f, a := range m.holds {
-		if a == lost {
+		if a == restarted {
 			delete(m.holds, f)
 		}
 	}
@@ -236,7 +236,7 @@
 // leave removes an agent and its server.
 func (m *model) leave(r *rapid.T) {
 	if len(m.present) == 1 {
-		r.Skip("the last one")
+		r.Skip("only one agent is left")
 	}
 	m.restart(r)
 	i := rapid.IntRange(0, len(m.present)-1).Draw(r, "agent")
@@ -259,19 +259,19 @@
 func (m *model) send() {
 	for _, a := range m.seek.Next(m.now, m.known) {
 		for _, to := range a.To {
-			m.wire = append(m.wire, questionTo{to, a})
+			m.network = append(m.network, queryTo{to, a})
 		}
 	}
 }
 
 // pick removes a random message from the network.
 func (m *model) pick(r *rapid.T) any {
-	if len(m.wire) == 0 {
-		r.Skip("nothing under way")
+	if len(m.network) == 0 {
+		r.Skip("no message in the network")
 	}
-	i := rapid.IntRange(0, len(m.wire)-1).Draw(r, "message")
-	message := m.wire[i]
-	m.wire = slices.Delete(m.wire, i, i+1)
+	i := rapid.IntRange(0, len(m.network)-1).Draw(r, "message")
+	message := m.network[i]
+	m.network = slices.Delete(m.network, i, i+1)
 	return message
 }
 
@@ -279,19 +279,19 @@
 func (m *model) deliver(r *rapid.T) {
 	message := m.pick(r)
 	if rapid.IntRange(0, 9).Draw(r, "copy") == 0 {
-		m.wire = append(m.wire, message)
+		m.network = append(m.network, message)
 	}
 	switch x := message.(type) {
-	case questionTo:
+	case queryTo:
 		if slices.Contains(m.present, x.to) {
-			m.wire = append(m.wire, m.answer(r, x))
+			m.network = append(m.network, m.answer(r, x))
 		}
 	case answerFrom:
 		m.check(r, m.seek.Answer(x.from, x.round, x.verdicts, m.known))
 	}
 }
 
-func (m *model) answer(r *rapid.T, x questionTo) answerFrom {
+func (m *model) answer(r *rapid.T, x queryTo) answerFrom {
 	unsure := rapid.Bool().Draw(r, "unsure")
 	a := answerFrom{from: x.to, round: x.query.Round}
 	for _, q := range x.query.Questions {
--- a/internal/flow/segs/wire_test.go
+++ b/internal/flow/segs/wire_test.go
@@ -12,8 +12,8 @@
 	"mangowinch/internal/stand/filled"
 )
 
-// Guards against flows that change their bytes in messages, or the agent that keeps their place: old and new processes run
-// side by side during an update.
+// Guards against a change of the encoding of a flow, or of its hash, which determines its home: old and new
+// processes run side by side during an update.
 func TestWireBytes(t *testing.T) {
 	var f Flow
 	filled.Fill(&f)
@@ -22,7 +22,7 @@
 	golden.Assert(t, text, "wire.golden")
 }
 
-// Guards against a flow in an older process's message that is read as another one.
+// Guards against reading a different flow out of a message of an older process.
 func TestWireBytesAreRead(t *testing.T) {
 	line, _, _ := strings.Cut(string(golden.Get(t, "wire.golden")), "\n")
 	b, err := hex.DecodeString(line)
