--- a/internal/ctrl/belief/belief.go
+++ b/internal/ctrl/belief/belief.go
@@ -6,7 +6,7 @@
 // processes, the one whose belief is complete up to the higher revision is more up to date, no
 // matter from where it received its changes, and the difference fits into a Change. An item is
 // only ever replaced by one with a higher revision, so old messages have no effect. When the
-// platform's store is restored from a backup copy, the belief follows the restored store, except
+// platform's store is restored from a backup, the belief follows the restored store, except
 // for what a restore must not undo (copies.go).
 //
 // The package does not read the platform (package follow does), has no clock of its own, and
--- a/internal/ctrl/belief/copies.go
+++ b/internal/ctrl/belief/copies.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// The platform's store may be restored from a backup copy that is some seconds old, which starts the
-// next era. A listing of the new era replaces the belief, whatever the numbers of its revisions. It
-// lacks what the operator and the servers wrote after the copy was made, until they write it again.
+// The platform's store may be restored from a backup that is some seconds old, which starts the next
+// era. A listing of the new era replaces the belief, whatever the numbers of its revisions. It lacks
+// what the operator and the servers wrote after the backup was made, until they write it again.
 // A restore therefore doesn't undo changes that have an order of their own:
 //
 //   - A configuration is only replaced by a higher version.
@@ -18,7 +18,7 @@
 // any expiry. An evacuation that it lacks is removed: it may have been revoked while the store was
 // down, and callers would be refused for an evacuation that is no longer in force.
 
-// departedTTL is how long a server that was removed while draining is remembered. No copy from which
+// departedTTL is how long a server that was removed while draining is remembered. No backup from which
 // the store is restored is that old.
 const departedTTL = time.Minute
 
@@ -52,7 +52,7 @@
 // removedItem is the last content of an item that was removed, with the revision of its removal.
 type removedItem struct {
 	Item
-	deletedByPlatform bool      // false: it may just be missing from a restored copy
+	deletedByPlatform bool      // false: it may just be missing from a restored backup
 	expires           time.Time // end of its retention
 }
 
--- a/internal/ctrl/belief/copies_test.go
+++ b/internal/ctrl/belief/copies_test.go
@@ -21,7 +21,7 @@
 	return i
 }
 
-// restoredListing returns the platform's full listing after its store was restored from a copy of revision 5.
+// restoredListing returns the platform's full listing after its store was restored from a backup of revision 5.
 func restoredListing(items ...Item) Change {
 	for j := range items {
 		items[j].Revision = order.At(1, items[j].Revision.Number())
@@ -35,7 +35,7 @@
 	return found.State, ok
 }
 
-// Guards against new flows for a draining server after the platform's store was restored from a copy in which the
+// Guards against new flows for a draining server after the platform's store was restored from a backup in which the
 // server is still ready.
 func TestCopyDoesNotUndoThatAServerLeaves(t *testing.T) {
 	l := newTestLog(t)
@@ -52,7 +52,7 @@
 	assert.Equal(t, s, Draining)
 }
 
-// Guards against flows for a server that has left after the platform's store was restored from a copy that still has
+// Guards against flows for a server that has left after the platform's store was restored from a backup that still has
 // the server's record.
 func TestCopyDoesNotBringBackAServerThatHasLeft(t *testing.T) {
 	l := newTestLog(t)
@@ -144,7 +144,7 @@
 	m.write(i)
 }
 
-// restore restores the store from a copy, in the next era, and marks the keys whose last write is lost.
+// restore restores the store from a backup, in the next era, and marks the keys whose last write is lost.
 func (m *model) restore(at order.Revision, items map[string]Item) {
 	m.at, m.items = order.At(m.at.Era()+1, at.Number()), maps.Clone(items)
 	for key, i := range m.items {
@@ -193,7 +193,7 @@
 }
 
 // Guards against a belief that goes back to a lower version or an earlier state of a server, or stays different from
-// the others, when the platform's store is restored from copies while processes list it and fetch from each other.
+// the others, when the platform's store is restored from backups while processes list it and fetch from each other.
 func TestBeliefsOutliveCopies(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		m := &model{at: order.At(1, 1), items: map[string]Item{}, written: map[string]Item{}, missing: map[string]bool{}}
--- a/internal/ctrl/digest/digest.go
+++ b/internal/ctrl/digest/digest.go
@@ -95,8 +95,8 @@
 	return differing
 }
 
-// Newer reports whether i has a revision that a process with item o can use. A revision that this
-// process has already failed to parse is of no use to it, although it may be in force in a process
+// Newer reports whether i has a revision that a process with item o can use. A revision that the
+// process with o has already failed to parse doesn't count, although it may be in force in a process
 // with another program version: otherwise the revision would be sent again and again.
 func (i Item) Newer(o Item) bool {
 	return i.Newest > o.Newest || i.Revision > o.Revision && i.Revision != o.Newest
--- a/internal/ctrl/digest/wire_test.go
+++ b/internal/ctrl/digest/wire_test.go
@@ -9,8 +9,8 @@
 	"mangowinch/internal/ctrl/digest"
 )
 
-// Guards against digests that differ although the same is known: old and new processes run side by side during an
-// update and would send each other all documents all the time.
+// Guards against a change of the digest function: old and new processes run side by side during an update, and if their
+// digests of the same documents differed, they would send each other the items of all documents in every exchange.
 func TestWireDigest(t *testing.T) {
 	d := digest.Of(view(map[string]uint64{"a": 3, "b": 5, "tracing-core": 9}))
 	text := fmt.Sprintf("root %x\n", d.Root)
--- a/internal/ctrl/duty/duty.go
+++ b/internal/ctrl/duty/duty.go
@@ -33,10 +33,10 @@
 
 // Limits on the calls of the fleet.
 const (
-	WatchersPerDomain = 3                // one may be dead and one frozen
+	WatchersPerDomain = 3                // so that one is left if one has failed and one is frozen
 	StaleAge          = 40 * time.Second // a watch returns after 25 s at the latest; the rest is for distributing the result
 	ProbeInterval     = 10 * time.Second // between two calls of ShouldProbe
-	probesPerTick     = 20               // by the whole fleet in one ProbeInterval: two calls a second
+	probesPerInterval = 20               // by the whole fleet in one ProbeInterval: two calls a second
 
 	MaxEntryDelay = 2 * time.Second  // 800 entries that start at once make 400 first calls a second
 	MaxAgentDelay = 10 * time.Second // 6,800 agents that start at once and find no peer make 680 calls a second
@@ -60,7 +60,7 @@
 // ShouldProbe reports whether a process that does not watch should probe the platform in
 // this ProbeInterval. age is the time since any known process received a response of it.
 func ShouldProbe(age time.Duration, members int, r *rand.Rand) bool {
-	return age > StaleAge && r.Float64()*float64(max(members, 1)) < probesPerTick
+	return age > StaleAge && r.Float64()*float64(max(members, 1)) < probesPerInterval
 }
 
 // StartDelay returns how long a process without any documents waits before its first
--- a/internal/ctrl/fetch/fetch.go
+++ b/internal/ctrl/fetch/fetch.go
@@ -75,7 +75,7 @@
 	Name    string         `json:"name"`
 	Role    string         `json:"role"` // entry or agent
 	Domain  string         `json:"domain"`
-	Address netip.AddrPort `json:"address"` // for links from other processes
+	Address netip.AddrPort `json:"address"` // where other processes reach it
 	State   string         `json:"state"`   // live or leaving
 }
 
@@ -146,7 +146,7 @@
 }
 
 // eraHeader is the header that states the era of a response. The era increases by one each time the platform's store
-// is restored from a copy. A platform without eras doesn't send the header.
+// is restored from a backup. A platform without eras doesn't send the header.
 const eraHeader = "Era"
 
 // Instances lists the processes of the system that the platform knows.
--- a/internal/ctrl/fetch/names_test.go
+++ b/internal/ctrl/fetch/names_test.go
@@ -7,7 +7,8 @@
 	"mangowinch/internal/stand/filled"
 )
 
-// Guards against names of the platform's answers that are no longer read: the platform isn't renamed along.
+// Guards against renamed fields of the platform's responses: the platform keeps its names, so a renamed field would stay
+// empty.
 func TestNames(t *testing.T) {
 	filled.AssertRoundTrip(t, "names.golden", map[string]any{"documents": &fetch.List{}, "instances": &fetch.Instances{}})
 }
--- a/internal/ctrl/follow/copy_test.go
+++ b/internal/ctrl/follow/copy_test.go
@@ -11,7 +11,7 @@
 	"mangowinch/internal/flow/order"
 )
 
-// Guards against changes that are ignored because the platform's store was restored from a copy and assigned their
+// Guards against changes that are ignored because the platform's store was restored from a backup and assigned their
 // revision numbers a second time.
 func TestChangesAfterThePlatformCameBackFromACopyAreKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -63,7 +63,7 @@
 		n.HandleChange(time.Now(), addr(1), belief.Change{To: order.At(1, 1), Full: true, Items: []belief.Item{state{order.At(1, 1), 2}.item()}})
 		before, _ := n.Age(time.Now())
 		time.Sleep(5 * time.Millisecond)
-		n.handleAnswer(time.Now(), belief.Change{From: 1, To: 1})
+		n.handleResponse(time.Now(), belief.Change{From: 1, To: 1})
 		after, _ := n.Age(time.Now())
 		assert.Equal(t, after, before+5*time.Millisecond)
 		assert.Equal(t, n.Log.View().Version(), int64(2))
--- a/internal/ctrl/follow/encode.go
+++ b/internal/ctrl/follow/encode.go
@@ -18,7 +18,7 @@
 	// windowSize is the compression window in bytes. Names and services repeat within a few routes, and a
 	// small window saves memory in each process.
 	windowSize = 256 << 10
-	// maxDecodedSize bounds the size of a decompressed message, in bytes: 60 times the largest configuration.
+	// maxDecodedSize bounds the size of a decompressed message, in bytes: 60 times the size of the largest known configuration.
 	maxDecodedSize = 16 << 20
 )
 
--- a/internal/ctrl/follow/fetch.go
+++ b/internal/ctrl/follow/fetch.go
@@ -108,8 +108,8 @@
 		return
 	}
 	n.mu.Lock()
-	if known == 0 && n.firstOffer.IsZero() {
-		n.firstOffer = time.Now()
+	if known == 0 && n.firstFetchPeerAt.IsZero() {
+		n.firstFetchPeerAt = time.Now()
 	}
 	a.sameDomain = n.sameDomain(a.addr)
 	n.fetchFrom.consider(a)
--- a/internal/ctrl/follow/follow.go
+++ b/internal/ctrl/follow/follow.go
@@ -91,17 +91,17 @@
 	startFetching chan struct{} // wakes fetchLoop
 
 	// mu guards the fields below.
-	mu            sync.Mutex
-	asOf          time.Time // when the belief was last confirmed as complete; zero if never
-	peers         map[netip.Addr]*peer
-	firstOffer    time.Time // when this process, without a belief, first received a message of a peer that has one
-	fetchFrom     fetchPeer // the source of the next fetch
-	reading       bool
-	leaving       bool
-	lastGossip    time.Time
-	gossipCount   int  // number of beacons to random peers
-	platformLost  bool // the platform doesn't respond to this process
-	greetingsSent int  // number of beacons to all known processes after the start
+	mu               sync.Mutex
+	asOf             time.Time // when the belief was last confirmed as complete; zero if never
+	peers            map[netip.Addr]*peer
+	firstFetchPeerAt time.Time // when this process, without a belief, first received a message of a peer that has one
+	fetchFrom        fetchPeer // the source of the next fetch
+	reading          bool
+	leaving          bool
+	lastGossip       time.Time
+	gossipCount      int  // number of beacons to random peers
+	platformLost     bool // the platform doesn't respond to this process
+	greetingsSent    int  // number of beacons to all known processes after the start
 }
 
 // New returns a node without a belief.
--- a/internal/ctrl/follow/follow_test.go
+++ b/internal/ctrl/follow/follow_test.go
@@ -27,7 +27,7 @@
 	version int64 // of the configuration; it never decreases
 }
 
-// platform is a Source that can be down, unresponsive, discard its history, or be restored from a copy.
+// platform is a Source that can be down, unresponsive, discard its history, or be restored from a backup.
 type platform struct {
 	mu           sync.Mutex
 	state        state
@@ -58,7 +58,7 @@
 	return p.setState(func(s state) state { return state{s.at + 1, s.version + 1} }).version
 }
 
-// restore restores the platform's store from a copy that was made at the revision with a number, in the next era.
+// restore restores the platform's store from a backup that was made at the revision with a number, in the next era.
 func (p *platform) restore(number uint64) {
 	p.setState(func(s state) state { return state{order.At(s.at.Era()+1, number), s.version} })
 }
@@ -256,7 +256,7 @@
 	}
 }
 
-// Guards against every process watching the platform, which makes 5,400 calls a day for 72 processes without changes.
+// Guards against every process watching the platform: 72 processes make 5,400 calls on a day without changes.
 // Two processes must read, whatever the size of the fleet.
 func TestFewProcessesReadThePlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/ctrl/follow/read.go
+++ b/internal/ctrl/follow/read.go
@@ -13,7 +13,7 @@
 )
 
 // ErrHistory is returned by Source.Watch when the platform has discarded changes after the given revision, or its store
-// has been restored from a copy, so that all items must be listed again.
+// has been restored from a backup, so that all items must be listed again.
 var ErrHistory = errors.New("the platform no longer has the changes after this revision")
 
 const (
@@ -66,7 +66,7 @@
 			if first {
 				n.stopUnlessSeed()
 			}
-			n.handleAnswer(now, c)
+			n.handleResponse(now, c)
 			if now.Sub(began) > minBatchPause {
 				pause = minBatchPause // the call had to wait, so changes no longer come in quick succession
 			}
@@ -102,9 +102,9 @@
 	return c, err
 }
 
-// handleAnswer applies a response of the platform, and sends it to peers.
-func (n *Node) handleAnswer(now time.Time, c belief.Change) {
-	n.markAnswered(c)
+// handleResponse applies a response of the platform, and sends it to peers.
+func (n *Node) handleResponse(now time.Time, c belief.Change) {
+	n.markResponsive(c)
 	before := n.Log.View()
 	switch {
 	case n.Log.Apply(now, c) == belief.Updated:
@@ -116,7 +116,7 @@
 		n.Changed()
 		return
 	case outdated(n.Log.Revision(), c):
-		n.logStaleAnswer(c)
+		n.logStaleResponse(c)
 	default:
 		n.markConfirmed(now)
 	}
@@ -124,7 +124,7 @@
 }
 
 // outdated reports whether a response is older than the belief, so that it doesn't confirm the belief: it was in
-// transit while the platform's store was restored from a copy, or it is a listing of a lower revision.
+// transit while the platform's store was restored from a backup, or it is a listing of a lower revision.
 func outdated(known order.Revision, c belief.Change) bool {
 	return c.To.Era() < known.Era() || c.Full && c.To < known
 }
@@ -136,8 +136,8 @@
 	n.asOf = now
 }
 
-// markAnswered records that the platform responds.
-func (n *Node) markAnswered(c belief.Change) {
+// markResponsive records that the platform responds.
+func (n *Node) markResponsive(c belief.Change) {
 	n.mu.Lock()
 	recovered := n.platformLost
 	n.platformLost = false
@@ -147,7 +147,7 @@
 	}
 }
 
-// logEraChange logs that the platform's store was restored from a copy, if the era differs from that of revision before.
+// logEraChange logs that the platform's store was restored from a backup, if the era differs from that of revision before.
 func (n *Node) logEraChange(before order.Revision) {
 	now := n.Log.Revision()
 	if before != 0 && before.Era() != now.Era() {
@@ -158,8 +158,8 @@
 // staleListings counts full listings that were discarded because they were older than the belief.
 var staleListings = metrics.NewCounter(`mangowinch_old_listings_total`)
 
-// logStaleAnswer logs and counts a discarded response.
-func (n *Node) logStaleAnswer(c belief.Change) {
+// logStaleResponse logs and counts a discarded response.
+func (n *Node) logStaleResponse(c belief.Change) {
 	if c.Full {
 		staleListings.Inc()
 	}
--- a/internal/ctrl/follow/spread.go
+++ b/internal/ctrl/follow/spread.go
@@ -32,8 +32,8 @@
 )
 
 // announce sends a beacon and, if change isn't nil, an update. An update that fits into a datagram goes to all peers or to
-// some of each failure domain if reader is set, otherwise to a few of the process's own domain. A larger one is not sent:
-// the beacon states the new revision, and peers fetch the change.
+// some of each failure domain if reader is set, otherwise to a few of the process's own domain. A larger one, or a full
+// change, is not sent: the beacon states the new revision, and peers fetch the change.
 func (n *Node) announce(now time.Time, change *belief.Change, reader bool) {
 	n.mu.Lock()
 	to := n.recipients(reader || n.leaving)
@@ -59,13 +59,13 @@
 	}
 }
 
-// shouldRelay reports whether a beacon advanced the confirmation time of the belief so far, from before, that it must be
-// relayed to a few peers of this failure domain at once. n.mu is held.
+// shouldRelay reports whether a beacon advanced the confirmation time of the belief by so much that it must be relayed at
+// once to a few peers of this failure domain. before is the previous confirmation time. n.mu is held.
 func (n *Node) shouldRelay(now, before time.Time) bool {
 	return n.asOf.Sub(before) >= n.PropagationBound/6 && n.fleetEstimate(now) >= maxDirect
 }
 
-// recipients picks the processes to which to send an update: all or some of each failure domain if wide is set, otherwise
+// recipients picks the processes to which to send an update or beacon: all or some of each failure domain if wide is set, otherwise
 // a few of this process's domain. n.mu is held.
 func (n *Node) recipients(wide bool) []netip.Addr {
 	known := n.knownProcesses()
--- a/internal/ctrl/follow/turn.go
+++ b/internal/ctrl/follow/turn.go
@@ -29,8 +29,8 @@
 	// initialVolunteerOdds is the mean number of agents of which one volunteers in the first tick in which agents without
 	// a belief may read. It halves with each tick.
 	initialVolunteerOdds = 64
-	// offerTimeout is how long an agent without a belief tries to fetch from peers that have one, which may all be busy.
-	offerTimeout = 1500 * time.Millisecond
+	// initialFetchTimeout is how long an agent without a belief tries to fetch from peers that have one, which may all be busy.
+	initialFetchTimeout = 1500 * time.Millisecond
 	// minFleetEstimate is the minimum size of the fleet that a started process assumes.
 	minFleetEstimate = 64
 )
@@ -41,14 +41,15 @@
 		return true
 	}
 	waited := now.Sub(n.start) - agentStartDelay
-	if !n.firstOffer.IsZero() {
-		waited = now.Sub(n.firstOffer) - offerTimeout
+	if !n.firstFetchPeerAt.IsZero() {
+		waited = now.Sub(n.firstFetchPeerAt) - initialFetchTimeout
 	}
 	return waited >= 0 && rand.IntN(max(1, initialVolunteerOdds>>(waited/TickInterval))) == 0
 }
 
-// stopUnlessSeed stops reading after an entry's first listing, unless the entry is a seed. The process never announces
-// itself as a reader: otherwise hundreds would seem to be readers for a moment, and the seeds would stop reading.
+// stopUnlessSeed stops reading after an entry's first listing, unless the entry is a seed. It is called before the
+// listing is announced: otherwise hundreds of entries would seem to be readers for a moment, and the seeds would stop
+// reading.
 func (n *Node) stopUnlessSeed() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/ctrl/follow/turn_test.go
+++ b/internal/ctrl/follow/turn_test.go
@@ -145,7 +145,7 @@
 	})
 }
 
-// Guards against a whole fleet that lists the platform after its store was restored from a copy.
+// Guards against a whole fleet that lists the platform after its store was restored from a backup.
 func TestFewProcessesListAfterARestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform()
--- a/internal/ctrl/follow/wire_test.go
+++ b/internal/ctrl/follow/wire_test.go
@@ -13,13 +13,13 @@
 	"mangowinch/internal/stand/filled"
 )
 
-// sent are the messages that processes encode for each other.
+// sent lists the structs that processes send each other, by golden file.
 var sent = map[string]any{
-	"change.golden": belief.Change{}, // in news, and the answer to a fetch
-	"since.golden":  sinceRequest{},  // the question of a fetch
+	"change.golden": belief.Change{}, // in update messages, and the response to a fetch
+	"since.golden":  sinceRequest{},  // the request of a fetch
 }
 
-// plain returns the JSON of a message as it is sent, on lines of its own.
+// plain returns the uncompressed JSON of a message, indented.
 func plain(t *testing.T, m any) string {
 	t.Helper()
 	b, err := countingEncoding{}.Marshal(m)
@@ -31,8 +31,8 @@
 	return lines.String() + "\n"
 }
 
-// Guards against a field that is renamed: old and new processes run side by side during an update and send each other
-// these structs under the names of their Go fields, and a name that the reader doesn't know is passed over in silence.
+// Guards against renamed fields: old and new processes run side by side during an update and send each other these
+// structs under the names of their Go fields, and the receiver silently ignores a name that it doesn't know.
 func TestWireNames(t *testing.T) {
 	for name, m := range sent {
 		t.Run(name, func(t *testing.T) {
@@ -43,7 +43,7 @@
 	}
 }
 
-// Guards against a field of an older process's message that is lost when it is read.
+// Guards against losing a field of an older process's message when it is decoded.
 func TestWireNamesAreRead(t *testing.T) {
 	for name, m := range sent {
 		t.Run(name, func(t *testing.T) {
@@ -57,5 +57,5 @@
 	}
 }
 
-// Guards against a call that an older process doesn't answer.
+// Guards against a renamed RPC method: an older process would refuse the call.
 func TestWireMethod(t *testing.T) { golden.Assert(t, method+"\n", "method.golden") }
--- a/internal/ctrl/peers/peers.go
+++ b/internal/ctrl/peers/peers.go
@@ -60,8 +60,8 @@
 // Timings and limits of a table.
 const (
 	MaxMembers     = 4096             // five times the number of entries at the planned size
-	forgetAfter    = 10 * time.Minute // without being listed or received from; longer than a regional partition usually lasts
-	forgetFailures = 8                // consecutive ones, which take two minutes
+	forgetAfter    = 10 * time.Minute // without being listed and without a message; longer than a regional partition usually lasts
+	forgetFailures = 8                // consecutive failed calls, which take two minutes
 	retryBase      = time.Second      // after the first failure
 	retryCap       = time.Minute      // when half of the fleet is partitioned off, most calls still go to the reachable half
 	gossipSends    = 8                // sends of one change, about twice the rounds that gossip needs
@@ -228,7 +228,7 @@
 	}
 }
 
-// Suspected reports whether a member has failed to answer since it was last received from.
+// Suspected reports whether a call to a member has failed since a message of it was last received.
 func (t *Table) Suspected(name string) bool {
 	r := t.records[name]
 	return r != nil && r.failures > 0
--- a/internal/ctrl/relay/copy.go
+++ b/internal/ctrl/relay/copy.go
@@ -7,9 +7,9 @@
 	"mangowinch/internal/flow/order"
 )
 
-// A platform that is restored from a backup starts a new era and serves older texts until the customers
+// A platform that is restored from a backup starts a new era and serves older texts until the service teams
 // have written the lost changes again. Accepting these texts at once would replace documents that the
-// customers know to be accepted.
+// service teams know to be accepted.
 
 // restoreHold is how long documents that may be older than those in force are not accepted after a restore
 // of the platform. It leaves the remaining 4 s of the 7 s within which a change has to be in force.
--- a/internal/ctrl/relay/copy_test.go
+++ b/internal/ctrl/relay/copy_test.go
@@ -24,7 +24,7 @@
 }
 
 // The platform is restored from a backup and assigns a lost revision a second time. Guards against a change
-// that the platform lost being reverted before the customer can write it again, and against a later change
+// that the platform lost being reverted before the service team can write it again, and against a later change
 // that never comes into force because its revision is already known.
 func TestDocumentAfterThePlatformCameBackFromACopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/ctrl/relay/exchange.go
+++ b/internal/ctrl/relay/exchange.go
@@ -24,7 +24,7 @@
 	membersPerMessage   = 8               // 800 entries are covered by about 100 exchanges
 	suspectPeriod       = 4 * time.Second // between two exchanges with suspected members
 	concurrentExchanges = 4
-	maxItems            = 4096 // processed of one message
+	maxItems            = 4096 // items that are processed of one message
 	neighbourCount      = 8    // enough to keep the graph of entries connected if half of them fail
 	neighbourRenewal    = 10 * time.Second
 	roundsPerSeed       = 60 // one exchange in this many is with a seed, so that two groups that know nothing of each other merge
--- a/internal/ctrl/relay/fault_test.go
+++ b/internal/ctrl/relay/fault_test.go
@@ -41,8 +41,8 @@
 	})
 }
 
-// Only one process reads a change before the platform goes down for good. The customer knows the change to be
-// accepted, so it must be in force everywhere within 7 s.
+// Only one process reads a change before the platform goes down for good. The service team knows the change to
+// be accepted, so it must be in force everywhere within 7 s.
 func TestPlatformDownAfterOneSawTheChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newSettledFleet(t, 100)
--- a/internal/ctrl/relay/give.go
+++ b/internal/ctrl/relay/give.go
@@ -112,7 +112,7 @@
 		return nil, err
 	}
 	if len(b) > maxAnswer {
-		return nil, errors.Newf("more than %d bytes", maxAnswer)
+		return nil, errors.Newf("answer is larger than %d bytes", maxAnswer)
 	}
 	var all wire.Parts
 	err = proto.Unmarshal(b, &all)
--- a/internal/ctrl/relay/pull.go
+++ b/internal/ctrl/relay/pull.go
@@ -19,7 +19,7 @@
 	namesPerPull      = 256                    // documents requested in one call
 	maxPartialBytes   = 4 << 20                // of incomplete texts
 	maxWantLinks      = 4                      // peers remembered for one document
-	maxWantFailures   = 6                      // consecutive failed calls, after which a failing peer is not retried; a later exchange queues the document again
+	maxWantFailures   = 6                      // consecutive failed calls for a document, after which failing peers are not retried; a later exchange queues it again
 	uselessPullPeriod = 30 * time.Second       // before a useless pull is repeated
 	pullRetry         = 250 * time.Millisecond
 )
--- a/internal/ctrl/relay/relay.go
+++ b/internal/ctrl/relay/relay.go
@@ -110,7 +110,7 @@
 
 	mu          sync.Mutex
 	table       *peers.Table
-	lastContact time.Time // when this process or one it received from last reached the platform
+	lastContact time.Time // latest time at which this or any known process reached the platform; zero: never
 	watching    bool      // holds a watch at the platform
 	platformEra eraTracker
 	stale       int            // documents of which the platform serves an older revision
--- a/internal/ctrl/scale/measure.go
+++ b/internal/ctrl/scale/measure.go
@@ -35,10 +35,10 @@
 		u := p.Meter.Usage(time.Now())
 		before[p] = u.Sent + u.Received
 	}
-	start, cpu := time.Now(), processorTime()
+	start, cpu := time.Now(), processCPUTime()
 	time.Sleep(d)
 	took := time.Since(start).Seconds()
-	c := Costs{CPU: (processorTime() - cpu).Seconds() * 1000 / took}
+	c := Costs{CPU: (processCPUTime() - cpu).Seconds() * 1000 / took}
 	entries, agents := 0.0, 0.0
 	for _, p := range processes {
 		u := p.Meter.Usage(time.Now())
@@ -58,7 +58,7 @@
 	return c
 }
 
-func processorTime() time.Duration {
+func processCPUTime() time.Duration {
 	var u unix.Rusage
 	if unix.Getrusage(unix.RUSAGE_SELF, &u) != nil {
 		return 0
