--- a/internal/work/hand/ask.go
+++ b/internal/work/hand/ask.go
@@ -56,7 +56,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	now := time.Now()
-	question, err := seal(x.client.ring(), questionPurpose, &wire.Question{
+	query, err := seal(x.client.ring(), queryPurpose, &wire.Question{
 		Id:          []byte(x.request.ID),
 		Incarnation: x.link.incarnation,
 		Time:        l.deadline(now, x.request.Deadline.Sub(now)),
@@ -64,7 +64,7 @@
 	if err != nil {
 		return result.Result{}, false
 	}
-	stream, err := l.client.Ask(ctx, question)
+	stream, err := l.client.Ask(ctx, query)
 	if err != nil {
 		return result.Result{}, false
 	}
@@ -116,8 +116,8 @@
 	s.skip = s.sent
 }
 
-// stop prevents the delivery of late parts: after HandOver has returned, the taker of the answer
-// may already serve another request.
+// stop prevents the delivery of late parts: after HandOver has returned, the caller's Answer may
+// already serve another request.
 func (s *resumableAnswer) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/work/hand/codec.go
+++ b/internal/work/hand/codec.go
@@ -89,8 +89,8 @@
 
 // The purposes of seals.
 const (
-	headPurpose     token.Purpose = 1
-	questionPurpose token.Purpose = 2
+	headPurpose  token.Purpose = 1
+	queryPurpose token.Purpose = 2
 )
 
 var errForged = errors.New("message is not authenticated by a process of the service")
@@ -121,7 +121,7 @@
 }
 
 func decodeHead(h *wire.Head) (r *Request, err error) {
-	defer func() { err = errors.Wrap(err, "head of a request handed over") }()
+	defer func() { err = errors.Wrap(err, "decode head of request") }()
 	if len(h.GetId()) != idSize || h.GetTime() == nil {
 		return nil, errors.New("ID of wrong length or no deadline")
 	}
--- a/internal/work/hand/exchange.go
+++ b/internal/work/hand/exchange.go
@@ -27,7 +27,7 @@
 type downResult struct {
 	end     result.Result
 	err     error // the link broke before the end
-	refused bool  // the taker of the answer returned an error
+	refused bool  // the caller's Answer returned an error
 }
 
 func (x *exchange) run(ctx context.Context, now time.Time, left time.Duration) result.Result {
--- a/internal/work/hand/fleet_test.go
+++ b/internal/work/hand/fleet_test.go
@@ -76,7 +76,7 @@
 	kill        context.CancelFunc
 	view        *once.View
 	guard       *once.Guard
-	spreader    *spread.Dispatcher
+	dispatcher  *spread.Dispatcher
 	mux         *drpcmux.Mux
 	nonce       uint64
 }
@@ -105,8 +105,8 @@
 	rings := func() *token.Ring { return ring }
 	client := hand.NewClient(f.document.Name, rings, n.dial, nil)
 	n.guard = &once.Guard{View: func() *once.View { return n.view }, Outcomes: memo.New(f.limits), Client: client}
-	n.spreader = spread.New(place.Self{ID: id}, client, func() place.Hint { return place.Hint{} })
-	n.spreader.SetServers(f.document)
+	n.dispatcher = spread.New(place.Self{ID: id}, client, func() place.Hint { return place.Hint{} })
+	n.dispatcher.SetServers(f.document)
 	server := &hand.Server{Service: f.document.Name, Incarnation: incarnation, Start: time.Now(), Ring: rings, Runner: n, Outcomes: memo.New(f.limits)}
 	assert.NilError(t, hand.Register(n.mux, server))
 	f.mu.Lock()
@@ -177,7 +177,7 @@
 // Run implements hand.Runner with the agent's filters.
 func (n *node) Run(ctx context.Context, r *hand.Request, a hand.Answer) result.Result {
 	return n.guard.Run(ctx, r, a, runnerFunc(func(ctx context.Context, r *hand.Request, a hand.Answer) result.Result {
-		return n.spreader.Run(ctx, r, a, runnerFunc(n.runOnServer))
+		return n.dispatcher.Run(ctx, r, a, runnerFunc(n.runOnServer))
 	}))
 }
 
--- a/internal/work/hand/hand.go
+++ b/internal/work/hand/hand.go
@@ -2,10 +2,10 @@
 // over drpc.
 //
 // It preserves at-most-once execution across the hop. Each request carries an ID, and the receiver
-// records its outcome. If the link breaks after the receiver may have got the
-// request, the sender queries that receiver and tries no other. The receiver blocks an ID that has
-// not arrived, so that "not run" stays true if the bytes of the old link are read later. A receiver
-// that was restarted has lost its records, and the outcome is unknown.
+// records its outcome. If the link breaks after the receiver may have got the request, the sender
+// queries that receiver and tries no other. The receiver blocks an ID that has not arrived, so that
+// "not run" stays true if the bytes of the old link are read later. A receiver that was restarted
+// has lost its records, and the outcome is unknown.
 //
 // No body is buffered completely. The sender sends a body in parts that the receiver has granted,
 // so that a cancellation is never stuck behind a body that is not being read. The receiver sends an
--- a/internal/work/hand/hand_test.go
+++ b/internal/work/hand/hand_test.go
@@ -147,10 +147,10 @@
 			freed <- context.Cause(ctx)
 			return unknown(result.CallerGone)
 		}
-		ctx, hangUp := context.WithCancel(t.Context())
+		ctx, disconnect := context.WithCancel(t.Context())
 		go func() {
 			time.Sleep(100 * time.Millisecond)
-			hangUp()
+			disconnect()
 		}()
 		r := claim("/claim/7")
 		r.Body = strings.NewReader(strings.Repeat("x", 100*partSize)) // never read
@@ -208,10 +208,10 @@
 		c, f, n := newPair(t)
 		assert.Equal(t, c.HandOver(t.Context(), address, claim("/warm"), &answerBuffer{}), ran)
 		synctest.Wait()
-		wake := n.hold()
+		release := n.hold()
 		assert.Equal(t, c.HandOver(t.Context(), address, claim("/claim/7"), &answerBuffer{}), unknown(result.Expired))
 		time.Sleep(time.Minute)
-		wake()
+		release()
 		time.Sleep(time.Minute)
 		assert.Equal(t, f.runs("/claim/7"), 0)
 	})
@@ -240,7 +240,7 @@
 		ring := newRing(t, "0123456789abcdef")()
 		sealed, err := seal(ring, headPurpose, &wire.Head{Path: "/claim/7"})
 		assert.NilError(t, err)
-		assert.ErrorIs(t, unseal(ring, questionPurpose, sealed, &wire.Question{}), errForged)
+		assert.ErrorIs(t, unseal(ring, queryPurpose, sealed, &wire.Question{}), errForged)
 		sealed.Message[0] ^= 1
 		assert.ErrorIs(t, unseal(ring, headPurpose, sealed, &wire.Head{}), errForged)
 	})
--- a/internal/work/hand/server.go
+++ b/internal/work/hand/server.go
@@ -189,7 +189,7 @@
 func (s *Server) Ask(sealed *wire.Sealed, stream wire.DRPCHand_AskStream) error {
 	answer := &answerSender{stream: stream, server: s, ctx: stream.Context()}
 	q := &wire.Question{}
-	if err := unseal(s.Ring(), questionPurpose, sealed, q); err != nil {
+	if err := unseal(s.Ring(), queryPurpose, sealed, q); err != nil {
 		_ = s.countRefused(err)
 		return answer.sendEnd(unknown(result.OtherService), false)
 	}
--- a/internal/work/spread/spread.go
+++ b/internal/work/spread/spread.go
@@ -1,5 +1,5 @@
 // Package spread runs a request on the agent's own server or hands it over to another agent, and
-// retries a refused request elsewhere.
+// retries elsewhere a request that was refused as not run.
 //
 // It carries out the decisions of packages place and retry. It also tracks what those packages
 // can't know: whether the answer has been started, and whether the request's body can still be read
--- a/internal/work/spread/spread_test.go
+++ b/internal/work/spread/spread_test.go
@@ -57,14 +57,14 @@
 
 func (discardAnswer) Write(p []byte) (int, error) { return len(p), nil }
 
-func (s *fakeServers) spreader() *Dispatcher {
-	sp := New(place.Self{ID: 1}, s, func() place.Hint { return place.Hint{} })
+func (s *fakeServers) dispatcher() *Dispatcher {
+	dispatcher := New(place.Self{ID: 1}, s, func() place.Hint { return place.Hint{} })
 	d := &docs.Service{Name: "tracing-core"}
 	for id := uint32(1); id <= 3; id++ {
 		d.Servers = append(d.Servers, docs.Server{ID: id, Slots: 4})
 	}
-	sp.SetServers(d)
-	return sp
+	dispatcher.SetServers(d)
+	return dispatcher
 }
 
 func request(idempotent bool) *hand.Request {
@@ -72,7 +72,7 @@
 }
 
 func (s *fakeServers) run(r *hand.Request) result.Result {
-	return s.spreader().Run(context.Background(), r, discardAnswer{}, s)
+	return s.dispatcher().Run(context.Background(), r, discardAnswer{}, s)
 }
 
 // Guards against a truncated upload when the own server refuses it and another server gets it.
@@ -115,9 +115,9 @@
 // more than the retry budget. All of them must be placed elsewhere; none counts as a retry.
 func TestAllRequestsOfLeavingServerArePlaced(t *testing.T) {
 	s := &fakeServers{own: leaving, others: ran}
-	sp := s.spreader()
+	dispatcher := s.dispatcher()
 	for range 100 {
-		assert.Equal(t, sp.Run(context.Background(), request(false), discardAnswer{}, s), ran)
+		assert.Equal(t, dispatcher.Run(context.Background(), request(false), discardAnswer{}, s), ran)
 	}
 }
 
@@ -125,9 +125,9 @@
 // get three times the load.
 func TestRetryBudgetBoundsLoad(t *testing.T) {
 	s := &fakeServers{own: shed, others: shed}
-	sp := s.spreader()
+	dispatcher := s.dispatcher()
 	for range 1000 {
-		assert.Equal(t, sp.Run(context.Background(), request(false), discardAnswer{}, s), shed)
+		assert.Equal(t, dispatcher.Run(context.Background(), request(false), discardAnswer{}, s), shed)
 	}
 	assert.Assert(t, len(s.log) < 1200, "%d tries", len(s.log))
 }
@@ -152,19 +152,19 @@
 // lasted. After a few failures, other servers must get the requests.
 func TestFailFastServerIsAvoided(t *testing.T) {
 	f := &failFastServer{}
-	sp := New(place.Self{ID: 1}, f, func() place.Hint { return place.Hint{} })
-	sp.SetServers(&docs.Service{Servers: []docs.Server{{ID: 1, Slots: 4}, {ID: 2, Slots: 4}, {ID: 3, Slots: 4}}})
+	dispatcher := New(place.Self{ID: 1}, f, func() place.Hint { return place.Hint{} })
+	dispatcher.SetServers(&docs.Service{Servers: []docs.Server{{ID: 1, Slots: 4}, {ID: 2, Slots: 4}, {ID: 3, Slots: 4}}})
 	for range 50 {
-		sp.Run(context.Background(), request(false), discardAnswer{}, f)
+		dispatcher.Run(context.Background(), request(false), discardAnswer{}, f)
 	}
 	assert.Assert(t, f.own < 10 && f.other > 40, "own %d, others %d", f.own, f.other)
 }
 
 // nestedFeeds hands feeds over and, while each feed is open, opens the next one.
 type nestedFeeds struct {
-	sp    *Dispatcher
-	depth int
-	log   []string
+	dispatcher *Dispatcher
+	depth      int
+	log        []string
 }
 
 func (o *nestedFeeds) Run(_ context.Context, _ *hand.Request, _ hand.Answer) result.Result {
@@ -176,7 +176,7 @@
 	o.log = append(o.log, "other")
 	_ = a.Start(http.StatusOK, nil)
 	if o.depth--; o.depth > 0 {
-		return o.sp.Run(ctx, &hand.Request{Feed: true, Deadline: r.Deadline}, discardAnswer{}, o)
+		return o.dispatcher.Run(ctx, &hand.Request{Feed: true, Deadline: r.Deadline}, discardAnswer{}, o)
 	}
 	return ran
 }
@@ -186,8 +186,8 @@
 // find its peers idle.
 func TestOpenFeedsDoNotFillPeers(t *testing.T) {
 	o := &nestedFeeds{depth: 10}
-	o.sp = New(place.Self{ID: 1}, o, func() place.Hint { return place.Hint{Running: 4, Waiting: 4} })
-	o.sp.SetServers(&docs.Service{Servers: []docs.Server{{ID: 1, Slots: 4}, {ID: 2, Slots: 4}, {ID: 3, Slots: 4}}})
-	o.sp.Run(context.Background(), &hand.Request{Feed: true, Deadline: time.Now().Add(time.Minute)}, discardAnswer{}, o)
+	o.dispatcher = New(place.Self{ID: 1}, o, func() place.Hint { return place.Hint{Running: 4, Waiting: 4} })
+	o.dispatcher.SetServers(&docs.Service{Servers: []docs.Server{{ID: 1, Slots: 4}, {ID: 2, Slots: 4}, {ID: 3, Slots: 4}}})
+	o.dispatcher.Run(context.Background(), &hand.Request{Feed: true, Deadline: time.Now().Add(time.Minute)}, discardAnswer{}, o)
 	assert.Equal(t, strings.Count(strings.Join(o.log, " "), "other"), 10)
 }
