--- a/internal/node/agent/agent.go
+++ b/internal/node/agent/agent.go
@@ -66,7 +66,7 @@
 	requests     atomic.Int64 // in progress
 	nonce        atomic.Uint64
 	hooks        Hooks
-	lastHint     stamp.Time // last call of Hooks.Newer
+	lastHint     stamp.Time // last call of Hooks.NewerDocument
 	demand       demand
 	load         atomic.Uint32 // current demand in the unit that frames carry
 	count        counters
@@ -74,9 +74,9 @@
 
 // Hooks connect the agent to the component that keeps its documents. Both may be nil.
 type Hooks struct {
-	// Newer is called when a frame shows that the process at link has a newer document of
-	// the agent's service. It must not block.
-	Newer func(link netip.AddrPort, service string, revision order.Revision)
+	// NewerDocument is called when a frame shows that the process at link has a newer
+	// document of the agent's service. It must not block.
+	NewerDocument func(link netip.AddrPort, service string, revision order.Revision)
 	// Refresh requests the newest document after a pause of the process. It returns when
 	// the request has been answered or has failed, or when ctx ends.
 	Refresh func(ctx context.Context)
--- a/internal/node/agent/backend.go
+++ b/internal/node/agent/backend.go
@@ -59,8 +59,9 @@
 // is NotRun only if no byte of the request can have reached the server, or if the server
 // itself says so.
 func (b *backend) run(ctx context.Context, x *Exchange) result.Result {
-	// After a pause of the process, timers may be due but not have fired yet. The
-	// requester has long been answered by then.
+	// If the process was paused until after the deadline, the timers that should have
+	// ended the request are due but may not have fired yet. The caller has long been
+	// answered by then.
 	if !time.Now().Before(x.Deadline) {
 		return refuse(result.Expired, 0)
 	}
--- a/internal/node/agent/chain.go
+++ b/internal/node/agent/chain.go
@@ -22,12 +22,12 @@
 	Key        string       // request key, if any
 	Hops       int          // number of hand-overs so far
 	Placed     bool         // another agent has placed the request here
-	KeyDecided bool         // the filter once has checked the key, so NotRun holds for the key
+	KeyDecided bool         // the request has passed the filter once (once.go), so NotRun holds for its key too
 	Deadline   time.Time
 	Request    *http.Request
 	Answer     *Answer
 	// FirstByte is called when the server's answer begins, which releases a feed's slot.
-	// The filter enter sets it.
+	// It is set by the filter enter (enter.go).
 	FirstByte func()
 }
 
--- a/internal/node/agent/leave.go
+++ b/internal/node/agent/leave.go
@@ -29,8 +29,8 @@
 	byPause    cause = "woken late" // this process was paused and its beliefs are stale
 )
 
-// availability is whether the server takes new work. The agent has the first knowledge of
-// it and acts on it itself; what entries believe only saves callers a hop.
+// availability is whether the server takes new work. The agent is the first to know it and
+// acts on it itself; what entries believe only saves callers a hop.
 type availability struct {
 	log     zerolog.Logger
 	changed func(accepting bool) // called in order, with mu held
--- a/internal/node/agent/link.go
+++ b/internal/node/agent/link.go
@@ -97,7 +97,7 @@
 // reader processes the frames of one socket. It belongs to one goroutine.
 type reader struct {
 	link     *link
-	fromSide bool // conn is the side's own socket, for the other side and for echoes
+	fromSide bool // the socket is the side's own: it receives the other side's frames and echoes of this side's probes
 	header   frame.Header
 }
 
@@ -112,7 +112,7 @@
 		return
 	}
 	if h.Revision > v.revision {
-		a.hintNewer(now, h.Entry, h.Revision)
+		a.notifyNewer(now, h.Entry, h.Revision)
 	}
 	switch h.Kind {
 	case frame.Echo:
--- a/internal/node/agent/place.go
+++ b/internal/node/agent/place.go
@@ -29,7 +29,7 @@
 	// tens of agents has one per request that it has handed over.
 	maxPeers = 1024
 	// maxMessage bounds one message from another process, in bytes. The largest are those
-	// of control, with a whole document.
+	// of the relay, which carry a whole document.
 	maxMessage = 1 << 20
 	// usageWindow is the time over which the use of the agent's server is averaged for
 	// other agents.
@@ -130,13 +130,13 @@
 		return d.agent.client.HandOver(ctx, to, r, a)
 	}
 	began := time.Now()
-	note := sync.OnceFunc(func() { d.agent.demand.add(time.Since(began)) })
+	record := sync.OnceFunc(func() { d.agent.demand.add(time.Since(began)) })
 	if r.Feed { // the slot is held until the first byte
-		a = &startNotifier{a, note}
+		a = &startNotifier{a, record}
 	}
 	end := d.agent.client.HandOver(ctx, to, r, a)
 	if end.Outcome != result.NotRun {
-		note()
+		record()
 	}
 	return end
 }
--- a/internal/node/agent/wire.go
+++ b/internal/node/agent/wire.go
@@ -64,7 +64,7 @@
 		select {
 		case a := <-w.arrivals:
 			n = copy(p, a.payload)
-			w.buffers.Put(a.payload[:readSize]) //nolint:staticcheck // as above
+			w.buffers.Put(a.payload[:readSize]) //nolint:staticcheck // as in deliver
 			return n, net.UDPAddrFromAddrPort(a.caller), nil
 		case <-w.closed:
 			return 0, nil, net.ErrClosed
--- a/internal/node/agent/woken.go
+++ b/internal/node/agent/woken.go
@@ -13,9 +13,9 @@
 	// cut off from the platform and all peers then continues with the document that it
 	// has, as it must on its side of a partition.
 	refreshTimeout = 2 * time.Second
-	// hintInterval is the minimum interval between calls of Hooks.Newer: each datagram to
-	// a busy agent carries a revision, and the document takes some milliseconds to
-	// arrive.
+	// hintInterval is the minimum interval between calls of Hooks.NewerDocument: each
+	// datagram to a busy agent carries a revision, and the document takes some
+	// milliseconds to arrive.
 	hintInterval = 200 * time.Millisecond
 )
 
@@ -37,10 +37,10 @@
 	a.apply(a.store.View())
 }
 
-// hintNewer notifies the component that keeps the documents of a newer one.
-func (a *Agent) hintNewer(now time.Time, link netip.AddrPort, revision order.Revision) {
-	if a.hooks.Newer != nil && a.lastHint.Claim(now, hintInterval) {
+// notifyNewer notifies the component that keeps the documents of a newer one.
+func (a *Agent) notifyNewer(now time.Time, link netip.AddrPort, revision order.Revision) {
+	if a.hooks.NewerDocument != nil && a.lastHint.Claim(now, hintInterval) {
 		a.count.hints.Inc()
-		a.hooks.Newer(link, a.settings.Agent.Service, revision)
+		a.hooks.NewerDocument(link, a.settings.Agent.Service, revision)
 	}
 }
--- a/internal/node/doubt/doubt.go
+++ b/internal/node/doubt/doubt.go
@@ -1,10 +1,11 @@
-// Package doubt detects which of the agents that have left something unanswered have failed.
+// Package doubt is the failure detector for agents: it decides which of those that have left a message
+// unanswered have failed.
 //
 // A suspected agent is probed, directly and by way of other agents, within the bounds of a failure detector
 // (package detect) of its own. Both entries and agents need that: an entry resets the flows of failed
 // agents, and an agent that looks up the owner of a flow doesn't wait for agents that have failed.
 //
-// These cases look like a failure and are none:
+// The following cases look like a failure but are none:
 //   - Only the path between the observer and the agent is broken: the helpers reach the agent.
 //   - The observer's own packets or the answers to it are lost, or delayed by a queue on its own link:
 //     other agents don't answer in time either.
@@ -38,8 +39,8 @@
 
 var probes = metrics.NewCounter(`mangowinch_doubt_rounds_total`)
 
-// failureBounds declares an agent failed 0.95 s after the first unanswered packet. An agent that was killed
-// is back after 0.65 s.
+// failureBounds are the detector's bounds for an agent, which is declared failed 0.95 s after the first
+// unanswered packet. An agent that was killed is back after 0.65 s.
 var failureBounds = detect.Config{SuspectAfter: 150 * time.Millisecond, ProbeTimeout: 200 * time.Millisecond, Probes: 4}
 
 // maxProbesPerTick bounds how many suspected agents are probed in a tick. When a failure domain fails, an
@@ -85,7 +86,7 @@
 	}
 }
 
-// Suspect records that an agent has left something unanswered.
+// Suspect records that an agent has left a message unanswered.
 func (w *Monitor) Suspect(now time.Time, a netip.Addr) {
 	d := w.suspects[a]
 	if d == nil {
--- a/internal/node/doubt/round.go
+++ b/internal/node/doubt/round.go
@@ -57,7 +57,7 @@
 	last    uint32
 	open    map[uint32]*round
 	answers map[netip.Addr]time.Time // when an agent last answered a round
-	misses  map[netip.Addr]time.Time // when a round began although the agent had not answered the one before, as a witness
+	misses  map[netip.Addr]time.Time // by witnesses that left a round unanswered: when the next round began
 }
 
 func newRounds(r *rand.Rand) *rounds {
--- a/internal/node/doubt/told.go
+++ b/internal/node/doubt/told.go
@@ -15,9 +15,9 @@
 	reportTTL = 2 * time.Second
 )
 
-// LearnFailed takes over other processes' reports of failed agents. A report counts from the time when the
-// process that detected the failure was sure, until something is received from the agent or the report
-// expires. A report keeps its age when it is passed on, so that it can't circulate for ever.
+// LearnFailed records another process's reports of failed agents. A report counts from the time when the
+// failure was detected until something is received from the agent or the report expires. A report keeps its
+// age when it is passed on, so that it can't circulate for ever.
 func (w *Monitor) LearnFailed(now time.Time, list []msgs.FailedAgent) {
 	for _, s := range list {
 		at := now.Add(-time.Duration(s.Age) * time.Millisecond)
--- a/internal/node/edge/bench_test.go
+++ b/internal/node/edge/bench_test.go
@@ -54,7 +54,7 @@
 }
 
 // BenchmarkPacket compares forwarding a packet of a known flow with the socket write alone, which is the
-// cost of a bare relay.
+// cost of a bare relay. Its figures are in docs/MEASURED.md.
 func BenchmarkPacket(b *testing.B) {
 	wire := newUDPWire(b)
 	flow := segs.Flow{Caller: [4]byte{100, 64, 0, 7}, CallerPort: 1025, Service: [4]byte{198, 18, 0, 1}, Port: 443}
@@ -64,7 +64,7 @@
 	}}}})
 	events := event.New(io.Discard, "entry", "e1")
 	defer events.Close()
-	e := New(Config{Log: log, Ctrl: stubCodec{}, Codec: stubCodec{flow}, Wire: wire, Events: events, Rand: rand.New(rand.NewPCG(1, 2))})
+	e := New(Config{Log: log, Control: stubCodec{}, Codec: stubCodec{flow}, Wire: wire, Events: events, Rand: rand.New(rand.NewPCG(1, 2))})
 	e.recordOwner(time.Now(), netip.MustParseAddr("10.0.1.1"), msgs.Owner{Flow: flow})
 	packet := make([]byte, 132)
 	b.Run("entry", func(b *testing.B) {
--- a/internal/node/edge/bulk.go
+++ b/internal/node/edge/bulk.go
@@ -25,7 +25,7 @@
 // admit reports whether a new flow may be placed now. Otherwise the flow is queued, or it is refused.
 func (e *Entry) admit(now time.Time, v *belief.View, s *segs.Segment, datagram []byte) bool {
 	if e.bulk.Contains(s.Flow) {
-		return false // a copy of an opening packet that is queued already
+		return false // a retransmission of an opening packet that is queued already
 	}
 	switch e.bulk.Admit(now, s.Flow, e.Callers.Age(s.Ack), datagram) {
 	case bulk.Hold:
--- a/internal/node/edge/edge.go
+++ b/internal/node/edge/edge.go
@@ -2,9 +2,10 @@
 // to the agent beside the backend server that holds the flow.
 //
 // The decisions are made by packages without I/O: steer places new flows, owner remembers where they went,
-// homes gives the agent to query about a flow that the entry doesn't know, and belief holds the routes and
-// servers. An entry keeps no state that a flow needs: if it is killed, its flows continue through another
-// entry. It sees only the direction towards the servers, because agents answer callers directly.
+// homes determines the home of a flow, and belief holds the routes and servers. The home is the agent that
+// keeps the flow's location record; it is queried about flows that the entry doesn't know. An entry keeps
+// no state that a flow needs: if it is killed, its flows continue through another entry. It sees only the
+// direction towards the servers, because agents answer callers directly.
 //
 // The package does not read the platform (package follow) and knows no wire format (segs.Codec).
 //
@@ -12,7 +13,7 @@
 //
 //	e := edge.New(edge.Config{Self: self, Domain: domain, Log: log, Codec: codec, Wire: wire, Events: events})
 //	e.FromCaller(now, datagram)  // from the callers' socket
-//	e.FromPeer(now, from, message) // from the link
+//	e.FromPeer(now, from, header, rest) // from the link
 //	e.Tick(now)
 package edge
 
@@ -50,21 +51,21 @@
 
 // Config holds the dependencies and settings of an Entry.
 type Config struct {
-	Self   netip.Addr
-	Domain string
-	Log    *belief.Log
-	Ctrl   Control
-	Prober doubt.Prober // its answers are passed to Entry.ProcessAlive and Entry.ProbeAnswered
-	Codec  segs.Codec
+	Self    netip.Addr
+	Domain  string
+	Log     *belief.Log
+	Control Control
+	Prober  doubt.Prober // its answers are passed to Entry.MarkAlive and Entry.ProbeAnswered
+	Codec   segs.Codec
 	// Callers holds how long callers wait for a flow to open.
-	Callers segs.CallerTiming
-	Wire    Wire
-	Events  *event.Log
-	Bound   time.Duration // the longest time until a change takes effect
-	Life    time.Duration // the longest life of a flow
-	Rand    *rand.Rand    // used with the entry's lock held
-	Off     parts.Off     // parts that are switched off
-	Rate    float64       // of the entry's link in bytes per second, as the operator states it; 0: not stated
+	Callers          segs.CallerTiming
+	Wire             Wire
+	Events           *event.Log
+	PropagationBound time.Duration // within which a change is in force everywhere
+	MaxLife          time.Duration // upper bound of a flow's duration
+	Rand             *rand.Rand    // used with the entry's lock held
+	Off              parts.Off     // parts that are switched off
+	Rate             float64       // of the entry's link in bytes per second, as the operator states it; 0: not stated
 }
 
 const (
@@ -72,10 +73,10 @@
 	// 104 MB that the smallest instance has.
 	flowLimit = 65536
 	// minIdle is the shortest time for which a flow without packets is remembered, whatever the
-	// configuration says. If a flow was forgotten, its next packet takes a detour by way of its home.
+	// configuration says. The next packet of a forgotten flow takes a detour by way of the flow's home.
 	minIdle = 5 * time.Second
-	// maxTries is the number of agents to which this entry sends the opening packet of one flow.
-	maxTries = 4
+	// maxAttempts is the number of agents to which this entry sends the opening packet of one flow.
+	maxAttempts = 4
 )
 
 // Entry is the state of one running entry.
@@ -192,10 +193,10 @@
 
 // unrouted handles a packet to an address that no route has. A new flow is refused at once if the view is
 // recent enough to be sure that no route exists. An entry whose view may be outdated drops the packet: by
-// the time of the caller's next copy it may have the route.
+// the time of the caller's next retransmission it may have the route.
 func (e *Entry) unrouted(now time.Time, v *belief.View, s *segs.Segment) {
-	age, known := e.Ctrl.Age(now)
-	if !s.Opening() || v.Config == nil || !known || age > e.Bound {
+	age, known := e.Control.Age(now)
+	if !s.Opening() || v.Config == nil || !known || age > e.PropagationBound {
 		countDropped("unrouted")
 		return
 	}
@@ -208,7 +209,7 @@
 	e.packet = e.Codec.Reset(e.packet[:0], *s)
 	e.Wire.ToCaller(s.Flow.Caller, e.packet)
 	countRefused(why)
-	age, _ := e.Ctrl.Age(now)
+	age, _ := e.Control.Age(now)
 	e.Events.Flow(event.Failure, "refused", s.Flow).Str("why", why).Int64("version", e.Log.View().Version()).
 		Stringer("revision", e.Log.Revision()).Dur("age", age).Send()
 }
@@ -221,9 +222,8 @@
 	e.forwardToHome(now, v, s, datagram)
 }
 
-// forwardToHome forwards a packet of a flow that this entry doesn't know to the flow's home, the agent that
-// keeps the flow's location record. If the home has failed, the packet goes to the agent that takes its
-// place.
+// forwardToHome forwards a packet of a flow that this entry doesn't know to the flow's home. If the home has
+// failed, the packet goes to the agent that takes its place.
 func (e *Entry) forwardToHome(now time.Time, v *belief.View, s *segs.Segment, datagram []byte) {
 	home, ok := v.Homes.Of(s.Flow)
 	homeFailed := e.suspects.Failed(home)
@@ -243,7 +243,7 @@
 
 // recordHomeQuery records that a home was queried about a flow. If the caller repeats the packet, the home
 // is suspected: it may have failed, and no other agent is queried until that is known. Flows known only by
-// such queries take at most half of the table, because packets of flows that nobody has opened create them
+// such queries take at most half of the table, because packets of flows that were never opened create them
 // too.
 func (e *Entry) recordHomeQuery(now time.Time, home netip.Addr, s *segs.Segment) {
 	p := e.flows.Get(s.Flow)
--- a/internal/node/edge/peer.go
+++ b/internal/node/edge/peer.go
@@ -42,7 +42,8 @@
 	}
 }
 
-// returned places an opening packet that an agent returned on another agent.
+// returned handles an opening packet that an agent has returned: it places the packet at another agent, or
+// refuses the flow.
 func (e *Entry) returned(now time.Time, from netip.Addr, m msgs.Refused) {
 	s, err := e.Codec.Decode(m.Packet, segs.CallerEnd)
 	if err != nil {
--- a/internal/node/edge/place.go
+++ b/internal/node/edge/place.go
@@ -12,7 +12,7 @@
 	"mangowinch/internal/oper/event"
 )
 
-// open places a new flow, or handles a copy of its opening packet.
+// open places a new flow, or handles a retransmission of its opening packet.
 func (e *Entry) open(now time.Time, v *belief.View, route *belief.Route, s *segs.Segment, datagram []byte) {
 	if e.reach.Failed() {
 		e.refuse(now, s, "cut-off")
@@ -36,8 +36,8 @@
 	e.place(now, v, route, p, s, p.Tried(), datagram)
 }
 
-// retryElsewhere reports whether a copy of an opening packet is offered to an agent other than the last
-// one, because the last one has not answered. That agent gets no new flows for a while.
+// retryElsewhere reports whether a retransmitted opening packet goes to an agent other than the last one,
+// because the last one has not answered. The agent that did not answer gets no new flows for a while.
 func (e *Entry) retryElsewhere(now time.Time, p *owner.EntryFlow, last *owner.Candidate, s *segs.Segment) bool {
 	if last.Accepted || p.Claimed {
 		return false // the answer to the caller was lost or is still in transit
@@ -46,14 +46,14 @@
 	e.suspect(now, last.Agent)
 	unanswered.Inc()
 	e.Events.Flow(event.Failure, "unanswered", s.Flow).Stringer("agent", last.Agent).Uint32("copy", s.Ack).Send()
-	return p.Attempts < maxTries
+	return p.Attempts < maxAttempts
 }
 
 // place sends an opening packet to the best agent that has not been tried.
 func (e *Entry) place(now time.Time, v *belief.View, route *belief.Route, p *owner.EntryFlow, s *segs.Segment, tried []netip.Addr, datagram []byte) {
 	candidates := e.candidates(now, v, route, s.Flow)
 	agent, ok := e.chooser.Choose(now, candidates, tried)
-	if !ok || p.Attempts >= maxTries {
+	if !ok || p.Attempts >= maxAttempts {
 		e.unplaceable(now, v, route, p, s, datagram, len(candidates))
 		return
 	}
@@ -74,7 +74,7 @@
 }
 
 // unplaceable handles a new flow for which no further server is available. While an agent may still answer,
-// the caller's copy is sent to that agent again. Otherwise the flow is refused.
+// the caller's retransmission is sent to that agent again. Otherwise the flow is refused.
 func (e *Entry) unplaceable(now time.Time, v *belief.View, route *belief.Route, p *owner.EntryFlow, s *segs.Segment, datagram []byte, servers int) {
 	if last := p.Last(); last != nil {
 		e.forwardTo(v, last.Agent, datagram)
@@ -88,7 +88,7 @@
 }
 
 // candidates returns the servers to which the route sends this flow. If the route has several services, the
-// flow's hash selects one, so that copies that arrive by other entries go to the same service.
+// flow's hash selects one, so that retransmissions that arrive by other entries go to the same service.
 func (e *Entry) candidates(now time.Time, v *belief.View, route *belief.Route, f segs.Flow) (list []steer.Candidate) {
 	for _, s := range v.Servers(pickService(route.Shares, f)) {
 		if s.State == belief.Unknown || e.evacuated(v, s.Domain) {
@@ -98,7 +98,7 @@
 			Agent:    s.Addr.Addr(),
 			Domain:   s.Domain,
 			Slots:    s.Slots,
-			Draining: s.State == belief.Draining || e.Ctrl.Leaving(s.Addr.Addr()),
+			Draining: s.State == belief.Draining || e.Control.Leaving(s.Addr.Addr()),
 			Cold:     now.Before(e.cold[s.ID].until),
 			Failed:   e.suspects.Failed(s.Addr.Addr()),
 		})
--- a/internal/node/edge/reach.go
+++ b/internal/node/edge/reach.go
@@ -12,8 +12,8 @@
 //
 // Failure: the path from an entry to all other processes breaks while callers and routers still reach the
 // entry. The entry still answers the routers' readiness checks, so they keep sending callers of its zone to
-// it, and each of their packets is lost. The opening packets are lost until the caller gives up after 1.4
-// s, three times in a row.
+// it, and each of their packets is lost: opening packets until the caller gives up, which takes 1.4 s, on
+// three attempts in a row.
 //
 // Guard: an agent answers an opening packet at once, whether it accepts, queues or returns the flow. An
 // entry that gets no answer probes several agents. If none of two rounds is answered, the entry becomes not
@@ -21,17 +21,18 @@
 // entries don't count, because entries behind the same cut still receive each other's. Nor do beacons,
 // which still arrive if only what the entry sends is lost.
 
-// reachBounds declares the entry cut off 0.55 s after the first opening packet that no agent answered.
-// Answers take 2 ms between failure domains, 20 ms between regions, and about 100 ms through a full link.
+// reachBounds are the detector's bounds for all agents together: the entry counts as cut off 0.55 s after
+// the first opening packet that no agent answered. Answers take 2 ms between failure domains, 20 ms between
+// regions, and about 100 ms through a full link.
 var reachBounds = detect.Config{SuspectAfter: 150 * time.Millisecond, ProbeTimeout: 200 * time.Millisecond, Probes: 2}
 
 // probeFanout is the number of agents that are probed in a round. With 1% of the packets lost in each
 // direction, all four probes of a round go unanswered once in six million rounds.
 const probeFanout = 4
 
-// ProcessAlive records that another process is alive, because a message arrived from it or from a process
+// MarkAlive records that another process is alive, because a message arrived from it or from a process
 // that has received one from it.
-func (e *Entry) ProcessAlive(now time.Time, from netip.Addr) {
+func (e *Entry) MarkAlive(now time.Time, from netip.Addr) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if _, ok := e.Log.View().Server(from); ok && e.reach.AwaitingReply() {
--- a/internal/node/entry/entry.go
+++ b/internal/node/entry/entry.go
@@ -113,7 +113,7 @@
 		return nil
 	})
 	g.Go(func() error {
-		awake.Watch(inner, func(pause time.Duration) { e.onWake(inner, pause) })
+		awake.Watch(inner, func(pause time.Duration) { e.resumed(inner, pause) })
 		return nil
 	})
 	g.Go(func() error {
--- a/internal/node/entry/names_test.go
+++ b/internal/node/entry/names_test.go
@@ -6,7 +6,7 @@
 	"mangowinch/internal/stand/filled"
 )
 
-// Guards against names in /status that change, which operators' tools read.
+// Guards against renamed keys of /status, which operators' tools read.
 func TestStatusNames(t *testing.T) {
 	filled.AssertJSON(t, "status.golden", map[string]any{"services": &[]Service{}})
 }
--- a/internal/node/entry/services.go
+++ b/internal/node/entry/services.go
@@ -22,14 +22,14 @@
 )
 
 // previousFor is how long the servers of the previous document are still queried about flows, since they
-// may hold them. A handshake takes up to 10 s by these settings, and entries receive a document within 7 s
-// of each other.
+// may hold them. A handshake takes up to 10 s (handshakeTimeout of package agent), and entries receive a
+// document within 7 s of each other.
 const previousFor = 17 * time.Second
 
 // leavingFor is how long a server counts as leaving after the last frame in which it said so. A leaving
 // server with flows repeats this in each frame. A server that was restarted gets no flow while it counts as
 // leaving, so it sends no frames that would correct the state. If the time is too short, a flow takes one
-// more hop: the agent hands it over.
+// more hop: the agent forwards its packets.
 const leavingFor = 5 * time.Second
 
 // loadScale is the value in frames for a load of all of a server's slots.
@@ -47,7 +47,7 @@
 
 	// mu guards the fields below, from which snapshots are made.
 	mu              sync.Mutex
-	watch           *route.Detector
+	detector        *route.Detector
 	weights         *shift.Weights
 	lastStep        time.Time            // when weights last moved
 	leavingReported map[uint32]time.Time // when a server last reported that it is leaving
@@ -113,7 +113,7 @@
 	return &service{
 		name:            name,
 		tag:             ident.ServiceTag(name),
-		watch:           route.NewDetector(),
+		detector:        route.NewDetector(),
 		weights:         shift.New(shift.Default),
 		leavingReported: make(map[uint32]time.Time),
 		count:           newCounters(name),
@@ -136,7 +136,7 @@
 		s.previous = old.table.Current
 		s.serversChanged = now
 	}
-	s.watch.Retain(ids(d.Service))
+	s.detector.Retain(ids(d.Service))
 	maps.DeleteFunc(s.leavingReported, func(id uint32, _ time.Time) bool {
 		_, ok := d.Service.Server(id)
 		return !ok
@@ -173,7 +173,7 @@
 			ID:           d.ID,
 			Weight:       coarseWeight(shares, d.ID),
 			Leaving:      d.State == docs.Leaving || s.isLeaving(now, d.ID),
-			Unresponsive: s.watch.Unresponsive(now, d.ID),
+			Unresponsive: s.detector.Unresponsive(now, d.ID),
 		})
 	}
 	next.table.Previous = nil
@@ -238,7 +238,7 @@
 	if _, ok := s.current.Load().agents[server]; !ok {
 		return // of another document; only servers of the one in force are tracked, so that memory stays bounded
 	}
-	changed := s.watch.Received(now, server)
+	changed := s.detector.Received(now, server)
 	s.weights.Report(now, server, shift.Load{Demand: float64(h.Load) / loadScale, Leaving: leaving})
 	changed = changed || s.isLeaving(now, server) != leaving
 	delete(s.leavingReported, server)
@@ -254,7 +254,7 @@
 func (s *service) recordOpened(now time.Time, server uint32) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.watch.SentOpening(now, server) {
+	if s.detector.SentOpening(now, server) {
 		s.count.silent.Inc()
 		s.refresh(now)
 	}
--- a/internal/node/entry/woken.go
+++ b/internal/node/entry/woken.go
@@ -17,11 +17,11 @@
 
 var wokenTotal = metrics.GetOrCreateCounter(`mangowinch_entry_woken_total`)
 
-// onWake drops the state of the servers after a pause of the process. Flows that were opened before the
+// resumed drops the state of the servers after a pause of the process. Flows that were opened before the
 // pause seem unanswered for its whole length, because the answers wait in the entry's own socket, so the
 // entry would avoid servers that work. Meanwhile it goes on forwarding, since agents decide by themselves,
 // and requests newer documents.
-func (e *Entry) onWake(ctx context.Context, pause time.Duration) {
+func (e *Entry) resumed(ctx context.Context, pause time.Duration) {
 	wokenTotal.Inc()
 	e.log.Info().Dur("pause", pause).Msg("process resumed after a pause")
 	for _, s := range *e.tags.Load() {
@@ -35,8 +35,8 @@
 func (s *service) resetBeliefs(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.watch = route.NewDetector()
-	s.watch.Retain(ids(s.current.Load().document))
+	s.detector = route.NewDetector()
+	s.detector.Retain(ids(s.current.Load().document))
 	clear(s.leavingReported)
 	s.refresh(now)
 }
--- a/internal/node/local/caller.go
+++ b/internal/node/local/caller.go
@@ -13,8 +13,8 @@
 	"mangowinch/internal/oper/event"
 )
 
-// handleCarry processes a caller's packet that was sent by an entry or another agent.
-func (a *Agent) handleCarry(now time.Time, from netip.Addr, m msgs.Forward) {
+// handleForward processes a caller's packet that was sent by an entry or another agent.
+func (a *Agent) handleForward(now time.Time, from netip.Addr, m msgs.Forward) {
 	s, err := a.Codec.Decode(m.Packet, segs.CallerEnd)
 	if err != nil || s.Has(segs.Returned) {
 		countDropped("malformed")
@@ -147,15 +147,15 @@
 }
 
 // returnAllWaiting returns all waiting flows to their entries.
-func (a *Agent) returnAllWaiting(now time.Time, why msgs.Reason) {
+func (a *Agent) returnAllWaiting(now time.Time, reason msgs.Reason) {
 	for _, w := range a.waiting.Clear() {
-		a.returnWaitingFlow(now, w, why)
+		a.returnWaitingFlow(now, w, reason)
 	}
 }
 
-func (a *Agent) returnWaitingFlow(now time.Time, w *hold.QueuedFlow, why msgs.Reason) {
+func (a *Agent) returnWaitingFlow(now time.Time, w *hold.QueuedFlow, reason msgs.Reason) {
 	s := segs.Segment{Flow: w.Flow}
-	a.returnOpening(now, w.Origin, &s, w.Packet, why)
+	a.returnOpening(now, w.Origin, &s, w.Packet, reason)
 }
 
 func (a *Agent) slots() int {
@@ -253,12 +253,12 @@
 }
 
 // returnOpening returns an opening packet that no server has taken to the entry.
-func (a *Agent) returnOpening(now time.Time, origin netip.Addr, s *segs.Segment, packet []byte, why msgs.Reason) {
-	m := msgs.Refused{Header: a.head(), Reason: why, Load: a.flows.Load(now), Packet: packet}
+func (a *Agent) returnOpening(now time.Time, origin netip.Addr, s *segs.Segment, packet []byte, reason msgs.Reason) {
+	m := msgs.Refused{Header: a.head(), Reason: reason, Load: a.flows.Load(now), Packet: packet}
 	a.buf = m.AppendTo(a.buf[:0])
 	a.Wire.ToPeer(origin, a.buf)
-	countReturned(why.String())
-	a.Events.Flow(event.Failure, "handed-back", s.Flow).Stringer("why", why).Stringer("entry", origin).
+	countReturned(reason.String())
+	a.Events.Flow(event.Failure, "handed-back", s.Flow).Stringer("why", reason).Stringer("entry", origin).
 		Uint16("busy", m.Load.Busy).Uint16("flows", m.Load.Flows).Stringer("revision", m.Revision).Send()
 }
 
--- a/internal/node/local/lead.go
+++ b/internal/node/local/lead.go
@@ -11,8 +11,8 @@
 	"mangowinch/internal/oper/event"
 )
 
-// The lead of owner lookups. A lead asks all agents about the flows whose owners homes look for (package seek).
-// Any agent can be the lead, and any agent answers one.
+// The lead of owner lookups: the agent that asks all agents about the flows whose owners are looked up by homes
+// (package seek). Any agent can be a lead, and any agent answers a lead's questions.
 
 // enqueueQuestion adds a home's question to the next round.
 func (a *Agent) enqueueQuestion(now time.Time, home netip.Addr, q msgs.Question) {
@@ -25,35 +25,35 @@
 
 // sendQuestions sends the questions that are due.
 func (a *Agent) sendQuestions(now time.Time) {
-	for _, ask := range a.rounds.Next(now, a.expectedAgents()) {
-		find := msgs.Query{Header: a.head(), Round: ask.Round, Questions: ask.Questions}
-		a.buf = find.AppendTo(a.buf[:0])
-		for _, to := range ask.To {
+	for _, query := range a.rounds.Next(now, a.expectedAgents()) {
+		message := msgs.Query{Header: a.head(), Round: query.Round, Questions: query.Questions}
+		a.buf = message.AppendTo(a.buf[:0])
+		for _, to := range query.To {
 			if to != a.Self {
 				a.Wire.ToPeer(to, a.buf)
 			}
 		}
-		questions.Add(len(ask.To))
-		if ask.Repeats == 0 {
+		questions.Add(len(query.To))
+		if query.Repeats == 0 {
 			rounds.Inc()
 		}
-		if ask.Repeats >= seek.SlowRepeats {
-			a.suspectAll(now, ask.To)
+		if query.Repeats >= seek.SlowRepeats {
+			a.suspectAll(now, query.To)
 		}
-		if ask.Repeats == seek.SlowRepeats {
-			a.logUnresponsive(ask)
-			a.sendResults(now, a.rounds.PartialResults(ask.Round))
+		if query.Repeats == seek.SlowRepeats {
+			a.logUnresponsive(query)
+			a.sendResults(now, a.rounds.PartialResults(query.Round))
 		}
-		if slices.Contains(ask.To, a.Self) {
-			a.handleAnswer(now, a.Self, msgs.QueryAnswer{Round: ask.Round, Verdicts: a.verdicts(now, ask.Questions)})
+		if slices.Contains(query.To, a.Self) {
+			a.handleAnswer(now, a.Self, msgs.QueryAnswer{Round: query.Round, Verdicts: a.verdicts(now, query.Questions)})
 		}
 	}
 }
 
 // logUnresponsive logs why lookups take long: some agents have not answered a repeated question either.
-func (a *Agent) logUnresponsive(ask seek.Query) {
-	for _, q := range ask.Questions {
-		a.Events.Flow(event.Failure, "unheard", q.Flow).Int("agents", len(ask.To)).Stringer("agent", ask.To[0]).
+func (a *Agent) logUnresponsive(query seek.Query) {
+	for _, q := range query.Questions {
+		a.Events.Flow(event.Failure, "unheard", q.Flow).Int("agents", len(query.To)).Stringer("agent", query.To[0]).
 			Stringer("revision", a.Log.Revision()).Send()
 	}
 }
--- a/internal/node/local/local.go
+++ b/internal/node/local/local.go
@@ -15,7 +15,7 @@
 //
 //	a := local.New(local.Config{Self: self, Service: service, Log: log, Codec: codec, Wire: wire, Events: events})
 //	a.FromServer(now, datagram)
-//	a.FromPeer(now, from, head, rest)
+//	a.FromPeer(now, from, header, rest)
 //	a.Tick(now)
 package local
 
@@ -61,7 +61,7 @@
 	Backend          netip.AddrPort
 	Log              *belief.Log
 	Control          Control
-	Prober           doubt.Prober // its answers are reported to Agent.MarkAlive
+	Prober           doubt.Prober // its answers are passed to Agent.MarkAlive and Agent.ProbeAnswered
 	Codec            segs.Codec
 	Callers          segs.CallerTiming
 	Wire             Wire
@@ -207,8 +207,8 @@
 	return a.MaxLife
 }
 
-// Changed must be called after the view has changed. It registers flows whose home has changed.
-func (a *Agent) Changed(now time.Time) {
+// ViewChanged must be called after the view has changed. It registers flows whose home has changed.
+func (a *Agent) ViewChanged(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	v := a.Log.View()
@@ -231,8 +231,8 @@
 		o.Home = home
 		moved[home] = append(moved[home], msgs.Location{Flow: f, Seq: o.Seq})
 	}
-	for home, places := range moved {
-		a.register(now, home, places)
+	for home, locations := range moved {
+		a.register(now, home, locations)
 	}
 }
 
@@ -265,21 +265,21 @@
 		Bool("whole", a.server.newer).Send()
 }
 
-// register sends a home the flows of its share that this agent owns.
-func (a *Agent) register(now time.Time, home netip.Addr, places []msgs.Location) {
+// register sends a home the locations of flows that this agent owns and that the home is responsible for.
+func (a *Agent) register(now time.Time, home netip.Addr, locations []msgs.Location) {
 	if home == a.Self {
-		for _, p := range places {
+		for _, p := range locations {
 			a.home.Register(now, a.Self, p)
 		}
 		return
 	}
-	for len(places) > 0 {
-		n := min(len(places), msgs.MaxLocations)
-		m := msgs.Register{Header: a.head(), Locations: places[:n]}
+	for len(locations) > 0 {
+		n := min(len(locations), msgs.MaxLocations)
+		m := msgs.Register{Header: a.head(), Locations: locations[:n]}
 		a.buf = m.AppendTo(a.buf[:0])
 		a.Wire.ToPeer(home, a.buf)
 		registered.Add(n)
-		places = places[n:]
+		locations = locations[n:]
 	}
 }
 
--- a/internal/node/local/lost.go
+++ b/internal/node/local/lost.go
@@ -47,10 +47,10 @@
 
 // forwardedPacket is a packet that a home has forwarded to a flow's owner.
 type forwardedPacket struct {
-	owner  netip.Addr
-	carry  msgs.Forward
-	packet []byte
-	at     time.Time
+	owner   netip.Addr
+	message msgs.Forward
+	packet  []byte
+	at      time.Time
 }
 
 // keepForwarded keeps a packet that is forwarded to an owner from which nothing has been received lately, and
@@ -63,8 +63,8 @@
 	if s.Len == 0 || len(a.forwardedPackets) >= maxForwarded || !a.suspects.Suspected(owner) {
 		return
 	}
-	p := forwardedPacket{owner: owner, carry: m, packet: slices.Clone(m.Packet), at: now}
-	p.carry.Packet = p.packet
+	p := forwardedPacket{owner: owner, message: m, packet: slices.Clone(m.Packet), at: now}
+	p.message.Packet = p.packet
 	a.forwardedPackets[s.Flow] = p
 }
 
@@ -76,7 +76,7 @@
 		case a.suspects.Failed(p.owner):
 			delete(a.forwardedPackets, f)
 			if s, err := a.Codec.Decode(p.packet, segs.CallerEnd); err == nil {
-				a.startLookup(now, p.carry, &s)
+				a.startLookup(now, p.message, &s)
 			}
 		case !a.suspects.Suspected(p.owner) || now.Sub(p.at) > forwardedRetention:
 			delete(a.forwardedPackets, f)
--- a/internal/node/local/peer.go
+++ b/internal/node/local/peer.go
@@ -16,7 +16,7 @@
 	defer a.mu.Unlock()
 	switch h.Kind {
 	case msgs.KindForward:
-		err = msgs.Handle(h, rest, msgs.ReadForward, func(m msgs.Forward) { a.handleCarry(now, from, m) })
+		err = msgs.Handle(h, rest, msgs.ReadForward, func(m msgs.Forward) { a.handleForward(now, from, m) })
 	case msgs.KindOffer:
 		err = msgs.Handle(h, rest, msgs.ReadOffer, func(m msgs.Offer) { a.handleOffer(now, m) })
 	case msgs.KindRegister:
--- a/internal/node/local/search.go
+++ b/internal/node/local/search.go
@@ -56,7 +56,7 @@
 	began        time.Time
 	ended        time.Time // zero while the lookup is in progress
 	question     msgs.Question
-	carry        msgs.Forward // header of the newest packet
+	message      msgs.Forward // the newest message, without its packet
 	packet       []byte
 	askedAt      time.Time              // when a lead was last asked
 	leadRequests int                    // number of questions sent to leads
@@ -100,8 +100,8 @@
 
 func (q *lookup) keepPacket(m msgs.Forward) {
 	q.packet = append(q.packet[:0], m.Packet...)
-	q.carry = m
-	q.carry.Packet = nil
+	q.message = m
+	q.message.Packet = nil
 }
 
 // askLead sends the question to a lead, and moves on to the next lead after leadAttempts questions.
@@ -142,7 +142,7 @@
 	if m.AllUnsure {
 		m.Unsure = v.Homes.Agents()
 	}
-	q.near, q.far = splitByDomain(v, m.Unsure, q.carry.Domain)
+	q.near, q.far = splitByDomain(v, m.Unsure, q.message.Domain)
 	a.probeNext(now, q)
 }
 
@@ -165,14 +165,14 @@
 	f := q.question.Flow
 	delete(a.lookups, f)
 	if agent == a.Self {
-		a.sendOwner(q.carry.Origin, msgs.Owner{Flow: f, Open: true})
+		a.sendOwner(q.message.Origin, msgs.Owner{Flow: f, Open: true})
 		return
 	}
 	a.home.Register(now, agent, msgs.Location{Flow: f})
 	if _, tried := q.attempts[agent]; tried {
 		return // the agent has the packet already
 	}
-	m := q.carry
+	m := q.message
 	m.Packet = q.packet
 	m.ToOwner = true
 	a.forward(agent, m)
@@ -217,7 +217,7 @@
 		a.probe(now, a.Self, q.question.Flow, q.packet)
 		return
 	}
-	m := q.carry
+	m := q.message
 	m.Probe = true
 	m.Packet = q.packet
 	a.forward(agent, m)
@@ -265,7 +265,7 @@
 	delete(a.lookups, f)
 	lookupTime.Update(now.Sub(q.began).Seconds())
 	a.reset(now, &s, "unheld")
-	a.sendOwner(q.carry.Origin, msgs.Owner{Flow: f, NoOwner: true})
+	a.sendOwner(q.message.Origin, msgs.Owner{Flow: f, NoOwner: true})
 }
 
 // tickLookups repeats unanswered questions and probes, and deletes lookups that are over.
--- a/internal/node/opaque/entry_test.go
+++ b/internal/node/opaque/entry_test.go
@@ -14,15 +14,15 @@
 // readiness has ended. The entry must run as long as packets arrive, and end soon after the last one.
 func TestStopWaitsUntilPacketsCease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var used stamp.Time
+		var lastPacket stamp.Time
 		began := time.Now()
 		go func() {
 			for range 20 {
-				used.Set(time.Now())
+				lastPacket.Set(time.Now())
 				time.Sleep(50 * time.Millisecond)
 			}
 		}()
-		waitNoPackets(&used, 5*time.Second)
+		waitNoPackets(&lastPacket, 5*time.Second)
 		took := time.Since(began)
 		assert.Assert(t, took > time.Second+stopIdle-2*stopPollEvery && took < time.Second+stopIdle+2*stopPollEvery, "%s", took)
 	})
@@ -32,7 +32,7 @@
 // few other entries are ready. The entry must end within its limit.
 func TestStopEndsWhileCallersGoOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var used stamp.Time
+		var lastPacket stamp.Time
 		done := make(chan struct{})
 		go func() {
 			for {
@@ -40,12 +40,12 @@
 				case <-done:
 					return
 				case <-time.After(50 * time.Millisecond):
-					used.Set(time.Now())
+					lastPacket.Set(time.Now())
 				}
 			}
 		}()
 		began := time.Now()
-		waitNoPackets(&used, 5*time.Second)
+		waitNoPackets(&lastPacket, 5*time.Second)
 		close(done)
 		assert.Assert(t, time.Since(began) <= 5*time.Second+stopPollEvery)
 	})
--- a/internal/node/opaque/messages.go
+++ b/internal/node/opaque/messages.go
@@ -27,12 +27,12 @@
 type flowHandler func(now time.Time, from netip.Addr, h msgs.Header, rest []byte) bool
 
 // messages returns the function that reads other processes' messages. Messages about flows are passed to
-// flow.
-func (p *process) messages(flow flowHandler) func() error {
+// handleFlow.
+func (p *process) messages(handleFlow flowHandler) func() error {
 	var lastLogged time.Time
 	return func() error {
 		return p.sockets.readMessages(func(now time.Time, from netip.Addr, h msgs.Header, rest []byte) {
-			if err := p.handle(now, from, h, rest, flow); err != nil {
+			if err := p.handle(now, from, h, rest, handleFlow); err != nil {
 				unreadable.Inc()
 				if now.Sub(lastLogged) < unreadableLogEvery {
 					return
@@ -45,7 +45,7 @@
 }
 
 // handle handles one message.
-func (p *process) handle(now time.Time, from netip.Addr, h msgs.Header, rest []byte, flow flowHandler) error {
+func (p *process) handle(now time.Time, from netip.Addr, h msgs.Header, rest []byte, handleFlow flowHandler) error {
 	p.prober.MarkAlive(now, from)
 	switch h.Kind {
 	case msgs.KindBeacon:
@@ -70,7 +70,7 @@
 	case msgs.KindPingAck:
 		return msgs.Handle(h, rest, msgs.ReadPingAck, func(m msgs.PingAck) { p.prober.HandleAck(now, m) })
 	}
-	if !flow(now, from, h, rest) {
+	if !handleFlow(now, from, h, rest) {
 		return errUnknownKind
 	}
 	return nil
--- a/internal/node/opaque/messages_test.go
+++ b/internal/node/opaque/messages_test.go
@@ -55,11 +55,11 @@
 	done := make(chan error)
 	go func() { done <- p.messages(func(time.Time, netip.Addr, msgs.Header, []byte) bool { return false })() }()
 
-	beacon, news := msgs.Beacon{Role: msgs.Entry}, msgs.Update{Change: []byte("no change")}
+	beacon, update := msgs.Beacon{Role: msgs.Entry}, msgs.Update{Change: []byte("no change")}
 	unknown := beacon.AppendTo(nil)
 	unknown[1] = 99
 	complete := beacon.AppendTo(nil)
-	for _, b := range [][]byte{complete[:len(complete)-1], news.AppendTo(nil), unknown} {
+	for _, b := range [][]byte{complete[:len(complete)-1], update.AppendTo(nil), unknown} {
 		_, err := link.WriteTo(b, link.LocalAddr())
 		assert.NilError(t, err)
 	}
--- a/internal/node/opaque/names_test.go
+++ b/internal/node/opaque/names_test.go
@@ -7,8 +7,8 @@
 	"mangowinch/internal/stand/filled"
 )
 
-// Guards against names in /status that change, which operators' tools read. The load has no tags: its names are those of
-// the Go fields.
+// Guards against renamed keys of /status, which operators' tools read. The fields of the load have no tags: their keys
+// are the names of the Go fields.
 func TestStatusNames(t *testing.T) {
 	filled.AssertJSON(t, "status.golden", map[string]any{"belief": &Belief{}, "load": &msgs.Load{}})
 }
--- a/internal/node/stamp/stamp.go
+++ b/internal/node/stamp/stamp.go
@@ -10,7 +10,7 @@
 //
 //	var lastSeen stamp.Time
 //	lastSeen.Set(time.Now())
-//	if lastSeen.Since(time.Now()) > limit { ... }
+//	idle := lastSeen.Since(time.Now()) > limit
 package stamp
 
 import (
@@ -41,11 +41,11 @@
 	return elapsed(last, now) >= every && t.offset.CompareAndSwap(last, nanos(now))
 }
 
-func elapsed(after int64, now time.Time) time.Duration {
-	if after == 0 {
+func elapsed(offset int64, now time.Time) time.Duration {
+	if offset == 0 {
 		return math.MaxInt64
 	}
-	return now.Sub(epoch) - time.Duration(after)
+	return now.Sub(epoch) - time.Duration(offset)
 }
 
 func nanos(now time.Time) int64 { return int64(now.Sub(epoch)) }
--- a/internal/node/start/relayagent.go
+++ b/internal/node/start/relayagent.go
@@ -25,10 +25,8 @@
 		Leave: a.LeaveByList,
 	})
 	a.SetHooks(agent.Hooks{
-		Newer: func(link netip.AddrPort, service string, revision order.Revision) {
-			c.Observe(service, revision, link)
-		},
-		Refresh: c.Refresh,
+		NewerDocument: func(link netip.AddrPort, service string, rev order.Revision) { c.Observe(service, rev, link) },
+		Refresh:       c.Refresh,
 	})
 	return func(inner context.Context) error { return c.run(inner, ctx) }, c.Register(a.Mux())
 }
--- a/internal/node/start/relayentry.go
+++ b/internal/node/start/relayentry.go
@@ -17,8 +17,8 @@
 	"mangowinch/internal/node/sock"
 )
 
-// maxLinks bounds the connections that other processes hold to an entry. At the designed size about 30 come
-// from neighbours and agents, more while a failure domain restarts.
+// maxLinks bounds the connections that other processes hold to an entry. At the size that the
+// system is designed for, about 30 come from neighbours and agents, and more while a failure domain restarts.
 const maxLinks = 1024
 
 // relayEntry connects an entry with the relay and returns the function that runs the relay.
@@ -27,10 +27,8 @@
 		Self: peers.Member{Role: peers.Entry, Address: p.settings.Entry.Link},
 	})
 	e.SetHooks(entry.Hooks{
-		NewerDocument: func(link netip.AddrPort, service string, revision order.Revision) {
-			c.Observe(service, revision, link)
-		},
-		Refresh: c.Refresh,
+		NewerDocument: func(link netip.AddrPort, service string, rev order.Revision) { c.Observe(service, rev, link) },
+		Refresh:       c.Refresh,
 	})
 	mux := drpcmux.New()
 	if err := c.Register(mux); err != nil {
