--- a/cmd/exper/aims.go
+++ b/cmd/exper/aims.go
@@ -57,7 +57,7 @@
 }
 
 func measure(s cases.Service, seed uint64, t policy.Tuning) (f figures) {
-	own := func(c cases.Case) meter.Report { return cases.Run(c, s, policy.Own, t, seed) }
+	own := func(c cases.Case) meter.Report { return cases.Run(c, s, policy.Mangowinch, t, seed) }
 	atCapacity := own(cases.Saturation(1, aimsDuration))
 	for i, c := range []cases.Case{cases.Saturation(1.2, aimsDuration), cases.Saturation(2, aimsDuration), cases.Saturation(5, aimsDuration), cases.Burst()} {
 		r := own(c)
@@ -68,7 +68,7 @@
 		if i > 0 {
 			f.recoveries += ", "
 		}
-		f.recoveries += fmt.Sprintf("%.1f ms", float64(r.Recovered)/float64(time.Millisecond))
+		f.recoveries += fmt.Sprintf("%.1f ms", float64(r.RecoveryTime)/float64(time.Millisecond))
 	}
 	alone, beside := own(cases.Alone()), own(cases.Heavy())
 	f.modestShare = 1
@@ -83,11 +83,11 @@
 
 // compareServers compares the imbalance between servers with that of the placement baselines.
 func (f *figures) compareServers(s cases.Service, seed uint64, t policy.Tuning) {
-	own := cases.Run(cases.Steady(), s, policy.Own, t, seed)
-	f.imbalance = [2]float64{own.Imbalance1, own.Imbalance}
-	for _, n := range []policy.Name{policy.RoundTurn, policy.Random, policy.Least, policy.Reported, policy.ByFlow} {
+	own := cases.Run(cases.Steady(), s, policy.Mangowinch, t, seed)
+	f.imbalance = [2]float64{own.Imbalance1, own.Imbalance10}
+	for _, n := range []policy.Name{policy.RoundRobin, policy.Random, policy.LeastConnections, policy.LeastReported, policy.ByFlow} {
 		r := cases.Run(cases.Steady(), s, n, t, seed)
-		for i, v := range []float64{r.Imbalance1, r.Imbalance} {
+		for i, v := range []float64{r.Imbalance1, r.Imbalance10} {
 			if f.bestBaseline[i] == "" || v < f.bestImbalance[i] {
 				f.bestImbalance[i], f.bestBaseline[i] = v, string(n)
 			}
--- a/cmd/exper/charts.go
+++ b/cmd/exper/charts.go
@@ -39,8 +39,8 @@
 		}
 		goodput.Lines = append(goodput.Lines, curve(func(r meter.Report) float64 { return r.Goodput }))
 		p99.Lines = append(p99.Lines, curve(func(r meter.Report) float64 { return max(1, float64(r.P99)/float64(time.Millisecond)) }))
-		if n != policy.Reported {
-			imbalance.Lines = append(imbalance.Lines, curve(func(r meter.Report) float64 { return r.Imbalance }))
+		if n != policy.LeastReported {
+			imbalance.Lines = append(imbalance.Lines, curve(func(r meter.Report) float64 { return r.Imbalance10 }))
 		}
 	}
 	for name, figure := range map[string]chart.Chart{"goodput.svg": goodput, "p99.svg": p99, "balance.svg": imbalance} {
--- a/cmd/exper/compare.go
+++ b/cmd/exper/compare.go
@@ -47,7 +47,7 @@
 	forEach(a.Workers, len(rows), func(i int) {
 		rows[i].Report = cases.Run(v, s, policy.Name(rows[i].Name), a.Tuning.policy(), a.Seed)
 	})
-	fmt.Fprintf(out, "### %s, %s\n\n%s.\n\n", v.Name, s.Name, v.Story)
+	fmt.Fprintf(out, "### %s, %s\n\n%s.\n\n", v.Name, s.Name, v.Description)
 	table.Write(out, rows)
 	fmt.Fprintln(out)
 	table.Callers(out, rows)
@@ -96,7 +96,7 @@
 			}
 			names[i], reports[i] = rules[i].Name, flows.Mean(seeds)
 		})
-		fmt.Fprintf(out, "### weights, %s\n\n%s. Means of %d seeds.\n\n", c.Name, c.Story, flowSeeds)
+		fmt.Fprintf(out, "### weights, %s\n\n%s. Means of %d seeds.\n\n", c.Name, c.Description, flowSeeds)
 		table.Flows(out, names, reports)
 		fmt.Fprintln(out)
 	}
--- a/cmd/exper/flags_test.go
+++ b/cmd/exper/flags_test.go
@@ -12,7 +12,7 @@
 
 // Guards against renamed commands and flags, which scripts use.
 func TestNamesOfFlags(t *testing.T) {
-	text, err := described.CommandLine(&arguments{}, defaults(policy.Tuned))
+	text, err := described.CommandLine(&arguments{}, defaults(policy.DefaultTuning))
 	assert.NilError(t, err)
 	golden.Assert(t, text, "flags.golden")
 }
--- a/cmd/exper/main.go
+++ b/cmd/exper/main.go
@@ -44,10 +44,10 @@
 }
 
 func (t tuning) policy() policy.Tuning {
-	p := policy.Tuned
+	p := policy.DefaultTuning
 	p.Admit = admit.Rules{WaitShare: t.Wait, Spread: t.Spread, LongShare: t.Long}
 	p.Place.EvenMargin, p.Place.ShorterFactor, p.Place.SlowFactor, p.Place.ReportLifetime = t.Even, t.Shorter, t.Slower, t.Fade
-	p.Report, p.Usage, p.Retry.Share = t.Report, t.Usage, t.Retries
+	p.ReportInterval, p.UsageWindow, p.Retry.Share = t.Report, t.Usage, t.Retries
 	return p
 }
 
@@ -56,12 +56,12 @@
 	return kong.Vars{
 		"wait": fmt.Sprint(t.Admit.WaitShare), "long": fmt.Sprint(t.Admit.LongShare), "spread": fmt.Sprint(t.Admit.Spread),
 		"even": fmt.Sprint(t.Place.EvenMargin), "shorter": fmt.Sprint(t.Place.ShorterFactor), "slower": fmt.Sprint(t.Place.SlowFactor), "fade": t.Place.ReportLifetime.String(),
-		"report": t.Report.String(), "usage": t.Usage.String(), "retries": fmt.Sprint(t.Retry.Share),
+		"report": t.ReportInterval.String(), "usage": t.UsageWindow.String(), "retries": fmt.Sprint(t.Retry.Share),
 	}
 }
 
 func main() {
 	var a arguments
-	c := kong.Parse(&a, kong.Description("Runs the experiments with the decisions under load in virtual time."), defaults(policy.Tuned))
+	c := kong.Parse(&a, kong.Description("Runs the experiments with the decisions under load in virtual time."), defaults(policy.DefaultTuning))
 	c.FatalIfErrorf(c.Run(&a))
 }
--- a/cmd/exper/sweep.go
+++ b/cmd/exper/sweep.go
@@ -38,8 +38,8 @@
 		{"place slow start, seconds", []float64{0, 5, 10, 20}, func(t *policy.Tuning, v float64) { t.Place.SlowStart = time.Duration(v * float64(time.Second)) }, []cases.Case{cases.Cold()}},
 		{"place ceiling", []float64{0.2, 1.0 / 3, 0.5, 1}, func(t *policy.Tuning, v float64) { t.Place.MaxEjected = v }, []cases.Case{cases.FailHalf(3), cases.FailHalf(7)}},
 		{"retry share", []float64{0, 0.05, 0.1, 0.3, 10}, func(t *policy.Tuning, v float64) { t.Retry.Share = v }, []cases.Case{cases.Partial(), cases.Storm()}},
-		{"usage window, seconds", []float64{0.5, 1, 2, 5}, func(t *policy.Tuning, v float64) { t.Usage = time.Duration(v * float64(time.Second)) }, []cases.Case{cases.Steady()}},
-		{"reports, seconds (0: on replies)", []float64{0, 0.05, 0.25, 1}, func(t *policy.Tuning, v float64) { t.Report = time.Duration(v * float64(time.Second)) }, []cases.Case{cases.Steady(), cases.Slow()}},
+		{"usage window, seconds", []float64{0.5, 1, 2, 5}, func(t *policy.Tuning, v float64) { t.UsageWindow = time.Duration(v * float64(time.Second)) }, []cases.Case{cases.Steady()}},
+		{"reports, seconds (0: on replies)", []float64{0, 0.05, 0.25, 1}, func(t *policy.Tuning, v float64) { t.ReportInterval = time.Duration(v * float64(time.Second)) }, []cases.Case{cases.Steady(), cases.Slow()}},
 	}
 }
 
@@ -58,14 +58,14 @@
 }
 
 func (c sweepCommand) sweep(out *bufio.Writer, a *arguments, t threshold, v cases.Case) {
-	fmt.Fprintf(out, "### %s: %s\n\n%s, tracing-core. Means of %d seeds.\n\n", t.name, v.Name, v.Story, c.Seeds)
+	fmt.Fprintf(out, "### %s: %s\n\n%s, tracing-core. Means of %d seeds.\n\n", t.name, v.Name, v.Description, c.Seeds)
 	fmt.Fprintln(out, "| value | goodput | in time | p50 | p99 | refused | refusal p99 | late | failed | given up | servers 1 s | servers 10 s | handed |")
 	fmt.Fprintln(out, "|---|---|---|---|---|---|---|---|---|---|---|---|---|")
 	reports := make([]meter.Report, len(t.values)*c.Seeds)
 	forEach(a.Workers, len(reports), func(i int) {
 		tuning := a.Tuning.policy()
 		t.set(&tuning, t.values[i/c.Seeds])
-		reports[i] = cases.Run(v, cases.TracingCore, policy.Own, tuning, a.Seed+uint64(i%c.Seeds))
+		reports[i] = cases.Run(v, cases.TracingCore, policy.Mangowinch, tuning, a.Seed+uint64(i%c.Seeds))
 	})
 	for i, value := range t.values {
 		m := mean(reports[i*c.Seeds : (i+1)*c.Seeds])
@@ -95,8 +95,8 @@
 		m.failed += float64(r.Failed) / all
 		m.givenUp += float64(r.GivenUp) / n
 		m.imbalance1 += r.Imbalance1 / n
-		m.imbalance10 += r.Imbalance / n
-		m.handed += r.Handed / n
+		m.imbalance10 += r.Imbalance10 / n
+		m.handed += r.HandedOver / n
 	}
 	return m
 }
--- a/internal/exper/cases/run.go
+++ b/internal/exper/cases/run.go
@@ -6,7 +6,7 @@
 //
 // # Usage
 //
-//	report := cases.Run(cases.Burst(), cases.TracingCore, policy.Own, policy.Tuned, 1)
+//	report := cases.Run(cases.Burst(), cases.TracingCore, policy.Mangowinch, policy.DefaultTuning, 1)
 package cases
 
 import (
@@ -47,25 +47,25 @@
 	limits := admit.Limits{Classes: classes(c.Mix), Callers: callers(c.Callers)}
 	start := r.loop.Now()
 	r.meter = meter.New(meter.Settings{
-		From: start.Add(c.From), To: start.Add(c.To), End: start.Add(c.End), Slots: s.Servers * s.Slots, Callers: limits.Callers,
+		From: start.Add(c.From), To: start.Add(c.To), LoadEnd: start.Add(c.LoadEnd), Slots: s.Servers * s.Slots, Callers: limits.Callers,
 	})
-	r.system = policy.New(n, &policy.World{
-		Loop: r.loop, Servers: r.servers, Limits: limits, Near: s.Near, Far: s.Far,
+	r.system = policy.New(n, &policy.Env{
+		Loop: r.loop, Servers: r.servers, Limits: limits, IntraDomainDelay: s.IntraDomainDelay, InterDomainDelay: s.InterDomainDelay,
 		Random: rand.New(rand.NewPCG(seed, policyStream)), Tuning: t,
 	})
 	r.begin(s, seed)
 	r.second(make([]time.Duration, len(r.servers)))
-	if c.Faults != nil {
-		c.Faults(r)
+	if c.InjectFaults != nil {
+		c.InjectFaults(r)
 	}
-	if c.End < c.Length {
-		r.loop.At(c.End, r.settle)
+	if c.LoadEnd < c.Length {
+		r.loop.At(c.LoadEnd, r.settle)
 	}
 	r.loop.Run(c.Length)
 	report := r.meter.Report()
-	report.Settled = r.settled
-	if handed, far := r.system.Cross(); report.Offered > 0 && handed > 0 {
-		report.Handed, report.Far = float64(handed)/float64(r.offered()), float64(far)/float64(handed)
+	report.EmptiedAfter = r.settled
+	if handed, far := r.system.HandOvers(); report.Offered > 0 && handed > 0 {
+		report.HandedOver, report.CrossDomain = float64(handed)/float64(r.offered()), float64(far)/float64(handed)
 	}
 	return report
 }
@@ -80,15 +80,15 @@
 	homes := rand.New(rand.NewPCG(seed, homeStream))
 	each := connections * s.Servers / len(r.load.Callers)
 	for i, c := range r.load.Callers {
-		spec := fakes.Spec{Name: c.Name, Weight: c.Weight, Hot: c.Hot, Rate: c.Level * float64(s.Servers*s.Slots), Work: r.load.Mix}
+		spec := fakes.Spec{Name: c.Name, Weight: c.Weight, HotConnections: c.HotConnections, Rate: c.Load * float64(s.Servers*s.Slots), Workloads: r.load.Mix}
 		if c.Mix != nil {
-			spec.Work = c.Mix
+			spec.Workloads = c.Mix
 		}
 		for range each {
-			spec.Homes = append(spec.Homes, homes.IntN(s.Servers))
+			spec.ConnServers = append(spec.ConnServers, homes.IntN(s.Servers))
 		}
-		level := func() float64 { return r.load.Level(r.loop.Elapsed()) }
-		if c.Steady {
+		level := func() float64 { return r.load.LoadFactor(r.loop.Elapsed()) }
+		if c.Constant {
 			level = func() float64 { return 1 }
 		}
 		random := rand.New(rand.NewPCG(seed, uint64(callerStream+i)))
@@ -98,35 +98,35 @@
 
 // submit sends one try of a request, and watches its deadline as the caller does.
 func (r *run) submit(j *fakes.Job) {
-	r.meter.Offered(j)
+	r.meter.AddOffered(j)
 	r.system.Submit(j, func(a policy.Answer) { r.answer(j, a) })
-	if !j.Settled {
+	if !j.Finished {
 		r.loop.After(j.Deadline.Sub(r.loop.Now())+time.Millisecond, func() { r.answer(j, policy.Answer{End: fakes.Late}) })
 	}
 }
 
 // answer takes in the first of an answer and the passing of the deadline.
 func (r *run) answer(j *fakes.Job, a policy.Answer) {
-	if j.Settled {
+	if j.Finished {
 		return
 	}
-	j.Settled = true
-	r.meter.Answered(r.loop.Now(), j, a)
-	if *j.Runs > 1 && (a.End == fakes.Good || j.Try >= r.load.Tries) {
-		r.meter.Twice()
+	j.Finished = true
+	r.meter.AddAnswered(r.loop.Now(), j, a)
+	if *j.Executions > 1 && (a.End == fakes.Answered || j.Try >= r.load.Tries) {
+		r.meter.AddRunTwice()
 	}
-	if a.End == fakes.Good {
+	if a.End == fakes.Answered {
 		return
 	}
 	if j.Try >= r.load.Tries {
-		r.meter.GaveUp()
+		r.meter.AddGivenUp()
 		return
 	}
 	pause := time.Duration(0)
 	if a.End != fakes.Late {
-		pause = max(a.After, time.Second) // what a caller does that is not told when
+		pause = max(a.RetryAfter, time.Second) // what a caller does that is not told when
 	}
-	r.loop.After(pause, func() { r.submit(j.Again(r.loop.Now())) })
+	r.loop.After(pause, func() { r.submit(j.Retry(r.loop.Now())) })
 }
 
 // second samples the servers' work.
@@ -140,7 +140,7 @@
 			}
 			last[i] = busy
 		}
-		r.meter.Second(r.loop.Now(), shares)
+		r.meter.AddSecond(r.loop.Now(), shares)
 		r.second(last)
 	})
 }
@@ -150,20 +150,20 @@
 
 func (r *run) settle() {
 	if r.system.Waiting() == 0 {
-		r.settled = r.loop.Elapsed() - r.load.End
+		r.settled = r.loop.Elapsed() - r.load.LoadEnd
 		return
 	}
 	r.loop.After(settlePoll, r.settle)
 }
 
-func classes(mix []fakes.Work) (list []docs.Class) {
+func classes(mix []fakes.Workload) (list []docs.Class) {
 	for _, w := range mix {
 		list = append(list, docs.Class{Name: w.Class, Kind: w.Kind, Deadline: w.Deadline, Queue: w.Queue, Idempotent: true})
 	}
 	return list
 }
 
-func callers(shapes []Shape) (list []docs.Caller) {
+func callers(shapes []CallerLoad) (list []docs.Caller) {
 	for _, s := range shapes {
 		list = append(list, docs.Caller{Name: s.Name, Weight: s.Weight})
 	}
--- a/internal/exper/fakes/server.go
+++ b/internal/exper/fakes/server.go
@@ -12,12 +12,12 @@
 
 // The ends.
 const (
-	Good      End = iota // answered
-	Failed               // answered with a failure
-	Late                 // stopped by the server at the request's deadline
-	Cut                  // the server stopped while it ran
-	Shed                 // refused as not run
-	Unreached            // the server could not be reached
+	Answered    End = iota // answered
+	Failed                 // answered with a failure
+	Late                   // stopped by the server at the request's deadline
+	Interrupted            // the server stopped while it ran
+	Shed                   // refused as not run
+	Unreachable            // the server could not be reached
 )
 
 // Times of a server that does no work.
@@ -33,14 +33,14 @@
 	Domain int
 	Slots  int
 
-	Factor   float64       // of service times, 1 as a rule
-	FailFast bool          // fails each request at once
-	FailHalf bool          // fails every other request at once
-	Down     bool          // cannot be reached
-	Draining bool          // refuses new work
-	Lie      bool          // reports that it is idle and quick
-	Cold     time.Duration // length of the cold start that began at ColdAt
-	ColdAt   time.Time
+	TimeFactor   float64       // of service times, 1 as a rule
+	FailFast     bool          // fails each request at once
+	FailHalf     bool          // fails every other request at once
+	Down         bool          // cannot be reached
+	Draining     bool          // refuses new work
+	FalseReports bool          // reports that it is idle and quick
+	ColdStart    time.Duration // length of the cold start that began at ColdAt
+	ColdStartAt  time.Time
 
 	loop    *loop.Loop
 	count   int
@@ -56,14 +56,14 @@
 
 // NewServer returns an idle server.
 func NewServer(l *loop.Loop, id, domain, slots int) *Server {
-	return &Server{ID: id, Domain: domain, Slots: slots, Factor: 1, loop: l, at: l.Now()}
+	return &Server{ID: id, Domain: domain, Slots: slots, TimeFactor: 1, loop: l, at: l.Now()}
 }
 
 // Run executes a job and calls done when it ended.
 func (s *Server) Run(j *Job, done func(End)) {
 	switch {
 	case s.Down:
-		s.loop.After(unreachTime, func() { done(Unreached) })
+		s.loop.After(unreachTime, func() { done(Unreachable) })
 		return
 	case s.Draining || len(s.running) >= s.Slots:
 		done(Shed)
@@ -75,8 +75,8 @@
 	s.account()
 	e := &execution{job: j, done: done}
 	s.running = append(s.running, e)
-	*j.Runs++
-	took, end := time.Duration(float64(j.Service)*s.factor()), Good
+	*j.Executions++
+	took, end := time.Duration(float64(j.ServiceTime)*s.factor()), Answered
 	if left := j.Deadline.Sub(s.loop.Now()); !j.NoDeadline && took > left {
 		took, end = left, Late
 	}
@@ -103,7 +103,7 @@
 func (s *Server) Stop() (cut int) {
 	s.Down = true
 	for len(s.running) > 0 {
-		s.end(s.running[0], Cut)
+		s.end(s.running[0], Interrupted)
 		cut++
 	}
 	return cut
@@ -125,8 +125,8 @@
 }
 
 func (s *Server) factor() float64 {
-	if age := s.loop.Now().Sub(s.ColdAt); s.Cold > 0 && age < s.Cold {
-		return s.Factor * (coldFactor - (coldFactor-1)*float64(age)/float64(s.Cold))
+	if age := s.loop.Now().Sub(s.ColdStartAt); s.ColdStart > 0 && age < s.ColdStart {
+		return s.TimeFactor * (coldFactor - (coldFactor-1)*float64(age)/float64(s.ColdStart))
 	}
-	return s.Factor
+	return s.TimeFactor
 }
--- a/internal/exper/flows/flows.go
+++ b/internal/exper/flows/flows.go
@@ -21,28 +21,28 @@
 
 // Case is one load on the weights.
 type Case struct {
-	Name, Story string
-	Servers     int
-	Entries     int
-	Rate        float64       // new flows a second, all entries together
-	Life        time.Duration // mean of a flow
-	Level       float64       // demand of all flows as a share of all slots
-	Lag         time.Duration // shortest lag of a report; the longest is twice that
-	Change      time.Duration // when the servers' factors change
-	Length      time.Duration
-	Factors     []float64 // of the first servers' service times from the change on
-	Leave       bool      // server 1 leaves at the change
+	Name, Description string
+	Servers           int
+	Entries           int
+	Rate              float64       // new flows a second, all entries together
+	MeanDuration      time.Duration // mean of a flow
+	Load              float64       // demand of all flows as a share of all slots
+	MinLag            time.Duration // shortest lag of a report; the longest is twice that
+	ChangeAt          time.Duration // when the servers' factors change
+	Length            time.Duration
+	TimeFactors       []float64 // of the first servers' service times from the change on
+	ServerLeaves      bool      // server 1 leaves at the change
 }
 
 // Report sums up a run.
 type Report struct {
-	Before float64       // mean of the greatest demand over the mean, in the two minutes before the change
-	After  float64       // the same in the last two minutes
-	Peak   float64       // greatest demand of a healthy server over the mean, after the change
-	Moved  float64       // mean change of a server's share of new flows in a minute before the change, as a share of its mean share
-	Apart  float64       // mean share of new flows on which two entries differ, before the change
-	Off    time.Duration // time after the change with the greatest demand over 1.25 of the mean
-	Strays float64       // new flows that a leaving server got from 10 s after it left
+	ImbalanceBefore float64       // mean of the greatest demand over the mean, in the two minutes before the change
+	ImbalanceAfter  float64       // the same in the last two minutes
+	PeakHealthy     float64       // greatest demand of a healthy server over the mean, after the change
+	ShareChange     float64       // mean change of a server's share of new flows in a minute before the change, as a share of its mean share
+	Divergence      float64       // mean share of new flows on which two entries differ, before the change
+	TimeImbalanced  time.Duration // time after the change with the greatest demand over 1.25 of the mean
+	StrayFlows      float64       // new flows that a leaving server got from 10 s after it left
 }
 
 // within is the greatest demand over the mean that does not count as off.
@@ -73,10 +73,10 @@
 		}
 		w.SetServers(servers)
 		v.entries = append(v.entries, w)
-		v.lags = append(v.lags, int(c.Lag.Seconds())+v.random.IntN(int(c.Lag.Seconds())+1))
+		v.lags = append(v.lags, int(c.MinLag.Seconds())+v.random.IntN(int(c.MinLag.Seconds())+1))
 	}
 	for i := range v.flows {
-		v.flows[i] = math.Round(c.Rate * c.Life.Seconds() / float64(c.Servers))
+		v.flows[i] = math.Round(c.Rate * c.MeanDuration.Seconds() / float64(c.Servers))
 	}
 	for s := range int(c.Length.Seconds()) {
 		v.second(s)
@@ -88,7 +88,7 @@
 // second runs one second: reports arrive, weights step, flows end and begin.
 func (v *run) second(s int) {
 	now := start.Add(time.Duration(s) * time.Second)
-	changed := now.Sub(start) >= v.load.Change
+	changed := now.Sub(start) >= v.load.ChangeAt
 	v.lagging = append(v.lagging, v.loads(changed))
 	for e, w := range v.entries {
 		if at := s - v.lags[e]; at >= 0 {
@@ -99,14 +99,14 @@
 		w.Step(now)
 	}
 	for i := range v.flows {
-		v.flows[i] -= float64(poisson(v.random, v.flows[i]/v.load.Life.Seconds()))
+		v.flows[i] -= float64(poisson(v.random, v.flows[i]/v.load.MeanDuration.Seconds()))
 		v.flows[i] = max(v.flows[i], 0)
 	}
 	for range poisson(v.random, v.load.Rate) {
 		i := draw(v.random, v.entries[v.random.IntN(len(v.entries))].Weights())
 		v.flows[i]++
-		if late := now.Sub(start) - v.load.Change; v.load.Leave && i == 0 && late >= 10*time.Second {
-			v.report.Strays++
+		if late := now.Sub(start) - v.load.ChangeAt; v.load.ServerLeaves && i == 0 && late >= 10*time.Second {
+			v.report.StrayFlows++
 		}
 	}
 	v.note(changed)
@@ -114,14 +114,14 @@
 
 // loads is each server's demand. At level 1 and even spread it is 1.
 func (v *run) loads(changed bool) []shift.Load {
-	even := v.load.Rate * v.load.Life.Seconds() / float64(v.load.Servers)
+	even := v.load.Rate * v.load.MeanDuration.Seconds() / float64(v.load.Servers)
 	list := make([]shift.Load, len(v.flows))
 	for i, n := range v.flows {
 		factor := 1.0
-		if changed && i < len(v.load.Factors) {
-			factor = v.load.Factors[i]
+		if changed && i < len(v.load.TimeFactors) {
+			factor = v.load.TimeFactors[i]
 		}
-		list[i] = shift.Load{Demand: v.load.Level * n / even * factor, Leaving: changed && v.load.Leave && i == 0}
+		list[i] = shift.Load{Demand: v.load.Load * n / even * factor, Leaving: changed && v.load.ServerLeaves && i == 0}
 	}
 	return list
 }
@@ -139,15 +139,15 @@
 	}
 	mean := sum / float64(n)
 	v.over = append(v.over, most/mean)
-	for _, l := range list[len(v.load.Factors):] {
+	for _, l := range list[len(v.load.TimeFactors):] {
 		if changed && !l.Leaving {
-			v.report.Peak = max(v.report.Peak, l.Demand/mean)
+			v.report.PeakHealthy = max(v.report.PeakHealthy, l.Demand/mean)
 		}
 	}
 	v.shares = append(v.shares, normal(v.entries[0].Weights()))
 	if !changed {
 		for _, w := range v.entries[1:] {
-			v.report.Apart += apart(v.shares[len(v.shares)-1], normal(w.Weights())) / float64(len(v.entries)-1)
+			v.report.Divergence += apart(v.shares[len(v.shares)-1], normal(w.Weights())) / float64(len(v.entries)-1)
 		}
 	}
 }
@@ -156,16 +156,16 @@
 const window = 120
 
 func (v *run) sum() {
-	change := int(v.load.Change.Seconds())
-	v.report.Before = average(v.over[change-window : change])
-	v.report.After = average(v.over[len(v.over)-window:])
-	v.report.Apart /= float64(change)
+	change := int(v.load.ChangeAt.Seconds())
+	v.report.ImbalanceBefore = average(v.over[change-window : change])
+	v.report.ImbalanceAfter = average(v.over[len(v.over)-window:])
+	v.report.Divergence /= float64(change)
 	for s := change - window; s < change; s++ {
-		v.report.Moved += apart(v.shares[s], v.shares[s-1]) * 2 * 60 / window
+		v.report.ShareChange += apart(v.shares[s], v.shares[s-1]) * 2 * 60 / window
 	}
 	for _, over := range v.over[change:] {
 		if over > within {
-			v.report.Off += time.Second
+			v.report.TimeImbalanced += time.Second
 		}
 	}
 }
@@ -175,15 +175,15 @@
 	n := float64(len(reports))
 	off := 0.0
 	for _, r := range reports {
-		m.Before += r.Before / n
-		m.After += r.After / n
-		m.Peak += r.Peak / n
-		m.Moved += r.Moved / n
-		m.Apart += r.Apart / n
-		m.Strays += r.Strays / n
-		off += r.Off.Seconds() / n
-	}
-	m.Off = time.Duration(off * float64(time.Second))
+		m.ImbalanceBefore += r.ImbalanceBefore / n
+		m.ImbalanceAfter += r.ImbalanceAfter / n
+		m.PeakHealthy += r.PeakHealthy / n
+		m.ShareChange += r.ShareChange / n
+		m.Divergence += r.Divergence / n
+		m.StrayFlows += r.StrayFlows / n
+		off += r.TimeImbalanced.Seconds() / n
+	}
+	m.TimeImbalanced = time.Duration(off * float64(time.Second))
 	return m
 }
 
--- a/internal/exper/flows/list.go
+++ b/internal/exper/flows/list.go
@@ -6,20 +6,20 @@
 	"mangowinch/internal/load/shift"
 )
 
-// Named is a set of rules with the name of its row.
-type Named struct {
+// NamedRules is a set of rules with the name of its row.
+type NamedRules struct {
 	Name  string
 	Rules shift.Rules
 }
 
 // Rules lists the rules that are compared.
-func Rules() []Named {
-	set := func(name string, part, dead float64) Named {
+func Rules() []NamedRules {
+	set := func(name string, part, dead float64) NamedRules {
 		r := shift.Default
 		r.Gain, r.DeadZone = part, dead
-		return Named{name, r}
+		return NamedRules{name, r}
 	}
-	return []Named{
+	return []NamedRules{
 		set("fixed weights", 0, 0),
 		set("plain, undamped", 1, 0),
 		set("undamped, dead zone 0.1", 1, 0.1),
@@ -36,29 +36,29 @@
 
 func base(name, story string) Case {
 	return Case{
-		Name: name, Story: story, Servers: 7, Entries: 4, Rate: 100, Life: time.Minute, Level: 0.7,
-		Lag: 2 * time.Second, Change: 5 * time.Minute, Length: 20 * time.Minute,
+		Name: name, Description: story, Servers: 7, Entries: 4, Rate: 100, MeanDuration: time.Minute, Load: 0.7,
+		MinLag: 2 * time.Second, ChangeAt: 5 * time.Minute, Length: 20 * time.Minute,
 	}
 }
 
 // Slow is a server that turns five times slower.
 func Slow() Case {
 	c := base("slow", "one server 5 times slower from 300 s, flows last a minute, reports are 2 to 4 s old")
-	c.Factors = []float64{5}
+	c.TimeFactors = []float64{5}
 	return c
 }
 
 // Stale is Slow with reports that are four times as old.
 func Stale() Case {
 	c := Slow()
-	c.Name, c.Story, c.Lag = "stale", "one server 5 times slower from 300 s, reports are 5 to 10 s old", 5*time.Second
+	c.Name, c.Description, c.MinLag = "stale", "one server 5 times slower from 300 s, reports are 5 to 10 s old", 5*time.Second
 	return c
 }
 
 // Brief is Slow with flows of ten seconds.
 func Brief() Case {
 	c := Slow()
-	c.Name, c.Story, c.Life = "brief", "one server 5 times slower from 300 s, flows last 10 s", 10*time.Second
+	c.Name, c.Description, c.MeanDuration = "brief", "one server 5 times slower from 300 s, flows last 10 s", 10*time.Second
 	c.Rate = 600
 	return c
 }
@@ -66,7 +66,7 @@
 // Few is a service with few, long flows, where chance makes loads differ.
 func Few() Case {
 	c := Slow()
-	c.Name, c.Story = "few", "as slow, but with 140 flows at a time in place of 6,000"
+	c.Name, c.Description = "few", "as slow, but with 140 flows at a time in place of 6,000"
 	c.Rate = 140.0 / 60
 	return c
 }
@@ -74,7 +74,7 @@
 // Drain is a server that leaves.
 func Drain() Case {
 	c := base("drain", "one server leaves at 300 s")
-	c.Leave = true
+	c.ServerLeaves = true
 	return c
 }
 
--- a/internal/exper/meter/meter.go
+++ b/internal/exper/meter/meter.go
@@ -43,7 +43,7 @@
 // Settings say what is measured.
 type Settings struct {
 	From, To time.Time // arrivals in this time count
-	End      time.Time // when the load ends; recovery is counted from here
+	LoadEnd  time.Time // when the load ends; recovery is counted from here
 	Slots    int       // of all servers
 	Callers  []docs.Caller
 }
@@ -62,7 +62,7 @@
 
 // Counts are requests by end.
 type Counts struct {
-	Offered, InTime, Refused, Late, Failed, Twice, Broken, GivenUp int
+	Offered, InTime, Refused, Late, Failed, RunTwice, Broken, GivenUp int
 }
 
 type caller struct {
@@ -96,27 +96,27 @@
 	return m
 }
 
-// Offered notes a request that arrives.
-func (m *Meter) Offered(j *fakes.Job) {
+// AddOffered notes a request that arrives.
+func (m *Meter) AddOffered(j *fakes.Job) {
 	if !m.counted(j) {
 		return
 	}
 	m.counts.Offered++
 	c := m.caller(j.Caller)
 	c.offered++
-	c.asked += j.Service.Seconds()
+	c.asked += j.ServiceTime.Seconds()
 	if j.Kind == docs.Lookup {
 		c.lookupsAsked++
 	}
 }
 
-// Answered notes a request's end. A job whose caller gave up is late.
-func (m *Meter) Answered(now time.Time, j *fakes.Job, a policy.Answer) {
-	good := a.End == fakes.Good && !now.After(j.Deadline)
-	if !j.Arrived.Before(m.settings.End) {
-		m.after = append(m.after, arrival{at: j.Arrived.Sub(m.settings.End), good: good})
+// AddAnswered notes a request's end. A job whose caller gave up is late.
+func (m *Meter) AddAnswered(now time.Time, j *fakes.Job, a policy.Answer) {
+	good := a.End == fakes.Answered && !now.After(j.Deadline)
+	if !j.Arrived.Before(m.settings.LoadEnd) {
+		m.after = append(m.after, arrival{at: j.Arrived.Sub(m.settings.LoadEnd), good: good})
 	}
-	if a.End == fakes.Cut {
+	if a.End == fakes.Interrupted {
 		m.counts.Broken++
 	}
 	if !m.counted(j) {
@@ -128,7 +128,7 @@
 		m.counts.Refused++
 		m.reasons[a.Reason]++
 		record(m.refusals, latency)
-	case a.End == fakes.Failed || a.End == fakes.Cut || a.End == fakes.Unreached:
+	case a.End == fakes.Failed || a.End == fakes.Interrupted || a.End == fakes.Unreachable:
 		m.counts.Failed++
 	case good:
 		m.counts.InTime++
@@ -144,7 +144,7 @@
 func (m *Meter) good(j *fakes.Job, latency int64) {
 	c := m.caller(j.Caller)
 	c.good++
-	c.goodWork += j.Service.Seconds()
+	c.goodWork += j.ServiceTime.Seconds()
 	if j.Kind == docs.Lookup {
 		c.lookupsGoodCount++
 		record(c.lookups, latency)
@@ -152,14 +152,14 @@
 	}
 }
 
-// Twice notes a request that ran more than once.
-func (m *Meter) Twice() { m.counts.Twice++ }
+// AddRunTwice notes a request that ran more than once.
+func (m *Meter) AddRunTwice() { m.counts.RunTwice++ }
 
-// GaveUp notes a request whose caller tries no more.
-func (m *Meter) GaveUp() { m.counts.GivenUp++ }
+// AddGivenUp notes a request whose caller tries no more.
+func (m *Meter) AddGivenUp() { m.counts.GivenUp++ }
 
-// Second notes the slot time per slot that each server in service used in a second.
-func (m *Meter) Second(now time.Time, shares []float64) {
+// AddSecond notes the slot time per slot that each server in service used in a second.
+func (m *Meter) AddSecond(now time.Time, shares []float64) {
 	if now.After(m.settings.From) && !now.After(m.settings.To) {
 		m.windows = append(m.windows, slices.Clone(shares))
 	}
--- a/internal/exper/meter/report.go
+++ b/internal/exper/meter/report.go
@@ -14,29 +14,29 @@
 // Report sums up one run.
 type Report struct {
 	Counts
-	Goodput    float64 // share of all slot time
-	P50, P99   time.Duration
-	RefusalP99 time.Duration
-	Imbalance1 float64 // windows of 1 s
-	Imbalance  float64 // windows of 10 s
-	Jain       float64
-	Worst      float64 // least share of its due that a caller got
-	Callers    []Caller
-	Recovered  time.Duration
-	Reasons    map[result.Reason]int // of refusals
-	Settled    time.Duration         // set by who runs the experiment
-	Handed     float64               // share of requests that another server's agent ran or refused
-	Far        float64               // share of these that crossed a failure domain
+	Goodput      float64 // share of all slot time
+	P50, P99     time.Duration
+	RefusalP99   time.Duration
+	Imbalance1   float64 // windows of 1 s
+	Imbalance10  float64 // windows of 10 s
+	Jain         float64
+	WorstCaller  float64 // least share of its due that a caller got
+	Callers      []Caller
+	RecoveryTime time.Duration
+	Reasons      map[result.Reason]int // of refusals
+	EmptiedAfter time.Duration         // set by who runs the experiment
+	HandedOver   float64               // share of requests that another server's agent ran or refused
+	CrossDomain  float64               // share of these that crossed a failure domain
 }
 
 // Caller sums up what one caller got.
 type Caller struct {
-	Name     string
-	Offered  int
-	InTime   float64 // share
-	Lookups  float64 // share of its lookups answered in time
-	P50, P99 time.Duration
-	OfDue    float64
+	Name          string
+	Offered       int
+	InTime        float64 // share
+	LookupsInTime float64 // share of its lookups answered in time
+	P50, P99      time.Duration
+	OfFairShare   float64
 }
 
 // longWindow is how many seconds the longer window of imbalance has.
@@ -48,14 +48,14 @@
 // Report returns the sums.
 func (m *Meter) Report() Report {
 	r := Report{
-		Counts:     m.counts,
-		Reasons:    m.reasons,
-		P50:        quantile(m.lookups, 50),
-		P99:        quantile(m.lookups, 99),
-		RefusalP99: quantile(m.refusals, 99),
-		Imbalance1: imbalance(m.windows, 1),
-		Imbalance:  imbalance(m.windows, longWindow),
-		Recovered:  recovered(m.after),
+		Counts:       m.counts,
+		Reasons:      m.reasons,
+		P50:          quantile(m.lookups, 50),
+		P99:          quantile(m.lookups, 99),
+		RefusalP99:   quantile(m.refusals, 99),
+		Imbalance1:   imbalance(m.windows, 1),
+		Imbalance10:  imbalance(m.windows, longWindow),
+		RecoveryTime: recovered(m.after),
 	}
 	seconds := m.settings.To.Sub(m.settings.From).Seconds()
 	capacity := seconds * float64(m.settings.Slots)
@@ -66,11 +66,11 @@
 		share := c.goodWork / math.Max(due[i], 1e-9)
 		shares = append(shares, share)
 		r.Callers = append(r.Callers, Caller{
-			Name: c.name, Offered: c.offered, InTime: ratio(c.good, c.offered), Lookups: ratio(c.lookupsGoodCount, c.lookupsAsked),
-			P50: quantile(c.lookups, 50), P99: quantile(c.lookups, 99), OfDue: share,
+			Name: c.name, Offered: c.offered, InTime: ratio(c.good, c.offered), LookupsInTime: ratio(c.lookupsGoodCount, c.lookupsAsked),
+			P50: quantile(c.lookups, 50), P99: quantile(c.lookups, 99), OfFairShare: share,
 		})
 	}
-	r.Jain, r.Worst = jain(shares), slices.Min(shares)
+	r.Jain, r.WorstCaller = jain(shares), slices.Min(shares)
 	return r
 }
 
--- a/internal/exper/outage/outage.go
+++ b/internal/exper/outage/outage.go
@@ -9,7 +9,7 @@
 //
 // # Usage
 //
-//	report := outage.Run(outage.Grown(), outage.Rules{PerSlot: 15}, 1)
+//	report := outage.Run(outage.FiftyServers(), outage.Rules{PerSlot: 15}, 1)
 package outage
 
 import (
@@ -25,36 +25,36 @@
 	"mangowinch/internal/load/share"
 )
 
-// Kind is a kind of request.
-type Kind struct {
-	Rate     float64 // a second
-	Work     time.Duration
-	Target   time.Duration // in which it is to be answered
-	Deadline time.Duration // after which its caller has left
-	Priority int
-	Pooled   bool // on a flow of a pool that stays open, not on one of its own
+// RequestKind is a kind of request.
+type RequestKind struct {
+	Rate        float64 // a second
+	ServiceTime time.Duration
+	Target      time.Duration // in which it is to be answered
+	Deadline    time.Duration // after which its caller has left
+	Priority    int
+	Pooled      bool // on a flow of a pool that stays open, not on one of its own
 }
 
 // Case is one outage.
 type Case struct {
 	Servers, Slots int
 	Domains        int
-	Pool           int           // flows of the pools
-	Away           time.Duration // from the loss of power until agents are back
-	Cold           time.Duration // for which servers are slow after that
-	Slower         float64       // factor of work while they are
-	Kinds          []Kind
+	PooledFlows    int           // flows of the pools
+	Downtime       time.Duration // from the loss of power until agents are back
+	ColdStart      time.Duration // for which servers are slow after that
+	ColdFactor     float64       // factor of work while they are
+	Kinds          []RequestKind
 	Length         time.Duration
 }
 
-// Grown is the load of some 50 servers of three slots at three quarters of what they can do.
-func Grown() Case {
+// FiftyServers is the load of some 50 servers of three slots at three quarters of what they can do.
+func FiftyServers() Case {
 	return Case{
-		Servers: 49, Slots: 3, Domains: 3, Pool: 3600,
-		Away: 1550 * time.Millisecond, Cold: 2 * time.Second, Slower: 1.6,
-		Kinds: []Kind{
-			{Rate: 1060, Work: 40 * time.Millisecond, Target: 300 * time.Millisecond, Deadline: 3 * time.Second, Priority: 2, Pooled: true},
-			{Rate: 525, Work: 52 * time.Millisecond, Target: 400 * time.Millisecond, Deadline: 4 * time.Second, Priority: 1},
+		Servers: 49, Slots: 3, Domains: 3, PooledFlows: 3600,
+		Downtime: 1550 * time.Millisecond, ColdStart: 2 * time.Second, ColdFactor: 1.6,
+		Kinds: []RequestKind{
+			{Rate: 1060, ServiceTime: 40 * time.Millisecond, Target: 300 * time.Millisecond, Deadline: 3 * time.Second, Priority: 2, Pooled: true},
+			{Rate: 525, ServiceTime: 52 * time.Millisecond, Target: 400 * time.Millisecond, Deadline: 4 * time.Second, Priority: 1},
 		},
 		Length: 6 * time.Second,
 	}
@@ -62,20 +62,20 @@
 
 // Rules are what is tried.
 type Rules struct {
-	PerSlot int  // flows that may wait for each slot
-	Known   bool // agents know when a request was first sent, and whether its caller has left, which no packet tells: a bound for any order
+	PerSlot   int  // flows that may wait for each slot
+	KnownAges bool // agents know when a request was first sent, and whether its caller has left, which no packet tells: a bound for any order
 }
 
 // Counts are requests by what became of them.
-type Counts struct{ Asked, InTime, Late, Failed int }
+type Counts struct{ Sent, InTime, Late, Failed int }
 
 // Report is what callers got.
 type Report struct {
-	All     Counts
-	Windows []Counts // by the two seconds in which requests were first sent
-	Opened  int      // flows that servers were given
-	Left    int      // of them, whose caller had left
-	Refused int      // flows refused because too many wait
+	All       Counts
+	Windows   []Counts // by the two seconds in which requests were first sent
+	Opened    int      // flows that servers were given
+	Abandoned int      // of them, whose caller had left
+	Refused   int      // flows refused because too many wait
 }
 
 // Facts of callers' protocol.
@@ -100,7 +100,7 @@
 
 // request is one request of a caller.
 type request struct {
-	kind  *Kind
+	kind  *RequestKind
 	sent  time.Time
 	tries int
 	over  bool // answered, or its caller has left
@@ -137,9 +137,9 @@
 
 // Run plays a case.
 func Run(c Case, r Rules, seed uint64) Report {
-	v := &run{c: c, r: r, loop: loop.New(), random: rand.New(rand.NewPCG(seed, 1)), dead: c.Pool}
+	v := &run{c: c, r: r, loop: loop.New(), random: rand.New(rand.NewPCG(seed, 1)), dead: c.PooledFlows}
 	patience := giveUp - answerTime
-	if r.Known {
+	if r.KnownAges {
 		patience = c.Length // those whose callers have left are known one by one
 	}
 	for i := range c.Servers {
@@ -170,7 +170,7 @@
 }
 
 // arrive sends a request of a kind and plans the next.
-func (v *run) arrive(k *Kind) {
+func (v *run) arrive(k *RequestKind) {
 	v.loop.After(time.Duration(-math.Log(1-v.random.Float64())/k.Rate*float64(time.Second)), func() {
 		if v.loop.Elapsed() < v.c.Length {
 			v.send(k)
@@ -179,11 +179,11 @@
 	})
 }
 
-func (v *run) send(k *Kind) {
+func (v *run) send(k *RequestKind) {
 	q := &request{kind: k, sent: v.loop.Now()}
 	w := v.window(q)
-	w.Asked++
-	v.report.All.Asked++
+	w.Sent++
+	v.report.All.Sent++
 	v.loop.After(k.Deadline, func() {
 		if !q.over {
 			q.over = true
@@ -195,7 +195,7 @@
 		v.open(q)
 		return
 	}
-	if v.random.IntN(v.c.Pool) >= v.dead {
+	if v.random.IntN(v.c.PooledFlows) >= v.dead {
 		v.loop.After(toAgent, func() { v.work(v.agents[v.random.IntN(len(v.agents))], q) })
 		return
 	}
@@ -218,7 +218,7 @@
 
 // first calls then when the first of some packets gets through, with its offset.
 func (v *run) first(offsets []time.Duration, then func(offset time.Duration)) {
-	up := v.c.Away + time.Duration(v.random.Int64N(int64(upWithin)))
+	up := v.c.Downtime + time.Duration(v.random.Int64N(int64(upWithin)))
 	for _, d := range offsets {
 		if v.loop.Elapsed()+d >= up {
 			v.loop.After(d+toAgent, func() { then(d) })
@@ -246,7 +246,7 @@
 			return
 		}
 		w := hold.QueuedFlow{Flow: o.flow, Priority: q.kind.Priority, FirstSent: v.loop.Now().Add(-age), Target: q.kind.Target}
-		if v.r.Known {
+		if v.r.KnownAges {
 			w.FirstSent = q.sent
 		}
 		v.offer(v.agents[v.random.IntN(len(v.agents))], o, &w, nil, false)
@@ -256,7 +256,7 @@
 // offer gives a flow to an agent, which may pass it on.
 func (v *run) offer(a *agent, o *opening, w *hold.QueuedFlow, visited []msgs.Visit, final bool) {
 	work := uint16((a.expected() + a.queue.Len()) * 100 / v.c.Slots)
-	next := share.Next(share.Server{Agent: address(a.index), Work: work}, visited, final, v.others[a.index], v.random.IntN)
+	next := share.Next(share.Server{Agent: address(a.index), Utilization: work}, visited, final, v.others[a.index], v.random.IntN)
 	if i := index(next.Agent); i != a.index {
 		v.loop.After(hop, func() { v.offer(v.agents[i], o, w, next.Visited, next.Final) })
 		return
@@ -292,7 +292,7 @@
 		}
 		o := a.waiting[w.Flow]
 		delete(a.waiting, w.Flow)
-		if v.r.Known && (o.over || o.request.over) {
+		if v.r.KnownAges && (o.over || o.request.over) {
 			continue
 		}
 		a.young++
@@ -311,7 +311,7 @@
 // opened is the moment at which the request of an opened flow comes.
 func (v *run) opened(a *agent, o *opening) {
 	if o.over || o.request.over {
-		v.report.Left++
+		v.report.Abandoned++
 		v.loop.After(lateTimes*2*toAgent, func() { // the slot is kept for a while
 			a.young--
 			v.admit(a)
@@ -337,9 +337,9 @@
 		q := a.backlog[0]
 		a.backlog = a.backlog[1:]
 		a.running++
-		took := time.Duration(float64(q.kind.Work) * (0.5 + v.random.Float64()))
-		if v.loop.Elapsed() < v.c.Away+v.c.Cold {
-			took = time.Duration(float64(took) * v.c.Slower)
+		took := time.Duration(float64(q.kind.ServiceTime) * (0.5 + v.random.Float64()))
+		if v.loop.Elapsed() < v.c.Downtime+v.c.ColdStart {
+			took = time.Duration(float64(took) * v.c.ColdFactor)
 		}
 		v.loop.After(took, func() {
 			a.running--
--- a/internal/exper/policy/agents.go
+++ b/internal/exper/policy/agents.go
@@ -26,7 +26,7 @@
 
 // agents is one agent beside each server, each with the product's decision code.
 type agents struct {
-	world       *World
+	world       *Env
 	unlimited   bool // nothing is refused, no deadline is told
 	byFlow      bool // nothing is handed over
 	list        []*agent
@@ -60,7 +60,7 @@
 	after  time.Duration
 }
 
-func newAgents(n Name, w *World) *agents {
+func newAgents(n Name, w *Env) *agents {
 	s := &agents{world: w, unlimited: n == Unlimited, byFlow: n == ByFlow}
 	var servers []place.Server
 	for _, v := range w.Servers {
@@ -69,12 +69,12 @@
 	for _, v := range w.Servers {
 		limits := w.Limits
 		limits.Slots = v.Slots
-		a := &agent{agents: s, server: v, waiting: map[uint64]*visit{}, budget: retry.New(w.Tuning.Retry), usage: place.Usage{Window: w.Tuning.Usage}}
+		a := &agent{agents: s, server: v, waiting: map[uint64]*visit{}, budget: retry.New(w.Tuning.Retry), usage: place.Usage{Window: w.Tuning.UsageWindow}}
 		a.placer = place.New(place.Self{ID: uint32(v.ID), Domain: string(rune('a' + v.Domain))}, w.Random)
 		a.placer.SetRules(w.Tuning.Place)
 		a.placer.SetServers(w.Loop.Now(), servers)
 		switch n {
-		case Own:
+		case Mangowinch:
 			g := admit.New(limits, w.Random)
 			g.SetRules(w.Tuning.Admit)
 			a.gate = g
@@ -83,7 +83,7 @@
 		}
 		s.list = append(s.list, a)
 	}
-	if w.Tuning.Report > 0 {
+	if w.Tuning.ReportInterval > 0 {
 		s.report()
 	}
 	return s
@@ -94,7 +94,7 @@
 	for _, a := range s.list {
 		a.tell()
 	}
-	s.world.Loop.After(s.world.Tuning.Report, s.report)
+	s.world.Loop.After(s.world.Tuning.ReportInterval, s.report)
 }
 
 func (a *agent) tell() {
@@ -115,9 +115,9 @@
 	case to == a:
 		run()
 	case to.server.Domain == a.server.Domain:
-		w.Loop.After(w.Near, run)
+		w.Loop.After(w.IntraDomainDelay, run)
 	default:
-		w.Loop.After(w.Far, run)
+		w.Loop.After(w.InterDomainDelay, run)
 	}
 }
 
@@ -131,14 +131,14 @@
 
 // told is what the agent says of itself to others.
 func (a *agent) told() place.Hint {
-	if a.server.Lie {
+	if a.server.FalseReports {
 		return place.Hint{Service: time.Millisecond}
 	}
 	return a.hint()
 }
 
 func (s *agents) Submit(j *fakes.Job, answer func(Answer)) {
-	a := s.list[j.Home]
+	a := s.list[j.ConnServer]
 	j.NoDeadline = s.unlimited
 	a.budget.Fresh()
 	a.place(j, nil, result.ServerLeaving, answer)
@@ -152,7 +152,7 @@
 		choice = a.placer.Choose(a.now(), a.hint(), tried)
 	}
 	if choice.Server == 0 {
-		answer(Answer{End: fakes.Shed, Reason: reason, After: a.gate.RetryAfter(a.now())})
+		answer(Answer{End: fakes.Shed, Reason: reason, RetryAfter: a.gate.RetryAfter(a.now())})
 		return
 	}
 	to := a.agents.list[choice.Server-1]
@@ -173,7 +173,7 @@
 
 // back takes in what came of a try.
 func (a *agent) back(j *fakes.Job, from *agent, tried []uint32, sent time.Time, o outcome, answer func(Answer)) {
-	ends := map[fakes.End]place.Outcome{fakes.Good: place.Answered, fakes.Late: place.Answered, fakes.Shed: place.Shed, fakes.Unreached: place.Unreachable}
+	ends := map[fakes.End]place.Outcome{fakes.Answered: place.Answered, fakes.Late: place.Answered, fakes.Shed: place.Shed, fakes.Unreachable: place.Unreachable}
 	end, known := ends[o.end]
 	if !known {
 		end = place.Failed
@@ -187,7 +187,7 @@
 	if from != a {
 		a.placer.Report(a.now(), id, from.told()) // rides on the reply
 	}
-	if o.end != fakes.Shed && o.end != fakes.Unreached {
+	if o.end != fakes.Shed && o.end != fakes.Unreachable {
 		answer(Answer{End: o.end})
 		return
 	}
@@ -201,7 +201,7 @@
 		a.place(j, tried, o.reason, answer)
 		return
 	}
-	answer(Answer{End: fakes.Shed, Reason: o.reason, After: o.after})
+	answer(Answer{End: fakes.Shed, Reason: o.reason, RetryAfter: o.after})
 }
 
 // enter asks this agent's gate.
@@ -209,7 +209,7 @@
 	if a.leaving || a.server.Down {
 		reason, end := result.ServerLeaving, fakes.Shed
 		if a.server.Down {
-			reason, end = result.ServerUnreachable, fakes.Unreached
+			reason, end = result.ServerUnreachable, fakes.Unreachable
 		}
 		reply(outcome{end: end, reason: reason, after: a.gate.RetryAfter(a.now())})
 		return
@@ -233,14 +233,14 @@
 	v.started = a.now()
 	a.server.Run(v.job, func(end fakes.End) {
 		took := time.Duration(0) // says nothing of service
-		if end == fakes.Good || end == fakes.Late {
+		if end == fakes.Answered || end == fakes.Late {
 			took = a.now().Sub(v.started)
 		}
 		delete(a.waiting, id)
 		c := a.gate.Done(a.now(), id, took)
 		a.apply(c)
 		o := outcome{end: end}
-		if end == fakes.Shed || end == fakes.Unreached {
+		if end == fakes.Shed || end == fakes.Unreachable {
 			o.reason, o.after = result.ServerUnreachable, a.gate.RetryAfter(a.now())
 		}
 		v.reply(o)
@@ -309,4 +309,4 @@
 	return n
 }
 
-func (s *agents) Cross() (handed, far int) { return s.handed, s.far }
+func (s *agents) HandOvers() (handed, far int) { return s.handed, s.far }
--- a/internal/exper/policy/direct.go
+++ b/internal/exper/policy/direct.go
@@ -20,7 +20,7 @@
 // direct is a set of balancers in front of first-come-first-served queues.
 type direct struct {
 	name    Name
-	world   *World
+	world   *Env
 	queues  []*buffer
 	entries []*entry
 	next    int
@@ -45,7 +45,7 @@
 	done func(fakes.End)
 }
 
-func newDirect(n Name, w *World) *direct {
+func newDirect(n Name, w *Env) *direct {
 	d := &direct{name: n, world: w}
 	for _, s := range w.Servers {
 		d.queues = append(d.queues, &buffer{server: s, classes: map[string]int{}})
@@ -54,7 +54,7 @@
 		size := len(w.Servers)
 		d.entries = append(d.entries, &entry{turn: i, inflight: make([]int, size), reported: make([]int, size), gone: make([]bool, size)})
 	}
-	if n == Reported {
+	if n == LeastReported {
 		d.report()
 	}
 	return d
@@ -64,7 +64,7 @@
 func (d *direct) report() {
 	for i, q := range d.queues {
 		load := q.server.Running() + len(q.waiting)
-		if q.server.Lie {
+		if q.server.FalseReports {
 			load = 0
 		}
 		d.world.Loop.After(reportLag, func() {
@@ -91,7 +91,7 @@
 	e.inflight[i]++
 	d.enter(i, j, func(end fakes.End) {
 		e.inflight[i]--
-		refused := end == fakes.Shed || end == fakes.Unreached
+		refused := end == fakes.Shed || end == fakes.Unreachable
 		if refused && len(tried)+1 < tries && d.world.Loop.Now().Before(j.Deadline) {
 			d.try(e, j, append(slices.Clone(tried), i), answer)
 			return
@@ -114,12 +114,12 @@
 		return -1
 	}
 	switch d.name {
-	case RoundTurn:
+	case RoundRobin:
 		e.turn++
 		return open[e.turn%len(open)]
-	case Least:
+	case LeastConnections:
 		return d.least(open, e.inflight)
-	case Reported:
+	case LeastReported:
 		return d.least(open, e.reported)
 	}
 	return open[d.world.Random.IntN(len(open))]
@@ -198,4 +198,4 @@
 	return n
 }
 
-func (d *direct) Cross() (handed, far int) { return 0, 0 }
+func (d *direct) HandOvers() (handed, far int) { return 0, 0 }
--- a/internal/exper/policy/policy.go
+++ b/internal/exper/policy/policy.go
@@ -10,7 +10,7 @@
 //
 // # Usage
 //
-//	system := policy.New(policy.Own, world)
+//	system := policy.New(policy.Mangowinch, world)
 //	system.Submit(job, func(a policy.Answer) { ... })
 package policy
 
@@ -32,52 +32,52 @@
 
 // The policies.
 const (
-	Own       Name = "mangowinch"        // admit, queue, place and retry
-	RoundTurn Name = "round robin"       // baseline
-	Random    Name = "random"            // baseline
-	Least     Name = "least connections" // baseline
-	Reported  Name = "least reported"    // baseline: the least busy by the servers' own lagging reports
-	ByFlow    Name = "by flow"           // baseline: a request runs where its connection is, first come first served, bounded
-	Fifo      Name = "fcfs queue"        // own placement, but first come first served, bounded
-	Unlimited Name = "no limit"          // own placement, but nothing is refused and no deadline is told
+	Mangowinch       Name = "mangowinch"        // admit, queue, place and retry
+	RoundRobin       Name = "round robin"       // baseline
+	Random           Name = "random"            // baseline
+	LeastConnections Name = "least connections" // baseline
+	LeastReported    Name = "least reported"    // baseline: the least busy by the servers' own lagging reports
+	ByFlow           Name = "by flow"           // baseline: a request runs where its connection is, first come first served, bounded
+	FCFS             Name = "fcfs queue"        // own placement, but first come first served, bounded
+	Unlimited        Name = "no limit"          // own placement, but nothing is refused and no deadline is told
 )
 
 // Names lists all policies in the order of the tables.
-var Names = []Name{Own, RoundTurn, Random, Least, Reported, ByFlow, Fifo, Unlimited}
+var Names = []Name{Mangowinch, RoundRobin, Random, LeastConnections, LeastReported, ByFlow, FCFS, Unlimited}
 
-// World is what a policy acts in.
-type World struct {
-	Loop    *loop.Loop
-	Servers []*fakes.Server
-	Limits  admit.Limits  // Slots are each server's own
-	Near    time.Duration // one way between agents of a failure domain
-	Far     time.Duration // one way between failure domains
-	Random  *rand.Rand
-	Tuning  Tuning
+// Env is what a policy acts in.
+type Env struct {
+	Loop             *loop.Loop
+	Servers          []*fakes.Server
+	Limits           admit.Limits  // Slots are each server's own
+	IntraDomainDelay time.Duration // one way between agents of a failure domain
+	InterDomainDelay time.Duration // one way between failure domains
+	Random           *rand.Rand
+	Tuning           Tuning
 }
 
 // Tuning are thresholds that an experiment changes.
 type Tuning struct {
-	Admit  admit.Rules
-	Place  place.Rules
-	Retry  retry.Rules
-	Report time.Duration // between two reports of an agent to its peers; 0: they only ride on replies
-	Usage  time.Duration // time constant of the share of slot time in a report
+	Admit          admit.Rules
+	Place          place.Rules
+	Retry          retry.Rules
+	ReportInterval time.Duration // between two reports of an agent to its peers; 0: they only ride on replies
+	UsageWindow    time.Duration // time constant of the share of slot time in a report
 }
 
-// Tuned are the thresholds in use.
-var Tuned = Tuning{
-	Admit: admit.Default,
-	Place: place.Default,
-	Retry: retry.Default,
-	Usage: time.Second,
+// DefaultTuning are the thresholds in use.
+var DefaultTuning = Tuning{
+	Admit:       admit.Default,
+	Place:       place.Default,
+	Retry:       retry.Default,
+	UsageWindow: time.Second,
 }
 
 // Answer is what a caller gets.
 type Answer struct {
-	End    fakes.End     // Shed: refused as not run
-	Reason result.Reason // of a refusal
-	After  time.Duration // of a refusal
+	End        fakes.End     // Shed: refused as not run
+	Reason     result.Reason // of a refusal
+	RetryAfter time.Duration // of a refusal
 }
 
 // System takes requests and hears of servers that come and go.
@@ -90,15 +90,15 @@
 	Joined(server int)
 	// Waiting returns how many requests wait in queues.
 	Waiting() int
-	// Cross returns how many requests were handed to another server's agent, and how
+	// HandOvers returns how many requests were handed to another server's agent, and how
 	// many of them to another failure domain.
-	Cross() (handed, far int)
+	HandOvers() (handed, far int)
 }
 
 // New returns a system of the given policy.
-func New(n Name, w *World) System {
+func New(n Name, w *Env) System {
 	switch n {
-	case RoundTurn, Random, Least, Reported:
+	case RoundRobin, Random, LeastConnections, LeastReported:
 		return newDirect(n, w)
 	default:
 		return newAgents(n, w)
--- a/internal/exper/table/table.go
+++ b/internal/exper/table/table.go
@@ -28,8 +28,8 @@
 		v := r.Report
 		fmt.Fprintf(w, "| %s | %.1f%% | %s | %s | %s | %s | %s | %s | %s | %.3f | %.3f | %.3f | %.3f | %d | %d | %d | %s | %s | %.1f%% |\n",
 			r.Name, 100*v.Goodput, share(v.InTime, v.Offered), ms(v.P50), ms(v.P99), share(v.Refused, v.Offered), ms(v.RefusalP99),
-			share(v.Late, v.Offered), share(v.Failed, v.Offered), v.Imbalance1, v.Imbalance, v.Jain, v.Worst, v.Twice, v.GivenUp, v.Broken,
-			ms(v.Recovered), ms(v.Settled), 100*v.Handed)
+			share(v.Late, v.Offered), share(v.Failed, v.Offered), v.Imbalance1, v.Imbalance10, v.Jain, v.WorstCaller, v.RunTwice, v.GivenUp, v.Broken,
+			ms(v.RecoveryTime), ms(v.EmptiedAfter), 100*v.HandedOver)
 	}
 }
 
@@ -40,7 +40,7 @@
 	for _, r := range rows {
 		for _, c := range r.Report.Callers {
 			fmt.Fprintf(w, "| %s | %s | %d | %.1f%% | %.3f | %.1f%% | %s | %s |\n",
-				r.Name, c.Name, c.Offered, 100*c.InTime, c.OfDue, 100*c.Lookups, ms(c.P50), ms(c.P99))
+				r.Name, c.Name, c.Offered, 100*c.InTime, c.OfFairShare, 100*c.LookupsInTime, ms(c.P50), ms(c.P99))
 		}
 	}
 }
@@ -62,6 +62,6 @@
 	fmt.Fprintln(w, "|---|---|---|---|---|---|---|---|")
 	for i, r := range reports {
 		fmt.Fprintf(w, "| %s | %.3f | %.1f%% | %.2f%% | %.2f | %.0f s | %.3f | %.0f |\n",
-			names[i], r.Before, 100*r.Moved, 100*r.Apart, r.Peak, r.Off.Seconds(), r.After, r.Strays)
+			names[i], r.ImbalanceBefore, 100*r.ShareChange, 100*r.Divergence, r.PeakHealthy, r.TimeImbalanced.Seconds(), r.ImbalanceAfter, r.StrayFlows)
 	}
 }
