--- a/internal/conf/carry/carry.go
+++ b/internal/conf/carry/carry.go
@@ -51,7 +51,7 @@
 type Bounds struct {
 	Change time.Duration // within which a change of configuration is in force in all processes
 	Life   time.Duration // maximum lifetime of a flow
-	Stop   time.Duration // after which a process that was told to stop is killed
+	Stop   time.Duration // after which a process that was asked to stop is killed
 }
 
 // Entry holds the settings that only entries have.
--- a/internal/conf/docs/docs.go
+++ b/internal/conf/docs/docs.go
@@ -15,7 +15,7 @@
 //	if err != nil {
 //		return err // lists every fault, each with file, section and key
 //	}
-//	class := service.ClassFor("/lookup/7")
+//	class, ok := service.ClassFor("/lookup/7")
 package docs
 
 import (
--- a/internal/oper/verbs/compare.go
+++ b/internal/oper/verbs/compare.go
@@ -87,7 +87,7 @@
 		p := a.Sections.Process
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\n", addresses[i], p.Name, p.Role, p.Domain, p.Version, len(a.Sections.Documents), a.state())
 	}
-	_ = w.Flush() // see printTable
+	_ = w.Flush() // write errors are ignored, as everywhere in the output of results
 }
 
 // state returns "ready", or the reasons why the process is not.
@@ -107,8 +107,8 @@
 	return strings.Join(reasons, "; ")
 }
 
-// differences lists the documents of which processes hold different revisions, and those of which a
-// process has received a newer revision that it cannot use. A process without a
+// differences returns a line for each document that processes hold in different revisions, and for each newer
+// revision that a process has received and cannot use. A process without a
 // document is not a difference: agents hold only the document of their own service.
 func differences(answers []answer) (lines []string) {
 	holders := map[string]map[order.Revision][]string{} // document to revision to names of processes
--- a/internal/oper/verbs/tree.go
+++ b/internal/oper/verbs/tree.go
@@ -79,7 +79,7 @@
 		}
 		fmt.Fprintf(w, "%s%s\n", prefix, strings.Join(cells, "\t"))
 	}
-	_ = w.Flush() // write errors are ignored here as in printLine
+	_ = w.Flush() // write errors are ignored, as everywhere in the output of results
 }
 
 // tableOf returns the rows and columns of a list of objects that contain no lists. The column name
--- a/internal/stand/demo/demo.go
+++ b/internal/stand/demo/demo.go
@@ -1,6 +1,6 @@
 // Package demo demonstrates a deployment of separate processes on loopback: it sends
-// lookups, a feed and an upload through sprayed packets, and kills an entry while the
-// feed is open.
+// lookups, a feed and an upload, whose packets the fabric sprays over all entries, and
+// kills an entry while the feed is open.
 //
 // It exists as an introduction to the project. It is not a thorough test: package
 // faults tests deployments under many faults.
--- a/internal/stand/faults/faults.go
+++ b/internal/stand/faults/faults.go
@@ -54,7 +54,7 @@
 	Attempts      int
 	Executions    int
 	Outcomes      [3]int // number of attempts, indexed by result.Outcome
-	Caught        Caught
+	InProgress    StageCounts
 	Dials         int           // handshakes started
 	FailedDials   int           // handshakes that failed
 	Repeated      int           // requests of unknown outcome sent again with their key
@@ -65,8 +65,8 @@
 	Unknown       []string // one description for each request of unknown outcome
 }
 
-// Caught counts the requests in progress at the time of the first fault, by the stage they had reached.
-type Caught struct {
+// StageCounts holds the numbers of requests that were in progress at the time of the first fault, by stage.
+type StageCounts struct {
 	Opening    int // handshake in progress
 	Waiting    int // not yet started at a server
 	Running    int // started at a server, answer not yet complete
@@ -121,7 +121,7 @@
 	}
 	fmt.Fprintf(out, "%-34s seed %-4d %4d attempts (%d ran, %d not run, %d unknown), %4d executions, caught %d opening %d waiting %d running %d midway (%d handed over), %d repeats, %d of %d handshakes failed, slowest lookup %s%s: %d violations\n",
 		r.Scenario, r.Seed, r.Attempts, r.Outcomes[result.Ran], r.Outcomes[result.NotRun], r.Outcomes[result.Unknown],
-		r.Executions, r.Caught.Opening, r.Caught.Waiting, r.Caught.Running, r.Caught.Midway, r.Caught.HandedOver,
+		r.Executions, r.InProgress.Opening, r.InProgress.Waiting, r.InProgress.Running, r.InProgress.Midway, r.InProgress.HandedOver,
 		r.Repeated, r.FailedDials, r.Dials, r.SlowestLookup.Round(time.Millisecond), details, len(r.Violations))
 	for _, v := range r.Violations {
 		fmt.Fprintf(out, "    %s\n", v)
@@ -206,9 +206,9 @@
 		if !a.Long {
 			res.SlowestLookup = max(res.SlowestLookup, a.Ended.Sub(a.Begun))
 		}
-		res.Caught.add(*a, e, began, r.faultTime)
+		res.InProgress.add(*a, e, began, r.faultTime)
 	}
-	res.Caught.Opening = r.load.openHandshakes(r.faultTime)
+	res.InProgress.Opening = r.load.openHandshakes(r.faultTime)
 	res.Note = r.note
 	res.LastNewWork = lastNewWork(r.leaving, executions)
 	res.Violations = append(check.Check(check.Run{
@@ -231,7 +231,7 @@
 	return last
 }
 
-func (c *Caught) add(a check.Attempt, e check.Execution, began bool, faultTime time.Time) {
+func (c *StageCounts) add(a check.Attempt, e check.Execution, began bool, faultTime time.Time) {
 	if a.Begun.After(faultTime) || a.Ended.Before(faultTime) {
 		return
 	}
--- a/internal/stand/faults/faults_test.go
+++ b/internal/stand/faults/faults_test.go
@@ -50,14 +50,14 @@
 	before, after := faultTime.Add(-time.Second), faultTime.Add(time.Second)
 	open := check.Attempt{Begun: before, Ended: after}
 	long := check.Attempt{Begun: before, Ended: after, Long: true}
-	var c Caught
+	var c StageCounts
 	c.add(check.Attempt{Begun: before, Ended: before}, check.Execution{At: before}, true, faultTime) // already ended
 	c.add(check.Attempt{Begun: after, Ended: after}, check.Execution{At: after}, true, faultTime)    // not yet begun
 	c.add(open, check.Execution{}, false, faultTime)
 	c.add(open, check.Execution{At: after, Server: "s2", Origin: "s1"}, true, faultTime)
 	c.add(open, check.Execution{At: before, Server: "s1", Origin: "s1"}, true, faultTime)
 	c.add(long, check.Execution{At: before, Server: "s1", Origin: "s1"}, true, faultTime)
-	assert.Equal(t, c, Caught{Waiting: 2, Running: 1, Midway: 1, HandedOver: 1})
+	assert.Equal(t, c, StageCounts{Waiting: 2, Running: 1, Midway: 1, HandedOver: 1})
 }
 
 func TestScenarioNamesAreUnique(t *testing.T) {
--- a/internal/stand/faults/flood.go
+++ b/internal/stand/faults/flood.go
@@ -129,7 +129,7 @@
 	}
 	fields := strings.Fields(string(text))
 	if len(fields) < 2 {
-		return 0, errors.Newf("%q", text)
+		return 0, errors.Newf("fewer than two fields in statm: %q", text)
 	}
 	pages, err := strconv.Atoi(fields[1])
 	return pages * os.Getpagesize(), err
