--- a/internal/exper/outage/outage.go
+++ b/internal/exper/outage/outage.go
@@ -265,7 +265,7 @@
 // offer offers a flow to an agent, which queues it or forwards it to another agent.
 func (v *run) offer(a *agent, o *pendingFlow, w *hold.QueuedFlow, visited []msgs.Visit, final bool) {
 	work := uint16((a.expectedLoad() + a.queue.Len()) * 100 / v.c.Slots)
-	next := share.Next(share.Server{Agent: address(a.index), Work: work}, visited, final, v.peers[a.index], v.random.IntN)
+	next := share.Next(share.Server{Agent: address(a.index), Utilization: work}, visited, final, v.peers[a.index], v.random.IntN)
 	if i := index(next.Agent); i != a.index {
 		v.loop.After(hopDelay, func() { v.offer(v.agents[i], o, w, next.Visited, next.Final) })
 		return
--- a/internal/load/admit/admit_test.go
+++ b/internal/load/admit/admit_test.go
@@ -181,7 +181,7 @@
 
 // When a new document reduces the slots, running requests continue; when it adds slots, waiting requests
 // start.
-func TestSetLimitsStartsWhatWaits(t *testing.T) {
+func TestSetLimitsStartsWaitingRequests(t *testing.T) {
 	b := newTestGate(limits)
 	for range 6 {
 		b.arrive("claim", fundA, time.Minute)
--- a/internal/load/share/share.go
+++ b/internal/load/share/share.go
@@ -37,9 +37,9 @@
 
 // Server is a server as seen by an agent.
 type Server struct {
-	Agent      netip.Addr
-	Work       uint16 // hundredths of its slots; set only for the own server
-	SameDomain bool   // in the failure domain of the own server
+	Agent       netip.Addr
+	Utilization uint16 // hundredths of its slots; set only for the own server
+	SameDomain  bool   // in the failure domain of the own server
 }
 
 // Choice is the agent that receives the opening packet. If it is another agent, the packet is sent there
@@ -52,10 +52,10 @@
 
 // Next decides which agent receives an opening packet that has been offered to the visited agents.
 func Next(own Server, visited []msgs.Visit, final bool, others []Server, random func(int) int) Choice {
-	if final || own.Work < fullWork {
+	if final || own.Utilization < fullWork {
 		return Choice{Agent: own.Agent}
 	}
-	visited = append(visited, msgs.Visit{Agent: own.Agent, Utilization: own.Work})
+	visited = append(visited, msgs.Visit{Agent: own.Agent, Utilization: own.Utilization})
 	if len(visited) < maxVisits {
 		if agent, ok := pickUnvisited(visited, others, len(visited) < maxLocalVisits, random); ok {
 			return Choice{Agent: agent, Visited: visited}
--- a/internal/load/share/share_test.go
+++ b/internal/load/share/share_test.go
@@ -19,7 +19,7 @@
 func pickFirst(int) int { return 0 }
 
 func TestServerWithAFreeSlotTakesTheFlow(t *testing.T) {
-	got := Next(Server{Agent: agent(1), Work: 50}, nil, false, []Server{{Agent: agent(2)}}, pickFirst)
+	got := Next(Server{Agent: agent(1), Utilization: 50}, nil, false, []Server{{Agent: agent(2)}}, pickFirst)
 	assert.Equal(t, got.Agent, agent(1))
 }
 
@@ -28,13 +28,13 @@
 func TestFlowLeavesAnOverloadedDomain(t *testing.T) {
 	others := []Server{{Agent: agent(2), SameDomain: true}, {Agent: agent(3), SameDomain: true}, {Agent: agent(4)}}
 	visited := []msgs.Visit{{Agent: agent(2), Utilization: 300}}
-	got := Next(Server{Agent: agent(1), Work: 150}, visited, false, others, pickFirst)
+	got := Next(Server{Agent: agent(1), Utilization: 150}, visited, false, others, pickFirst)
 	assert.Equal(t, got.Agent, agent(4))
 }
 
 func TestBusyServerOffersTheFlowLocallyFirst(t *testing.T) {
 	others := []Server{{Agent: agent(2)}, {Agent: agent(3), SameDomain: true}, {Agent: agent(4)}}
-	got := Next(Server{Agent: agent(1), Work: 150}, nil, false, others, pickFirst)
+	got := Next(Server{Agent: agent(1), Utilization: 150}, nil, false, others, pickFirst)
 	assert.Equal(t, got.Agent, agent(3))
 	assert.DeepEqual(t, got.Visited, []msgs.Visit{{Agent: agent(1), Utilization: 150}}, addrs)
 	assert.Assert(t, !got.Final)
@@ -44,10 +44,10 @@
 // the visited servers takes it.
 func TestLeastBusyOfTheVisitedTakesTheFlow(t *testing.T) {
 	visited := []msgs.Visit{{Agent: agent(1), Utilization: 300}, {Agent: agent(2), Utilization: 200}, {Agent: agent(3), Utilization: 400}}
-	got := Next(Server{Agent: agent(4), Work: 250}, visited, false, []Server{{Agent: agent(5)}}, pickFirst)
+	got := Next(Server{Agent: agent(4), Utilization: 250}, visited, false, []Server{{Agent: agent(5)}}, pickFirst)
 	assert.Equal(t, got.Agent, agent(2))
 	assert.Assert(t, got.Final)
-	assert.Equal(t, Next(Server{Agent: agent(2), Work: 900}, got.Visited, true, nil, pickFirst).Agent, agent(2))
+	assert.Equal(t, Next(Server{Agent: agent(2), Utilization: 900}, got.Visited, true, nil, pickFirst).Agent, agent(2))
 }
 
 // Offering a flow finds a less busy server than random placement does, with 45 servers of two slots at
@@ -81,7 +81,7 @@
 				others = append(others, Server{Agent: agent(i)})
 			}
 		}
-		c := Next(Server{Agent: agent(at), Work: work[at]}, visited, final, others, random.IntN)
+		c := Next(Server{Agent: agent(at), Utilization: work[at]}, visited, final, others, random.IntN)
 		if c.Agent == agent(at) {
 			return at
 		}
--- a/internal/node/agent/agent.go
+++ b/internal/node/agent/agent.go
@@ -74,9 +74,9 @@
 
 // Hooks connect the agent to the component that keeps its documents. Both may be nil.
 type Hooks struct {
-	// Newer is called when a frame shows that the process at link has a newer document of
+	// NewerDocument is called when a frame shows that the process at link has a newer document of
 	// the agent's service. It must not block.
-	Newer func(link netip.AddrPort, service string, revision order.Revision)
+	NewerDocument func(link netip.AddrPort, service string, revision order.Revision)
 	// Refresh requests the newest document after a pause of the process. It returns when
 	// the request has been answered or has failed, or when ctx ends.
 	Refresh func(ctx context.Context)
--- a/internal/node/agent/woken.go
+++ b/internal/node/agent/woken.go
@@ -39,8 +39,8 @@
 
 // hintNewer notifies the component that keeps the documents of a newer one.
 func (a *Agent) hintNewer(now time.Time, link netip.AddrPort, revision order.Revision) {
-	if a.hooks.Newer != nil && a.lastHint.Claim(now, hintInterval) {
+	if a.hooks.NewerDocument != nil && a.lastHint.Claim(now, hintInterval) {
 		a.count.hints.Inc()
-		a.hooks.Newer(link, a.settings.Agent.Service, revision)
+		a.hooks.NewerDocument(link, a.settings.Agent.Service, revision)
 	}
 }
--- a/internal/node/edge/bench_test.go
+++ b/internal/node/edge/bench_test.go
@@ -64,7 +64,7 @@
 	}}}})
 	events := event.New(io.Discard, "entry", "e1")
 	defer events.Close()
-	e := New(Config{Log: log, Ctrl: stubCodec{}, Codec: stubCodec{flow}, Wire: wire, Events: events, Rand: rand.New(rand.NewPCG(1, 2))})
+	e := New(Config{Log: log, Control: stubCodec{}, Codec: stubCodec{flow}, Wire: wire, Events: events, Rand: rand.New(rand.NewPCG(1, 2))})
 	e.recordOwner(time.Now(), netip.MustParseAddr("10.0.1.1"), msgs.Owner{Flow: flow})
 	packet := make([]byte, 132)
 	b.Run("entry", func(b *testing.B) {
--- a/internal/node/edge/edge.go
+++ b/internal/node/edge/edge.go
@@ -50,21 +50,21 @@
 
 // Config holds the dependencies and settings of an Entry.
 type Config struct {
-	Self   netip.Addr
-	Domain string
-	Log    *belief.Log
-	Ctrl   Control
-	Prober doubt.Prober // its answers are passed to Entry.ProcessAlive and Entry.ProbeAnswered
-	Codec  segs.Codec
+	Self    netip.Addr
+	Domain  string
+	Log     *belief.Log
+	Control Control
+	Prober  doubt.Prober // its answers are passed to Entry.ProcessAlive and Entry.ProbeAnswered
+	Codec   segs.Codec
 	// Callers holds how long callers wait for a flow to open.
-	Callers segs.CallerTiming
-	Wire    Wire
-	Events  *event.Log
-	Bound   time.Duration // the longest time until a change takes effect
-	Life    time.Duration // the longest life of a flow
-	Rand    *rand.Rand    // used with the entry's lock held
-	Off     parts.Off     // parts that are switched off
-	Rate    float64       // of the entry's link in bytes per second, as the operator states it; 0: not stated
+	Callers          segs.CallerTiming
+	Wire             Wire
+	Events           *event.Log
+	PropagationBound time.Duration // the longest time until a change takes effect
+	MaxLife          time.Duration // the longest life of a flow
+	Rand             *rand.Rand    // used with the entry's lock held
+	Off              parts.Off     // parts that are switched off
+	Rate             float64       // of the entry's link in bytes per second, as the operator states it; 0: not stated
 }
 
 const (
@@ -194,8 +194,8 @@
 // recent enough to be sure that no route exists. An entry whose view may be outdated drops the packet: by
 // the time of the caller's next copy it may have the route.
 func (e *Entry) unrouted(now time.Time, v *belief.View, s *segs.Segment) {
-	age, known := e.Ctrl.Age(now)
-	if !s.Opening() || v.Config == nil || !known || age > e.Bound {
+	age, known := e.Control.Age(now)
+	if !s.Opening() || v.Config == nil || !known || age > e.PropagationBound {
 		countDropped("unrouted")
 		return
 	}
@@ -208,7 +208,7 @@
 	e.packet = e.Codec.Reset(e.packet[:0], *s)
 	e.Wire.ToCaller(s.Flow.Caller, e.packet)
 	countRefused(why)
-	age, _ := e.Ctrl.Age(now)
+	age, _ := e.Control.Age(now)
 	e.Events.Flow(event.Failure, "refused", s.Flow).Str("why", why).Int64("version", e.Log.View().Version()).
 		Stringer("revision", e.Log.Revision()).Dur("age", age).Send()
 }
--- a/internal/node/edge/lost.go
+++ b/internal/node/edge/lost.go
@@ -34,7 +34,7 @@
 
 // suspect records that an agent has left a packet unanswered.
 func (e *Entry) suspect(now time.Time, agent netip.Addr) {
-	if !e.Off.Lost && !e.Ctrl.Leaving(agent) {
+	if !e.Off.Lost && !e.Control.Leaving(agent) {
 		e.suspects.Suspect(now, agent)
 	}
 }
@@ -49,7 +49,7 @@
 // checkSuspects probes the suspected agents and queues the flows of agents that have failed to be reset.
 func (e *Entry) checkSuspects(now time.Time) {
 	v := e.Log.View()
-	exempt := func(agent netip.Addr) bool { return e.reach.Failed() || e.Ctrl.Leaving(agent) }
+	exempt := func(agent netip.Addr) bool { return e.reach.Failed() || e.Control.Leaving(agent) }
 	for _, agent := range e.suspects.Tick(now, v.Homes.Agents(), exempt) {
 		before := len(e.toReset)
 		e.toReset = append(e.toReset, e.flows.OwnedBy(agent)...)
@@ -90,7 +90,7 @@
 	e.packet = e.Codec.Reset(e.packet[:0], segs.Segment{Flow: f, Flags: segs.Ack, Ack: p.Ack})
 	e.Wire.ToCaller(f.Caller, e.packet)
 	countReset("lost")
-	age, _ := e.Ctrl.Age(now)
+	age, _ := e.Control.Age(now)
 	e.Events.Flow(event.Failure, "owner-lost", f).Stringer("agent", p.Owner).
 		Stringer("revision", e.Log.Revision()).Dur("age", age).Send()
 }
--- a/internal/node/edge/place.go
+++ b/internal/node/edge/place.go
@@ -98,7 +98,7 @@
 			Agent:    s.Addr.Addr(),
 			Domain:   s.Domain,
 			Slots:    s.Slots,
-			Draining: s.State == belief.Draining || e.Ctrl.Leaving(s.Addr.Addr()),
+			Draining: s.State == belief.Draining || e.Control.Leaving(s.Addr.Addr()),
 			Cold:     now.Before(e.cold[s.ID].until),
 			Failed:   e.suspects.Failed(s.Addr.Addr()),
 		})
--- a/internal/node/edge/reach.go
+++ b/internal/node/edge/reach.go
@@ -29,9 +29,9 @@
 // direction, all four probes of a round go unanswered once in six million rounds.
 const probeFanout = 4
 
-// ProcessAlive records that another process is alive, because a message arrived from it or from a process
+// MarkAlive records that another process is alive, because a message arrived from it or from a process
 // that has received one from it.
-func (e *Entry) ProcessAlive(now time.Time, from netip.Addr) {
+func (e *Entry) MarkAlive(now time.Time, from netip.Addr) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if _, ok := e.Log.View().Server(from); ok && e.reach.AwaitingReply() {
--- a/internal/node/local/caller.go
+++ b/internal/node/local/caller.go
@@ -71,7 +71,7 @@
 	if a.Off.Offers {
 		m.Final = true
 	}
-	next := share.Next(share.Server{Agent: a.Self, Work: a.utilization(now)}, m.Visited, m.Final, servers, a.Rand.IntN)
+	next := share.Next(share.Server{Agent: a.Self, Utilization: a.utilization(now)}, m.Visited, m.Final, servers, a.Rand.IntN)
 	if next.Agent != a.Self {
 		a.offer(m, next, s)
 		return
--- a/internal/node/local/local.go
+++ b/internal/node/local/local.go
@@ -207,8 +207,8 @@
 	return a.MaxLife
 }
 
-// Changed must be called after the view has changed. It registers flows whose home has changed.
-func (a *Agent) Changed(now time.Time) {
+// ViewChanged must be called after the view has changed. It registers flows whose home has changed.
+func (a *Agent) ViewChanged(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	v := a.Log.View()
--- a/internal/node/opaque/agent.go
+++ b/internal/node/opaque/agent.go
@@ -24,7 +24,7 @@
 		return errors.New("the settings have no section agent")
 	}
 	var g *local.Agent
-	p, err := newProcess(ctx, s, a, msgs.Agent, out, func() { g.Changed(time.Now()) })
+	p, err := newProcess(ctx, s, a, msgs.Agent, out, func() { g.ViewChanged(time.Now()) })
 	if err != nil {
 		return err
 	}
--- a/internal/node/opaque/entry.go
+++ b/internal/node/opaque/entry.go
@@ -37,24 +37,24 @@
 		return err
 	}
 	e = edge.New(edge.Config{
-		Self:    s.Link.Addr(),
-		Domain:  s.Process.Domain,
-		Log:     p.log,
-		Ctrl:    p.follow,
-		Prober:  p.prober,
-		Codec:   a.Codec,
-		Callers: a.Callers,
-		Rate:    s.Rate,
-		Wire:    p.sockets,
-		Events:  p.events,
-		Bound:   s.Bounds.Change,
-		Life:    s.Bounds.Life,
-		Rand:    newRand(),
-		Off:     s.Without,
+		Self:             s.Link.Addr(),
+		Domain:           s.Process.Domain,
+		Log:              p.log,
+		Control:          p.follow,
+		Prober:           p.prober,
+		Codec:            a.Codec,
+		Callers:          a.Callers,
+		Rate:             s.Rate,
+		Wire:             p.sockets,
+		Events:           p.events,
+		PropagationBound: s.Bounds.Change,
+		MaxLife:          s.Bounds.Life,
+		Rand:             newRand(),
+		Off:              s.Without,
 	})
 	p.admin.Section("belief", func() any { return p.status() })
 	p.admin.Section("flows", func() any { return e.Len() })
-	p.prober.OnAlive, p.prober.OnAnswer = e.ProcessAlive, e.ProbeAnswered
+	p.prober.OnAlive, p.prober.OnAnswer = e.MarkAlive, e.ProbeAnswered
 	staying, configured, reachable := p.admin.Condition("staying"), p.admin.Condition("configuration"), p.admin.Condition("reach")
 	staying.Set(true, "")
 	reachable.Set(true, "")
--- a/internal/node/start/relayagent.go
+++ b/internal/node/start/relayagent.go
@@ -25,7 +25,7 @@
 		Leave: a.LeaveByList,
 	})
 	a.SetHooks(agent.Hooks{
-		Newer: func(link netip.AddrPort, service string, revision order.Revision) {
+		NewerDocument: func(link netip.AddrPort, service string, revision order.Revision) {
 			c.Observe(service, revision, link)
 		},
 		Refresh: c.Refresh,
