--- a/internal/flow/owner/agent.go
+++ b/internal/flow/owner/agent.go
@@ -211,9 +211,7 @@
 }
 
 // NewHome returns a table of at most limit flows.
-func NewHome(limit int) *Home {
-	return &Home{limit: limit, flows: map[segs.Flow]registration{}}
-}
+func NewHome(limit int) *Home { return &Home{limit: limit, flows: map[segs.Flow]registration{}} }
 
 // Len returns the number of flows.
 func (h *Home) Len() int { return len(h.flows) }
--- a/internal/flow/owner/entry.go
+++ b/internal/flow/owner/entry.go
@@ -135,9 +135,7 @@
 }
 
 // NewEntry returns a table of at most limit flows.
-func NewEntry(limit int) *Entry {
-	return &Entry{limit: limit, flows: map[segs.Flow]*EntryFlow{}}
-}
+func NewEntry(limit int) *Entry { return &Entry{limit: limit, flows: map[segs.Flow]*EntryFlow{}} }
 
 // Len returns the number of flows.
 func (t *Entry) Len() int { return len(t.flows) }
