--- a/internal/conf/certs/certs.go
+++ b/internal/conf/certs/certs.go
@@ -126,7 +126,7 @@
 	}
 	p.lastError = err.Error()
 	p.bad.Inc()
-	p.logger.Error().Err(err).Msg("certificate cannot be used; the last good one stays")
+	p.logger.Error().Err(err).Msg("certificate rejected; keeping the last valid one")
 }
 
 func (p *Pair) read() (files pairFiles, err error) {
--- a/internal/ctrl/relay/relay.go
+++ b/internal/ctrl/relay/relay.go
@@ -265,7 +265,7 @@
 		n.mu.Lock()
 		n.synced, n.neighbours = false, nil
 		n.mu.Unlock()
-		n.Log.Warn().Dur("for", time.Since(last)).Msg("process was frozen; treating configuration and members as outdated until the next exchange")
+		n.Log.Warn().Dur("for", time.Since(last)).Msg("process resumed after a pause; treating configuration and members as outdated until the next exchange")
 	}
 }
 
--- a/internal/node/agent/place.go
+++ b/internal/node/agent/place.go
@@ -40,7 +40,7 @@
 // agent's server refuses as not run is placed elsewhere.
 func (a *Agent) place(next Handler) Handler {
 	return func(ctx context.Context, x *Exchange) result.Result {
-		return a.withRetryAfter(a.spreader.Run(ctx, x.asRequest(), answerAdapter{x.Answer}, x.asRunner(next)))
+		return a.withRetryAfter(a.dispatcher.Run(ctx, x.asRequest(), answerAdapter{x.Answer}, x.asRunner(next)))
 	}
 }
 
@@ -61,7 +61,7 @@
 // workSharing is the state for handing requests over between the agents of the service.
 type workSharing struct {
 	client     *hand.Client
-	spreader   *spread.Dispatcher
+	dispatcher *spread.Dispatcher
 	guard      *once.Guard
 	handedMemo *memo.Store // outcomes of requests that other agents have handed over
 	mux        *drpcmux.Mux
@@ -76,9 +76,9 @@
 	s := &a.workSharing
 	s.usage.Window = usageWindow
 	s.client = hand.NewClient(v.document.Name, a.currentRing, hand.DialTCP, func(agent netip.AddrPort, h place.Hint) {
-		s.spreader.Report(agent, h)
+		s.dispatcher.Report(agent, h)
 	})
-	s.spreader = spread.New(place.Self{ID: v.own.ID, Domain: v.own.Domain}, demandRecorder{a}, a.ownHint)
+	s.dispatcher = spread.New(place.Self{ID: v.own.ID, Domain: v.own.Domain}, demandRecorder{a}, a.ownHint)
 	s.guard = &once.Guard{
 		View:         func() *once.View { return a.current.Load().keys },
 		Outcomes:     memo.New(memo.DefaultLimits),
@@ -93,7 +93,7 @@
 
 // setPeers applies a document's servers.
 func (s *workSharing) setPeers(d *docs.Service, sides []netip.AddrPort) {
-	s.spreader.SetServers(d)
+	s.dispatcher.SetServers(d)
 	agents := make([]netip.AddrPort, 0, len(d.Servers))
 	for _, v := range d.Servers {
 		agents = append(agents, v.Agent)
--- a/internal/node/entry/services.go
+++ b/internal/node/entry/services.go
@@ -126,7 +126,7 @@
 	ring, err := rings.New(e.settings.Keys, d.Service)
 	if err != nil {
 		s.count.unusable.Inc()
-		e.log.Error().Err(err).Stringer("revision", d.Revision).Msg("document cannot be used here; the last good one stays")
+		e.log.Error().Err(err).Stringer("revision", d.Revision).Msg("document rejected; keeping the last valid one")
 		return
 	}
 	s.mu.Lock()
