--- a/internal/ctrl/belief/belief.go
+++ b/internal/ctrl/belief/belief.go
@@ -7,7 +7,7 @@
 // matter from where it received its changes, and the difference fits into a Change. An item is
 // only ever replaced by one with a higher revision, so old messages have no effect. When the
 // platform's store is restored from a backup, the belief follows the restored store, except
-// for what a restore must not undo (copies.go).
+// for what a restore must not undo (restore.go).
 //
 // The package does not read the platform (package follow does), has no clock of its own, and
 // depends on no names or formats of the platform.
--- a/internal/flow/owner/agent.go
+++ b/internal/flow/owner/agent.go
@@ -43,7 +43,7 @@
 // Closed reports whether both ends have closed the flow.
 func (o *Flow) Closed() bool { return !o.callerOpen && !o.serverOpen }
 
-// Agent is an agent's table of the flows of its own server. It also counts requests in progress (work.go).
+// Agent is an agent's table of the flows of its own server. It also counts requests in progress (requests.go).
 type Agent struct {
 	limit     int
 	flows     map[segs.Flow]*Flow
--- a/internal/node/local/local.go
+++ b/internal/node/local/local.go
@@ -6,10 +6,10 @@
 // the record of which agent owns the flow. An agent registers its flows with their homes, reports each to the
 // entry that sent the opening packet, and returns the opening packets that its server does not take. As a home
 // it forwards the packets of flows that an entry has no record of. If the home has no record either, it asks
-// all agents (search.go).
+// all agents (lookup.go).
 //
 // The package sends resets only for flows that the server itself, or every agent, has reported as not held, and
-// for idle flows of a server whose circuit breaker is open (fails.go). It ends no other flow.
+// for idle flows of a server whose circuit breaker is open (breaker.go). It ends no other flow.
 //
 // # Usage
 //
