--- a/internal/flow/homes/homes.go
+++ b/internal/flow/homes/homes.go
@@ -70,7 +70,7 @@
 	homesPerLead = 256
 )
 
-// Lead returns the agent that looks up the owners of flows on behalf of a home (package seek). Rank 0 is the
+// Lead returns the agent that looks up the owners of flows on behalf of a home (package locate). Rank 0 is the
 // first choice; the agent of a higher rank replaces those of lower ranks if they do not answer. In a small
 // fleet each home is its own lead. ok is false if the list is empty.
 func (l *List) Lead(home netip.Addr, rank int) (lead netip.Addr, ok bool) {
--- a/internal/flow/seek/seek.go
+++ b/internal/flow/locate/locate.go
@@ -1,4 +1,4 @@
-// Package seek looks up the owners of flows that their homes have no record of, for many flows at once. A
+// Package locate looks up the owners of flows that their homes have no record of, for many flows at once. A
 // flow's home is the agent that keeps its location record.
 //
 // After a power loss or a restart of all agents, homes have no records, and the owner of each older flow has
@@ -21,7 +21,7 @@
 //
 // # Usage
 //
-//	s := seek.New(first)
+//	s := locate.New(first)
 //	s.Add(home, question)
 //	for _, query := range s.Next(now, agents) {
 //		send(query.To, query.Round, query.Questions)
@@ -29,7 +29,7 @@
 //	for _, r := range s.Answer(from, round, verdicts, agents) {
 //		notify(r.Requesters, r)
 //	}
-package seek
+package locate
 
 import (
 	"net/netip"
--- a/internal/flow/seek/seek_test.go
+++ b/internal/flow/locate/locate_test.go
@@ -1,4 +1,4 @@
-package seek
+package locate
 
 import (
 	"net/netip"
@@ -165,7 +165,7 @@
 // duplicated and delayed.
 type model struct {
 	now     time.Time
-	seek    *Rounds
+	rounds  *Rounds
 	present []netip.Addr // agents
 	known   []netip.Addr // agents that the lead knows of
 	next    int
@@ -191,7 +191,7 @@
 // this agent holds do not count.
 func TestHeldFlowIsNeverReportedUnheld(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		m := &model{now: start, seek: New(0), present: agents(3), known: agents(3), next: 3, holds: map[segs.Flow]netip.Addr{}}
+		m := &model{now: start, rounds: New(0), present: agents(3), known: agents(3), next: 3, holds: map[segs.Flow]netip.Addr{}}
 		r.Repeat(map[string]func(*rapid.T){
 			"open":    m.open,
 			"want":    m.add,
@@ -219,7 +219,7 @@
 	if m.flows == 0 {
 		r.Skip("no flow")
 	}
-	m.seek.Add(agent(99), question(rapid.IntRange(1, m.flows).Draw(r, "flow")))
+	m.rounds.Add(agent(99), question(rapid.IntRange(1, m.flows).Draw(r, "flow")))
 	m.send()
 }
 
@@ -251,13 +251,13 @@
 
 func (m *model) tick(r *rapid.T) {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 1500).Draw(r, "ms")) * time.Millisecond)
-	results, _ := m.seek.Expire(m.now, m.known)
+	results, _ := m.rounds.Expire(m.now, m.known)
 	m.check(r, results)
 	m.send()
 }
 
 func (m *model) send() {
-	for _, a := range m.seek.Next(m.now, m.known) {
+	for _, a := range m.rounds.Next(m.now, m.known) {
 		for _, to := range a.To {
 			m.network = append(m.network, queryTo{to, a})
 		}
@@ -287,7 +287,7 @@
 			m.network = append(m.network, m.answer(r, x))
 		}
 	case answerFrom:
-		m.check(r, m.seek.Answer(x.from, x.round, x.verdicts, m.known))
+		m.check(r, m.rounds.Answer(x.from, x.round, x.verdicts, m.known))
 	}
 }
 
--- a/internal/node/agent/agent.go
+++ b/internal/node/agent/agent.go
@@ -40,8 +40,8 @@
 	"mangowinch/internal/conf/store"
 	"mangowinch/internal/flow/order"
 	"mangowinch/internal/load/admit"
-	"mangowinch/internal/node/awake"
 	"mangowinch/internal/node/gate"
+	"mangowinch/internal/node/pause"
 	"mangowinch/internal/node/stamp"
 )
 
@@ -167,7 +167,7 @@
 		return nil
 	})
 	g.Go(func() error {
-		awake.Watch(inner, func(pause time.Duration) { a.resumed(inner, pause) })
+		pause.Watch(inner, func(length time.Duration) { a.resumed(inner, length) })
 		return nil
 	})
 	g.Go(func() error {
--- a/internal/node/entry/entry.go
+++ b/internal/node/entry/entry.go
@@ -32,7 +32,7 @@
 	"mangowinch/internal/conf/prefs"
 	"mangowinch/internal/conf/store"
 	"mangowinch/internal/flow/order"
-	"mangowinch/internal/node/awake"
+	"mangowinch/internal/node/pause"
 	"mangowinch/internal/node/sock"
 	"mangowinch/internal/node/stamp"
 )
@@ -113,7 +113,7 @@
 		return nil
 	})
 	g.Go(func() error {
-		awake.Watch(inner, func(pause time.Duration) { e.resumed(inner, pause) })
+		pause.Watch(inner, func(length time.Duration) { e.resumed(inner, length) })
 		return nil
 	})
 	g.Go(func() error {
--- a/internal/node/local/lead.go
+++ b/internal/node/local/lead.go
@@ -5,14 +5,14 @@
 	"slices"
 	"time"
 
+	"mangowinch/internal/flow/locate"
 	"mangowinch/internal/flow/msgs"
-	"mangowinch/internal/flow/seek"
 	"mangowinch/internal/flow/segs"
 	"mangowinch/internal/oper/event"
 )
 
 // The lead of owner lookups: the agent that asks all agents about the flows whose owners are looked up by homes
-// (package seek). Any agent can be a lead, and any agent answers a lead's questions.
+// (package locate). Any agent can be a lead, and any agent answers a lead's questions.
 
 // enqueueQuestion adds a home's question to the next round.
 func (a *Agent) enqueueQuestion(now time.Time, home netip.Addr, q msgs.Question) {
@@ -37,10 +37,10 @@
 		if query.Repeats == 0 {
 			rounds.Inc()
 		}
-		if query.Repeats >= seek.SlowRepeats {
+		if query.Repeats >= locate.SlowRepeats {
 			a.suspectAll(now, query.To)
 		}
-		if query.Repeats == seek.SlowRepeats {
+		if query.Repeats == locate.SlowRepeats {
 			a.logUnresponsive(query)
 			a.sendResults(now, a.rounds.PartialResults(query.Round))
 		}
@@ -51,7 +51,7 @@
 }
 
 // logUnresponsive logs why lookups take long: some agents have not answered a repeated question either.
-func (a *Agent) logUnresponsive(query seek.Query) {
+func (a *Agent) logUnresponsive(query locate.Query) {
 	for _, q := range query.Questions {
 		a.Events.Flow(event.Failure, "unheard", q.Flow).Int("agents", len(query.To)).Stringer("agent", query.To[0]).
 			Stringer("revision", a.Log.Revision()).Send()
@@ -95,7 +95,7 @@
 }
 
 // sendResults sends the results of rounds to the homes that asked.
-func (a *Agent) sendResults(now time.Time, results []seek.Result) {
+func (a *Agent) sendResults(now time.Time, results []locate.Result) {
 	for _, r := range results {
 		m := msgs.LookupResult{Header: a.head(), Flow: r.Flow, Owner: r.Owner, Unsure: r.Unsure, Partial: r.Partial}
 		if len(m.Unsure) > msgs.MaxUnsure {
--- a/internal/node/local/local.go
+++ b/internal/node/local/local.go
@@ -26,10 +26,10 @@
 	"time"
 
 	"mangowinch/internal/ctrl/belief"
+	"mangowinch/internal/flow/locate"
 	"mangowinch/internal/flow/msgs"
 	"mangowinch/internal/flow/order"
 	"mangowinch/internal/flow/owner"
-	"mangowinch/internal/flow/seek"
 	"mangowinch/internal/flow/segs"
 	"mangowinch/internal/load/hold"
 	"mangowinch/internal/load/parts"
@@ -107,7 +107,7 @@
 	waiting          *hold.Queue
 	probes           map[segs.Flow]probe
 	lookups          map[segs.Flow]*lookup         // lookups by this agent as a home
-	rounds           *seek.Rounds                  // rounds of this agent as a lead
+	rounds           *locate.Rounds                // rounds of this agent as a lead
 	suspects         *doubt.Monitor                // agents that have left a message unanswered
 	forwardedPackets map[segs.Flow]forwardedPacket // as a home: packets sent to suspected owners
 	leaving          bool
@@ -134,7 +134,7 @@
 		waiting:          hold.New(c.Callers.OpenWindow()),
 		probes:           map[segs.Flow]probe{},
 		lookups:          map[segs.Flow]*lookup{},
-		rounds:           seek.New(rand.Uint32()),
+		rounds:           locate.New(rand.Uint32()),
 		suspects:         doubt.New(c.Self, c.Prober, c.Rand),
 		forwardedPackets: map[segs.Flow]forwardedPacket{},
 		quick:            quick.New(),
--- a/internal/node/opaque/messages_test.go
+++ b/internal/node/opaque/messages_test.go
@@ -18,7 +18,7 @@
 	"mangowinch/internal/ctrl/follow"
 	"mangowinch/internal/flow/msgs"
 	"mangowinch/internal/flow/order"
-	"mangowinch/internal/node/vouch"
+	"mangowinch/internal/node/prober"
 	"mangowinch/internal/oper/event"
 )
 
@@ -28,7 +28,7 @@
 func newTestProcess(out io.Writer) *process {
 	events := event.New(out, "entry", "entry-1")
 	log := belief.New()
-	return &process{events: events, prober: vouch.New(netip.Addr{}, nil), log: log, follow: follow.New(follow.Config{
+	return &process{events: events, prober: prober.New(netip.Addr{}, nil), log: log, follow: follow.New(follow.Config{
 		Self:   netip.MustParseAddr("10.0.0.1"),
 		Role:   msgs.Entry,
 		Log:    log,
--- a/internal/node/opaque/opaque.go
+++ b/internal/node/opaque/opaque.go
@@ -29,8 +29,8 @@
 	"mangowinch/internal/flow/msgs"
 	"mangowinch/internal/flow/segs"
 	"mangowinch/internal/load/parts"
-	"mangowinch/internal/node/awake"
-	"mangowinch/internal/node/vouch"
+	"mangowinch/internal/node/pause"
+	"mangowinch/internal/node/prober"
 	"mangowinch/internal/oper/admin"
 	"mangowinch/internal/oper/build"
 	"mangowinch/internal/oper/event"
@@ -54,7 +54,7 @@
 	admin    *admin.Server
 	metrics  *admin.Server // nil: none
 	sockets  *sockets
-	prober   *vouch.Node
+	prober   *prober.Node
 	started  time.Time
 }
 
@@ -85,7 +85,7 @@
 		PropagationBound: s.Bounds.Change,
 		Changed:          changed,
 	})
-	p.prober = vouch.New(s.Link.Addr(), p.sockets.ToPeer)
+	p.prober = prober.New(s.Link.Addr(), p.sockets.ToPeer)
 	p.admin = admin.New(s.Process.Operator, p.events.Logger())
 	if s.Process.Metrics.IsValid() {
 		p.metrics = admin.New(s.Process.Metrics, p.events.Logger())
@@ -125,7 +125,7 @@
 		g.Go(func() error { return p.metrics.Run(inner) })
 	}
 	g.Go(func() error {
-		awake.Watch(inner, func(pause time.Duration) { p.events.State("woken").Dur("pause", pause).Send() })
+		pause.Watch(inner, func(length time.Duration) { p.events.State("woken").Dur("pause", length).Send() })
 		return nil
 	})
 	g.Go(func() error {
--- a/internal/node/awake/awake.go
+++ b/internal/node/pause/pause.go
@@ -1,4 +1,4 @@
-// Package awake detects that a process was paused and has resumed.
+// Package pause detects that a process was paused and has resumed.
 //
 // A process that is stopped for a minute (a frozen virtual machine, a debugger, a long page-in) continues
 // where it was, with state that is a minute old, and doesn't notice. The pause shows as a step between two
@@ -10,8 +10,8 @@
 //
 // # Usage
 //
-//	awake.Watch(ctx, func(pause time.Duration) { dropState() })
-package awake
+//	pause.Watch(ctx, func(length time.Duration) { dropState() })
+package pause
 
 import (
 	"context"
--- a/internal/node/awake/awake_test.go
+++ b/internal/node/pause/pause_test.go
@@ -1,4 +1,4 @@
-package awake
+package pause
 
 import (
 	"testing"
--- a/internal/node/vouch/vouch.go
+++ b/internal/node/prober/prober.go
@@ -1,4 +1,4 @@
-// Package vouch sends, forwards and answers probes, which ask whether a process is alive.
+// Package prober sends, forwards and answers probes, which ask whether a process is alive.
 //
 // Each process of the system for opaque flows has one Node. It keeps no state: a forwarded probe carries
 // the address of the requester, and so does its answer. Helpers need to remember nothing, and a lost
@@ -11,10 +11,10 @@
 //
 // # Usage
 //
-//	n := vouch.New(self, send)
+//	n := prober.New(self, send)
 //	n.OnAlive, n.OnAnswer = processAlive, probeAnswered
 //	n.Probe(target, helpers, round)
-package vouch
+package prober
 
 import (
 	"net/netip"
--- a/internal/node/vouch/vouch_test.go
+++ b/internal/node/prober/prober_test.go
@@ -1,4 +1,4 @@
-package vouch
+package prober
 
 import (
 	"net/netip"
