--- a/internal/flow/owner/agent.go
+++ b/internal/flow/owner/agent.go
@@ -43,7 +43,7 @@
 // Closed reports whether both ends have closed the flow.
 func (o *Flow) Closed() bool { return !o.callerOpen && !o.serverOpen }
 
-// Agent is an agent's table of the flows of its own server. It also counts requests in progress (work.go).
+// Agent is an agent's table of the flows of its own server. It also counts requests in progress (requests.go).
 type Agent struct {
 	limit     int
 	flows     map[segs.Flow]*Flow
@@ -211,9 +211,7 @@
 }
 
 // NewHome returns a table of at most limit flows.
-func NewHome(limit int) *Home {
-	return &Home{limit: limit, flows: map[segs.Flow]registration{}}
-}
+func NewHome(limit int) *Home { return &Home{limit: limit, flows: map[segs.Flow]registration{}} }
 
 // Len returns the number of flows.
 func (h *Home) Len() int { return len(h.flows) }
--- a/internal/node/local/local.go
+++ b/internal/node/local/local.go
@@ -6,10 +6,10 @@
 // the record of which agent owns the flow. An agent registers its flows with their homes, reports each to the
 // entry that sent the opening packet, and returns the opening packets that its server does not take. As a home
 // it forwards the packets of flows that an entry has no record of. If the home has no record either, it asks
-// all agents (search.go).
+// all agents (lookup.go).
 //
 // The package sends resets only for flows that the server itself, or every agent, has reported as not held, and
-// for idle flows of a server whose circuit breaker is open (fails.go). It ends no other flow.
+// for idle flows of a server whose circuit breaker is open (breaker.go). It ends no other flow.
 //
 // # Usage
 //
@@ -26,10 +26,10 @@
 	"time"
 
 	"mangowinch/internal/ctrl/belief"
+	"mangowinch/internal/flow/locate"
 	"mangowinch/internal/flow/msgs"
 	"mangowinch/internal/flow/order"
 	"mangowinch/internal/flow/owner"
-	"mangowinch/internal/flow/seek"
 	"mangowinch/internal/flow/segs"
 	"mangowinch/internal/load/hold"
 	"mangowinch/internal/load/parts"
@@ -107,7 +107,7 @@
 	waiting          *hold.Queue
 	probes           map[segs.Flow]probe
 	lookups          map[segs.Flow]*lookup         // lookups by this agent as a home
-	rounds           *seek.Rounds                  // rounds of this agent as a lead
+	rounds           *locate.Rounds                // rounds of this agent as a lead
 	suspects         *doubt.Monitor                // agents that have left a message unanswered
 	forwardedPackets map[segs.Flow]forwardedPacket // as a home: packets sent to suspected owners
 	leaving          bool
@@ -134,7 +134,7 @@
 		waiting:          hold.New(c.Callers.OpenWindow()),
 		probes:           map[segs.Flow]probe{},
 		lookups:          map[segs.Flow]*lookup{},
-		rounds:           seek.New(rand.Uint32()),
+		rounds:           locate.New(rand.Uint32()),
 		suspects:         doubt.New(c.Self, c.Prober, c.Rand),
 		forwardedPackets: map[segs.Flow]forwardedPacket{},
 		quick:            quick.New(),
