--- a/internal/exper/flows/flows.go
+++ b/internal/exper/flows/flows.go
@@ -67,73 +67,73 @@
 var start = time.Unix(0, 0).UTC()
 
 // Run runs a case with the given rules.
-func Run(c Case, r shift.Rules, seed uint64) Report {
-	v := &run{load: c, random: rand.New(rand.NewPCG(seed, 1)), flows: make([]float64, c.Servers)}
+func Run(c Case, rules shift.Rules, seed uint64) Report {
+	r := &run{load: c, random: rand.New(rand.NewPCG(seed, 1)), flows: make([]float64, c.Servers)}
 	for range c.Entries {
-		w := shift.New(r)
+		w := shift.New(rules)
 		var servers []shift.Server
 		for i := range c.Servers {
 			servers = append(servers, shift.Server{ID: uint32(i + 1), Weight: 1})
 		}
 		w.SetServers(servers)
-		v.entries = append(v.entries, w)
-		v.lags = append(v.lags, int(c.MinLag.Seconds())+v.random.IntN(int(c.MinLag.Seconds())+1))
+		r.entries = append(r.entries, w)
+		r.lags = append(r.lags, int(c.MinLag.Seconds())+r.random.IntN(int(c.MinLag.Seconds())+1))
 	}
-	for i := range v.flows {
-		v.flows[i] = math.Round(c.Rate * c.MeanDuration.Seconds() / float64(c.Servers))
+	for i := range r.flows {
+		r.flows[i] = math.Round(c.Rate * c.MeanDuration.Seconds() / float64(c.Servers))
 	}
 	for s := range int(c.Length.Seconds()) {
-		v.step(s)
+		r.step(s)
 	}
-	v.summarize()
-	return v.report
+	r.summarize()
+	return r.report
 }
 
 // step simulates one second: reports arrive, the weights are adjusted, and flows end and begin.
-func (v *run) step(s int) {
+func (r *run) step(s int) {
 	now := start.Add(time.Duration(s) * time.Second)
-	changed := now.Sub(start) >= v.load.ChangeAt
-	v.loadHistory = append(v.loadHistory, v.loads(changed))
-	for e, w := range v.entries {
-		if at := s - v.lags[e]; at >= 0 {
-			for i, l := range v.loadHistory[at] {
+	changed := now.Sub(start) >= r.load.ChangeAt
+	r.loadHistory = append(r.loadHistory, r.loads(changed))
+	for e, w := range r.entries {
+		if at := s - r.lags[e]; at >= 0 {
+			for i, l := range r.loadHistory[at] {
 				w.Report(now, uint32(i+1), l)
 			}
 		}
 		w.Step(now)
 	}
-	for i := range v.flows {
-		v.flows[i] -= float64(poisson(v.random, v.flows[i]/v.load.MeanDuration.Seconds()))
-		v.flows[i] = max(v.flows[i], 0)
+	for i := range r.flows {
+		r.flows[i] -= float64(poisson(r.random, r.flows[i]/r.load.MeanDuration.Seconds()))
+		r.flows[i] = max(r.flows[i], 0)
 	}
-	for range poisson(v.random, v.load.Rate) {
-		i := pick(v.random, v.entries[v.random.IntN(len(v.entries))].Weights())
-		v.flows[i]++
-		if sinceChange := now.Sub(start) - v.load.ChangeAt; v.load.ServerLeaves && i == 0 && sinceChange >= 10*time.Second {
-			v.report.StrayFlows++
+	for range poisson(r.random, r.load.Rate) {
+		i := pick(r.random, r.entries[r.random.IntN(len(r.entries))].Weights())
+		r.flows[i]++
+		if sinceChange := now.Sub(start) - r.load.ChangeAt; r.load.ServerLeaves && i == 0 && sinceChange >= 10*time.Second {
+			r.report.StrayFlows++
 		}
 	}
-	v.record(changed)
+	r.record(changed)
 }
 
 // loads returns each server's demand, which is 1 if Case.Load is 1 and flows are distributed evenly.
-func (v *run) loads(changed bool) []shift.Load {
-	perServer := v.load.Rate * v.load.MeanDuration.Seconds() / float64(v.load.Servers)
-	list := make([]shift.Load, len(v.flows))
-	for i, n := range v.flows {
+func (r *run) loads(changed bool) []shift.Load {
+	perServer := r.load.Rate * r.load.MeanDuration.Seconds() / float64(r.load.Servers)
+	list := make([]shift.Load, len(r.flows))
+	for i, n := range r.flows {
 		factor := 1.0
-		if changed && i < len(v.load.TimeFactors) {
-			factor = v.load.TimeFactors[i]
+		if changed && i < len(r.load.TimeFactors) {
+			factor = r.load.TimeFactors[i]
 		}
-		list[i] = shift.Load{Demand: v.load.Load * n / perServer * factor, Leaving: changed && v.load.ServerLeaves && i == 0}
+		list[i] = shift.Load{Demand: r.load.Load * n / perServer * factor, Leaving: changed && r.load.ServerLeaves && i == 0}
 	}
 	return list
 }
 
 // record adds the current second to the report.
-func (v *run) record(changed bool) {
+func (r *run) record(changed bool) {
 	sum, maximum := 0.0, 0.0
-	list := v.loads(changed)
+	list := r.loads(changed)
 	n := 0
 	for _, l := range list {
 		if !l.Leaving {
@@ -143,16 +143,16 @@
 		}
 	}
 	mean := sum / float64(n)
-	v.imbalance = append(v.imbalance, maximum/mean)
-	for _, l := range list[len(v.load.TimeFactors):] {
+	r.imbalance = append(r.imbalance, maximum/mean)
+	for _, l := range list[len(r.load.TimeFactors):] {
 		if changed && !l.Leaving {
-			v.report.PeakHealthy = max(v.report.PeakHealthy, l.Demand/mean)
+			r.report.PeakHealthy = max(r.report.PeakHealthy, l.Demand/mean)
 		}
 	}
-	v.shares = append(v.shares, normalize(v.entries[0].Weights()))
+	r.shares = append(r.shares, normalize(r.entries[0].Weights()))
 	if !changed {
-		for _, w := range v.entries[1:] {
-			v.report.Divergence += distance(v.shares[len(v.shares)-1], normalize(w.Weights())) / float64(len(v.entries)-1)
+		for _, w := range r.entries[1:] {
+			r.report.Divergence += distance(r.shares[len(r.shares)-1], normalize(w.Weights())) / float64(len(r.entries)-1)
 		}
 	}
 }
@@ -162,17 +162,17 @@
 const window = 120
 
 // summarize computes the figures of the report that depend on the whole run.
-func (v *run) summarize() {
-	change := int(v.load.ChangeAt.Seconds())
-	v.report.ImbalanceBefore = average(v.imbalance[change-window : change])
-	v.report.ImbalanceAfter = average(v.imbalance[len(v.imbalance)-window:])
-	v.report.Divergence /= float64(change)
+func (r *run) summarize() {
+	change := int(r.load.ChangeAt.Seconds())
+	r.report.ImbalanceBefore = average(r.imbalance[change-window : change])
+	r.report.ImbalanceAfter = average(r.imbalance[len(r.imbalance)-window:])
+	r.report.Divergence /= float64(change)
 	for s := change - window; s < change; s++ {
-		v.report.ShareChange += distance(v.shares[s], v.shares[s-1]) * 2 * 60 / window
+		r.report.ShareChange += distance(r.shares[s], r.shares[s-1]) * 2 * 60 / window
 	}
-	for _, imbalance := range v.imbalance[change:] {
+	for _, imbalance := range r.imbalance[change:] {
 		if imbalance > maxImbalance {
-			v.report.TimeImbalanced += time.Second
+			r.report.TimeImbalanced += time.Second
 		}
 	}
 }
--- a/internal/exper/outage/outage.go
+++ b/internal/exper/outage/outage.go
@@ -130,7 +130,7 @@
 
 type run struct {
 	c         Case
-	r         Rules
+	rules     Rules
 	loop      *loop.Loop
 	random    *rand.Rand
 	agents    []*agent
@@ -141,14 +141,14 @@
 }
 
 // Run simulates a case.
-func Run(c Case, r Rules, seed uint64) Report {
-	v := &run{c: c, r: r, loop: loop.New(), random: rand.New(rand.NewPCG(seed, 1)), lostFlows: c.PooledFlows}
+func Run(c Case, rules Rules, seed uint64) Report {
+	r := &run{c: c, rules: rules, loop: loop.New(), random: rand.New(rand.NewPCG(seed, 1)), lostFlows: c.PooledFlows}
 	maxWait := openTimeout - openAnswerTime
-	if r.KnownAges {
+	if rules.KnownAges {
 		maxWait = c.Length // admit skips the flows of callers that have given up
 	}
 	for i := range c.Servers {
-		v.agents = append(v.agents, &agent{index: i, queue: hold.New(maxWait), waiting: map[segs.Flow]*pendingFlow{}})
+		r.agents = append(r.agents, &agent{index: i, queue: hold.New(maxWait), waiting: map[segs.Flow]*pendingFlow{}})
 	}
 	for i := range c.Servers {
 		var list []share.Server
@@ -157,14 +157,14 @@
 				list = append(list, share.Server{Agent: address(j), SameDomain: j%c.Domains == i%c.Domains})
 			}
 		}
-		v.peers = append(v.peers, list)
+		r.peers = append(r.peers, list)
 	}
 	for i := range c.Kinds {
-		v.scheduleArrival(&c.Kinds[i])
+		r.scheduleArrival(&c.Kinds[i])
 	}
-	v.tick()
-	v.loop.Run(c.Length + 4*time.Second)
-	return v.report
+	r.tick()
+	r.loop.Run(c.Length + 4*time.Second)
+	return r.report
 }
 
 func address(i int) netip.Addr { return netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}) }
@@ -175,145 +175,145 @@
 }
 
 // scheduleArrival schedules the next request of a kind, and so all that follow.
-func (v *run) scheduleArrival(k *RequestKind) {
-	v.loop.After(time.Duration(-math.Log(1-v.random.Float64())/k.Rate*float64(time.Second)), func() {
-		if v.loop.Elapsed() < v.c.Length {
-			v.send(k)
-			v.scheduleArrival(k)
+func (r *run) scheduleArrival(k *RequestKind) {
+	r.loop.After(time.Duration(-math.Log(1-r.random.Float64())/k.Rate*float64(time.Second)), func() {
+		if r.loop.Elapsed() < r.c.Length {
+			r.send(k)
+			r.scheduleArrival(k)
 		}
 	})
 }
 
 // send sends a request. A pooled request uses a random flow of the pool; if that flow was lost in the
 // outage, or if the request is not pooled, a new flow is opened.
-func (v *run) send(k *RequestKind) {
-	q := &request{kind: k, sent: v.loop.Now()}
-	w := v.window(q)
+func (r *run) send(k *RequestKind) {
+	q := &request{kind: k, sent: r.loop.Now()}
+	w := r.window(q)
 	w.Sent++
-	v.report.All.Sent++
-	v.loop.After(k.Deadline, func() {
+	r.report.All.Sent++
+	r.loop.After(k.Deadline, func() {
 		if !q.finished {
 			q.finished = true
-			v.window(q).Failed++
-			v.report.All.Failed++
+			r.window(q).Failed++
+			r.report.All.Failed++
 		}
 	})
 	if !k.Pooled {
-		v.open(q)
+		r.open(q)
 		return
 	}
-	if v.random.IntN(v.c.PooledFlows) >= v.lostFlows {
-		v.loop.After(callerDelay, func() { v.enqueue(v.agents[v.random.IntN(len(v.agents))], q) })
+	if r.random.IntN(r.c.PooledFlows) >= r.lostFlows {
+		r.loop.After(callerDelay, func() { r.enqueue(r.agents[r.random.IntN(len(r.agents))], q) })
 		return
 	}
-	v.firstDelivered(requestSends, func(time.Duration) {
-		v.loop.After(lookupTime, func() {
+	r.firstDelivered(requestSends, func(time.Duration) {
+		r.loop.After(lookupTime, func() {
 			if !q.finished {
-				v.open(q)
+				r.open(q)
 			}
 		})
 	})
 }
 
 // window returns the counts of the interval in which a request was sent.
-func (v *run) window(q *request) *Counts {
-	i := int(q.sent.Sub(v.loop.Now().Add(-v.loop.Elapsed())) / window)
-	for len(v.report.Windows) <= i {
-		v.report.Windows = append(v.report.Windows, Counts{})
+func (r *run) window(q *request) *Counts {
+	i := int(q.sent.Sub(r.loop.Now().Add(-r.loop.Elapsed())) / window)
+	for len(r.report.Windows) <= i {
+		r.report.Windows = append(r.report.Windows, Counts{})
 	}
-	return &v.report.Windows[i]
+	return &r.report.Windows[i]
 }
 
 // firstDelivered calls deliver when the first of several transmissions reaches a running agent, with the
 // offset of that transmission.
-func (v *run) firstDelivered(offsets []time.Duration, deliver func(offset time.Duration)) {
-	up := v.c.Downtime + time.Duration(v.random.Int64N(int64(startSpread)))
+func (r *run) firstDelivered(offsets []time.Duration, deliver func(offset time.Duration)) {
+	up := r.c.Downtime + time.Duration(r.random.Int64N(int64(startSpread)))
 	for _, d := range offsets {
-		if v.loop.Elapsed()+d >= up {
-			v.loop.After(d+callerDelay, func() { deliver(d) })
+		if r.loop.Elapsed()+d >= up {
+			r.loop.After(d+callerDelay, func() { deliver(d) })
 			return
 		}
 	}
 }
 
 // open sends the opening packets of a flow for a request.
-func (v *run) open(q *request) {
+func (r *run) open(q *request) {
 	if q.opens == maxOpens || q.finished {
 		return
 	}
 	q.opens++
-	v.lastFlow++
-	o := &pendingFlow{request: q, flow: segs.Flow{Caller: [4]byte{byte(v.lastFlow >> 24), byte(v.lastFlow >> 16), byte(v.lastFlow >> 8), byte(v.lastFlow)}}}
-	v.loop.After(openTimeout, func() {
+	r.lastFlow++
+	o := &pendingFlow{request: q, flow: segs.Flow{Caller: [4]byte{byte(r.lastFlow >> 24), byte(r.lastFlow >> 16), byte(r.lastFlow >> 8), byte(r.lastFlow)}}}
+	r.loop.After(openTimeout, func() {
 		if !o.opened && !o.abandoned {
 			o.abandoned = true
-			v.open(q)
+			r.open(q)
 		}
 	})
-	v.firstDelivered(openingSends, func(age time.Duration) {
+	r.firstDelivered(openingSends, func(age time.Duration) {
 		if o.abandoned || q.finished {
 			return
 		}
-		w := hold.QueuedFlow{Flow: o.flow, Priority: q.kind.Priority, FirstSent: v.loop.Now().Add(-age), Target: q.kind.Target}
-		if v.r.KnownAges {
+		w := hold.QueuedFlow{Flow: o.flow, Priority: q.kind.Priority, FirstSent: r.loop.Now().Add(-age), Target: q.kind.Target}
+		if r.rules.KnownAges {
 			w.FirstSent = q.sent
 		}
-		v.offer(v.agents[v.random.IntN(len(v.agents))], o, &w, nil, false)
+		r.offer(r.agents[r.random.IntN(len(r.agents))], o, &w, nil, false)
 	})
 }
 
 // offer offers a flow to an agent, which queues it or forwards it to another agent.
-func (v *run) offer(a *agent, o *pendingFlow, w *hold.QueuedFlow, visited []msgs.Visit, final bool) {
-	work := uint16((a.expectedLoad() + a.queue.Len()) * 100 / v.c.Slots)
-	next := share.Next(share.Server{Agent: address(a.index), Utilization: work}, visited, final, v.peers[a.index], v.random.IntN)
+func (r *run) offer(a *agent, o *pendingFlow, w *hold.QueuedFlow, visited []msgs.Visit, final bool) {
+	work := uint16((a.expectedLoad() + a.queue.Len()) * 100 / r.c.Slots)
+	next := share.Next(share.Server{Agent: address(a.index), Utilization: work}, visited, final, r.peers[a.index], r.random.IntN)
 	if i := index(next.Agent); i != a.index {
-		v.loop.After(hopDelay, func() { v.offer(v.agents[i], o, w, next.Visited, next.Final) })
+		r.loop.After(hopDelay, func() { r.offer(r.agents[i], o, w, next.Visited, next.Final) })
 		return
 	}
 	a.waiting[o.flow] = o
-	refused := a.queue.Add(v.loop.Now(), w, v.r.PerSlot*v.c.Slots)
+	refused := a.queue.Add(r.loop.Now(), w, r.rules.PerSlot*r.c.Slots)
 	if refused != nil {
-		v.refuse(a, refused)
+		r.refuse(a, refused)
 	}
-	v.admit(a)
+	r.admit(a)
 }
 
 // refuse refuses a waiting flow. Its caller retries after a random delay.
-func (v *run) refuse(a *agent, w *hold.QueuedFlow) {
+func (r *run) refuse(a *agent, w *hold.QueuedFlow) {
 	o := a.waiting[w.Flow]
 	delete(a.waiting, w.Flow)
-	v.report.Refused++
+	r.report.Refused++
 	if o.abandoned {
 		return
 	}
 	o.abandoned = true
-	delay := callerDelay + time.Duration(v.random.Int64N(int64(maxRetryDelay)))
-	v.loop.After(delay, func() { v.open(o.request) })
+	delay := callerDelay + time.Duration(r.random.Int64N(int64(maxRetryDelay)))
+	r.loop.After(delay, func() { r.open(o.request) })
 }
 
 // expectedLoad returns the number of requests that the server has or is about to receive.
 func (a *agent) expectedLoad() int { return a.reserved + a.running + len(a.backlog) }
 
 // admit opens waiting flows while the queue allows it.
-func (v *run) admit(a *agent) {
+func (r *run) admit(a *agent) {
 	for {
-		w := a.queue.Next(v.loop.Now(), a.expectedLoad(), v.c.Slots, v.lowestPriority())
+		w := a.queue.Next(r.loop.Now(), a.expectedLoad(), r.c.Slots, r.lowestPriority())
 		if w == nil {
 			return
 		}
 		o := a.waiting[w.Flow]
 		delete(a.waiting, w.Flow)
-		if v.r.KnownAges && (o.abandoned || o.request.finished) {
+		if r.rules.KnownAges && (o.abandoned || o.request.finished) {
 			continue
 		}
 		a.reserved++
-		v.report.Opened++
-		v.loop.After(2*callerDelay, func() { v.requestDue(a, o) })
+		r.report.Opened++
+		r.loop.After(2*callerDelay, func() { r.requestDue(a, o) })
 	}
 }
 
-func (v *run) lowestPriority() (lowest int) {
-	for _, k := range v.c.Kinds {
+func (r *run) lowestPriority() (lowest int) {
+	for _, k := range r.c.Kinds {
 		lowest = max(lowest, k.Priority)
 	}
 	return lowest
@@ -321,69 +321,69 @@
 
 // requestDue is called when the request of an opened flow is due. If the caller has given up, the request
 // does not arrive, and its slot stays reserved for some time.
-func (v *run) requestDue(a *agent, o *pendingFlow) {
+func (r *run) requestDue(a *agent, o *pendingFlow) {
 	if o.abandoned || o.request.finished {
-		v.report.Abandoned++
-		v.loop.After(reservedRoundTrips*2*callerDelay, func() {
+		r.report.Abandoned++
+		r.loop.After(reservedRoundTrips*2*callerDelay, func() {
 			a.reserved--
-			v.admit(a)
+			r.admit(a)
 		})
 		return
 	}
 	o.opened = true
 	a.reserved--
 	if o.request.kind.Pooled {
-		v.lostFlows--
+		r.lostFlows--
 	}
-	v.enqueue(a, o.request)
+	r.enqueue(a, o.request)
 }
 
 // enqueue queues a request at a server.
-func (v *run) enqueue(a *agent, q *request) {
+func (r *run) enqueue(a *agent, q *request) {
 	a.backlog = append(a.backlog, q)
-	v.start(a)
+	r.start(a)
 }
 
 // start runs queued requests while slots are free.
-func (v *run) start(a *agent) {
-	for a.running < v.c.Slots && len(a.backlog) > 0 {
+func (r *run) start(a *agent) {
+	for a.running < r.c.Slots && len(a.backlog) > 0 {
 		q := a.backlog[0]
 		a.backlog = a.backlog[1:]
 		a.running++
-		took := time.Duration(float64(q.kind.ServiceTime) * (0.5 + v.random.Float64()))
-		if v.loop.Elapsed() < v.c.Downtime+v.c.ColdStart {
-			took = time.Duration(float64(took) * v.c.ColdFactor)
+		took := time.Duration(float64(q.kind.ServiceTime) * (0.5 + r.random.Float64()))
+		if r.loop.Elapsed() < r.c.Downtime+r.c.ColdStart {
+			took = time.Duration(float64(took) * r.c.ColdFactor)
 		}
-		v.loop.After(took, func() {
+		r.loop.After(took, func() {
 			a.running--
-			v.answer(q)
-			v.start(a)
-			v.admit(a)
+			r.answer(q)
+			r.start(a)
+			r.admit(a)
 		})
 	}
 }
 
 // answer counts an answered request.
-func (v *run) answer(q *request) {
+func (r *run) answer(q *request) {
 	if q.finished {
 		return
 	}
 	q.finished = true
-	if v.loop.Now().Add(callerDelay).Sub(q.sent) <= q.kind.Target {
-		v.window(q).InTime++
-		v.report.All.InTime++
+	if r.loop.Now().Add(callerDelay).Sub(q.sent) <= q.kind.Target {
+		r.window(q).InTime++
+		r.report.All.InTime++
 		return
 	}
-	v.window(q).Late++
-	v.report.All.Late++
+	r.window(q).Late++
+	r.report.All.Late++
 }
 
 // tick has all agents check their queues periodically, as real agents do.
-func (v *run) tick() {
-	v.loop.After(tickInterval, func() {
-		for _, a := range v.agents {
-			v.admit(a)
+func (r *run) tick() {
+	r.loop.After(tickInterval, func() {
+		for _, a := range r.agents {
+			r.admit(a)
 		}
-		v.tick()
+		r.tick()
 	})
 }
--- a/internal/exper/policy/direct.go
+++ b/internal/exper/policy/direct.go
@@ -47,55 +47,55 @@
 }
 
 func newBaseline(n Name, env *Env) *baseline {
-	d := &baseline{name: n, env: env}
+	b := &baseline{name: n, env: env}
 	for _, s := range env.Servers {
-		d.queues = append(d.queues, &serverQueue{server: s, queued: map[string]int{}})
+		b.queues = append(b.queues, &serverQueue{server: s, queued: map[string]int{}})
 	}
 	for i := range entries {
 		size := len(env.Servers)
-		d.entries = append(d.entries, &entry{counter: i, inflight: make([]int, size), reported: make([]int, size), removed: make([]bool, size)})
+		b.entries = append(b.entries, &entry{counter: i, inflight: make([]int, size), reported: make([]int, size), removed: make([]bool, size)})
 	}
 	if n == LeastReported {
-		d.sendReports()
+		b.sendReports()
 	}
-	return d
+	return b
 }
 
 // sendReports delivers the servers' load reports to all entries, with a lag of reportLag.
-func (d *baseline) sendReports() {
-	for i, q := range d.queues {
+func (b *baseline) sendReports() {
+	for i, q := range b.queues {
 		load := q.server.Running() + len(q.waiting)
 		if q.server.FalseReports {
 			load = 0
 		}
-		d.env.Loop.After(reportLag, func() {
-			for _, e := range d.entries {
+		b.env.Loop.After(reportLag, func() {
+			for _, e := range b.entries {
 				e.reported[i] = load
 			}
 		})
 	}
-	d.env.Loop.After(reportInterval, d.sendReports)
+	b.env.Loop.After(reportInterval, b.sendReports)
 }
 
-func (d *baseline) Submit(j *fakes.Job, answer func(Answer)) {
-	e := d.entries[d.nextEntry%entries] // the fabric distributes requests over all entries
-	d.nextEntry++
-	d.dispatch(e, j, nil, answer)
+func (b *baseline) Submit(j *fakes.Job, answer func(Answer)) {
+	e := b.entries[b.nextEntry%entries] // the fabric distributes requests over all entries
+	b.nextEntry++
+	b.dispatch(e, j, nil, answer)
 }
 
 // dispatch sends a request to a server that it has not tried yet, and tries again if it is refused.
-func (d *baseline) dispatch(e *entry, j *fakes.Job, tried []int, answer func(Answer)) {
-	i := d.choose(e, tried)
+func (b *baseline) dispatch(e *entry, j *fakes.Job, tried []int, answer func(Answer)) {
+	i := b.choose(e, tried)
 	if i < 0 {
 		answer(Answer{End: fakes.Shed, Reason: result.ServerLeaving})
 		return
 	}
 	e.inflight[i]++
-	d.enqueue(i, j, func(end fakes.End) {
+	b.enqueue(i, j, func(end fakes.End) {
 		e.inflight[i]--
 		refused := end == fakes.Shed || end == fakes.Unreachable
-		if refused && len(tried)+1 < maxTries && d.env.Loop.Now().Before(j.Deadline) {
-			d.dispatch(e, j, append(slices.Clone(tried), i), answer)
+		if refused && len(tried)+1 < maxTries && b.env.Loop.Now().Before(j.Deadline) {
+			b.dispatch(e, j, append(slices.Clone(tried), i), answer)
 			return
 		}
 		if refused {
@@ -106,9 +106,9 @@
 }
 
 // choose returns the server that the policy selects, -1 if there is none.
-func (d *baseline) choose(e *entry, tried []int) int {
+func (b *baseline) choose(e *entry, tried []int) int {
 	var candidates []int
-	for i := range d.queues {
+	for i := range b.queues {
 		if !e.removed[i] && !slices.Contains(tried, i) {
 			candidates = append(candidates, i)
 		}
@@ -116,20 +116,20 @@
 	if len(candidates) == 0 {
 		return -1
 	}
-	switch d.name {
+	switch b.name {
 	case RoundRobin:
 		e.counter++
 		return candidates[e.counter%len(candidates)]
 	case LeastConnections:
-		return d.leastLoaded(candidates, e.inflight)
+		return b.leastLoaded(candidates, e.inflight)
 	case LeastReported:
-		return d.leastLoaded(candidates, e.reported)
+		return b.leastLoaded(candidates, e.reported)
 	}
-	return candidates[d.env.Random.IntN(len(candidates))]
+	return candidates[b.env.Random.IntN(len(candidates))]
 }
 
 // leastLoaded returns the server with the lowest count; ties are broken at random.
-func (d *baseline) leastLoaded(candidates, counts []int) int {
+func (b *baseline) leastLoaded(candidates, counts []int) int {
 	var best []int
 	for _, i := range candidates {
 		switch {
@@ -139,17 +139,17 @@
 			best = append(best, i)
 		}
 	}
-	return best[d.env.Random.IntN(len(best))]
+	return best[b.env.Random.IntN(len(best))]
 }
 
 // enqueue runs a request at a server, queues it there, or refuses it if the queue is full.
-func (d *baseline) enqueue(i int, j *fakes.Job, done func(fakes.End)) {
-	q := d.queues[i]
+func (b *baseline) enqueue(i int, j *fakes.Job, done func(fakes.End)) {
+	q := b.queues[i]
 	if q.server.Draining || q.server.Down || q.server.FailFast || q.server.Running() < q.server.Slots {
-		d.run(q, j, done)
+		b.run(q, j, done)
 		return
 	}
-	if q.queued[j.Class] >= classByName(d.env.Limits.Classes, j.Class).Queue {
+	if q.queued[j.Class] >= classByName(b.env.Limits.Classes, j.Class).Queue {
 		done(fakes.Shed)
 		return
 	}
@@ -157,48 +157,48 @@
 	q.waiting = append(q.waiting, waitingJob{j, done})
 }
 
-func (d *baseline) run(q *serverQueue, j *fakes.Job, done func(fakes.End)) {
+func (b *baseline) run(q *serverQueue, j *fakes.Job, done func(fakes.End)) {
 	q.server.Run(j, func(end fakes.End) {
-		d.startWaiting(q)
+		b.startWaiting(q)
 		done(end)
 	})
 }
 
 // startWaiting starts waiting requests while slots are free. A request past its deadline is refused when
 // its turn comes, as by a server that knows the deadlines.
-func (d *baseline) startWaiting(q *serverQueue) {
+func (b *baseline) startWaiting(q *serverQueue) {
 	for len(q.waiting) > 0 && (q.server.Running() < q.server.Slots || q.server.Down || q.server.Draining) {
 		c := q.waiting[0]
 		q.waiting = q.waiting[1:]
 		q.queued[c.job.Class]--
-		if !d.env.Loop.Now().Before(c.job.Deadline) {
+		if !b.env.Loop.Now().Before(c.job.Deadline) {
 			c.done(fakes.Shed)
 			continue
 		}
-		d.run(q, c.job, c.done)
+		b.run(q, c.job, c.done)
 	}
 }
 
-func (d *baseline) Leaving(server int) {
-	d.env.Loop.After(removalDelay, func() {
-		for _, e := range d.entries {
+func (b *baseline) Leaving(server int) {
+	b.env.Loop.After(removalDelay, func() {
+		for _, e := range b.entries {
 			e.removed[server] = true
 		}
 	})
 }
 
-func (d *baseline) Joined(server int) {
-	for _, e := range d.entries {
+func (b *baseline) Joined(server int) {
+	for _, e := range b.entries {
 		e.removed[server] = false
 	}
 }
 
-func (d *baseline) Waiting() int {
+func (b *baseline) Waiting() int {
 	n := 0
-	for _, q := range d.queues {
+	for _, q := range b.queues {
 		n += len(q.waiting)
 	}
 	return n
 }
 
-func (d *baseline) HandOvers() (handedOver, crossDomain int) { return 0, 0 }
+func (b *baseline) HandOvers() (handedOver, crossDomain int) { return 0, 0 }
